--- a/bench/grpc_streams.cpp
+++ b/bench/grpc_streams.cpp
@@ -9,7 +9,7 @@
 #include <map>
 
 #include "base/log.h"
-#include "core/conductor.h"
+#include "core/router.h"
 #include "grpc/front.h"
 #include "grpc/server.h"
 #include "proto/lemonroute.pb.h"
@@ -82,8 +82,8 @@
   net::Loop loop;
   SystemClock clock;
   Silent nodes;
-  Conductor core(settings(), {"a"}, {"r", "w"}, 1, clock, nodes);
-  std::vector<Conductor::Listed> list;
+  Router core(settings(), {"a"}, {"r", "w"}, 1, clock, nodes);
+  std::vector<Router::Listed> list;
   for (const char* name : {"r1", "r2", "w1"}) list.push_back({name, "127.0.0.1:1", "a", std::string(name).substr(0, 1), 0, Phase::ready, 1, Micros(0)});
   core.update(ListKind::full, 1, list);
   grpc::Front front(core);
--- a/include/lemonroute/scheduler.h
+++ b/include/lemonroute/scheduler.h
@@ -99,7 +99,7 @@
   Key shared = 0;
   float prompt = 0, shared_prefix = 0, max_output = 0;
   std::uint8_t flags = 0;  // 1 expected is valid, 2 a repeat, 16 resumed after a break
-  std::vector<KeptHint> hints{};  // a few; empty where conductors share nothing
+  std::vector<KeptHint> hints{};  // a few; empty where routers share nothing
 };
 struct First {
   RequestId id = 0;
@@ -225,7 +225,7 @@
 };
 
 // What one dispatcher has learned that holds for its successor as well, by role and by host.
-struct Lessons {
+struct LearnedRates {
   std::vector<std::pair<Role, double>> read_rates;  // the usual, microseconds a token
   std::vector<std::pair<HostId, double>> sent;      // tokens a microsecond that it sends there
 };
@@ -241,8 +241,8 @@
   void retune(Settings settings);  // what was learned stays; requests under way keep the terms they began with
   // From now on `to` hears of each choice, before the action that comes of it. An empty one ends that.
   void explain(std::function<void(const Choice&)> to);
-  Lessons lessons(Micros now) const;
-  void believe(Micros now, const Lessons& lessons);  // of another dispatcher; what was learned here counts more
+  LearnedRates learned_rates(Micros now) const;
+  void take_over(Micros now, const LearnedRates& learned_rates);  // of another dispatcher; what was learned here counts more
   std::vector<HostId> avoided(Micros now) const;  // listed hosts that are left out by choice
 
  private:
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -166,7 +166,7 @@
          "  lemonroute config check FILE [--platform FILE]\n"
          "      names each fault with its file, line and key; exit code 1 if there is one\n"
          "  lemonroute config key FILE\n"
-         "      writes a new key that the conductors of a fleet share\n"
+         "      writes a new key that the routers of a fleet share\n"
          "  lemonroute expect init|check|compare|audit ...\n"
          "      what should be decided, written beside the configuration and checked without traffic\n"
          "  lemonroute call ADDRESS [SERVICE/METHOD] [--data JSON] [--deadline TIME] ...\n"
--- a/src/cli/demo_command.cpp
+++ b/src/cli/demo_command.cpp
@@ -199,7 +199,7 @@
 
 int demo_command(const Arguments& arguments, std::ostream& out, std::ostream& err) {
   Usage usage{"demo [--log-level LEVEL]",
-              "Runs the conductor on loopback with stand-in discovery, readers and writers: a few requests over HTTP and gRPC\n"
+              "Runs the router on loopback with stand-in discovery, readers and writers: a few requests over HTTP and gRPC\n"
               "as they stream, a reader that drains and one that dies, then a table. Ends by itself with 0, or with 1 if a\n"
               "request was not answered by the rules."};
   usage.options.add_options()("log-level,l", po::value<std::string>()->default_value("error"), "debug, info, warn or error");
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -30,7 +30,7 @@
 constexpr milliseconds look_again{100};
 
 // Why a choice came to nothing. The module builds this for each choice, so it is asked for only where it is logged.
-void log_empty_choice(const Conductor& conductor, const Choice& choice) {
+void log_empty_choice(const Router& router, const Choice& choice) {
   if (choice.chosen != 0) return;
   logging::Line line = logging::debug();
   line << "choice of a " << (choice.stage == Role::read ? "reader" : "writer") << " for request " << choice.id;
@@ -39,7 +39,7 @@
          << choice.load << " of " << choice.most_load;
   else
     for (const auto& candidate : choice.candidates)
-      if (candidate.left_out) line << "; " << conductor.name_of(candidate.host) << ' ' << candidate.left_out;
+      if (candidate.left_out) line << "; " << router.name_of(candidate.host) << ' ' << candidate.left_out;
 }
 
 }  // namespace
@@ -52,11 +52,11 @@
         clock_(settings.peers ? settings.peers->clock_offset : Micros(0)),
         processes_(std::filesystem::temp_directory_path(), platform.name, platform.listen),
         nodes_(make_nodes(loop_, platform, settings.grpc_nodes)),
-        conductor_(platform.settings, platform.zones, platform.kinds, platform.seed, clock_, *nodes_),
-        watch_(first_list(loop_, platform, conductor_)),
-        status_(conductor_),
-        front_(loop_, conductor_, front_options(platform, settings)),
-        due_(loop_, [this] { conductor_.run_due(); }),
+        router_(platform.settings, platform.zones, platform.kinds, platform.seed, clock_, *nodes_),
+        watch_(first_list(loop_, platform, router_)),
+        status_(router_),
+        front_(loop_, router_, front_options(platform, settings)),
+        due_(loop_, [this] { router_.run_due(); }),
         window_(loop_, [this] { stop_accepting(); }),
         ended_(loop_, [this] { poll_end(); }),
         look_(loop_, [this] { look(); }),
@@ -78,8 +78,8 @@
     if (settings.peers) {
       fleet_ = std::make_unique<guide::Fleet>(loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()),
                                               std::vector<guide::Guest>{},
-                                              [this](auto newer) { conductor_.guide(std::move(newer)); });
-      conductor_.witness(&fleet_->witness());
+                                              [this](auto newer) { router_.guide(std::move(newer)); });
+      router_.observer(&fleet_->observer());
       logging::info() << "peers on " << fleet_->address();
     }
     const std::string& management =
@@ -87,33 +87,33 @@
     if (!management.empty()) {
       ops::Management::Fleet fleet;
       if (fleet_) fleet = [this] { return fleet_->text(); };
-      management_ = std::make_unique<ops::Management>(loop_, management, conductor_, status_,
+      management_ = std::make_unique<ops::Management>(loop_, management, router_, status_,
                                                       [this] { return reloads_; }, std::move(fleet));
       logging::info() << "management on " << management;
     }
-    conductor_.on_change = [this] { changed(); };
+    router_.on_change = [this] { changed(); };
     if (logging::enabled(logging::Level::debug))
-      conductor_.explain([this](const Choice& choice) { log_empty_choice(conductor_, choice); });
-    conductor_.keep_bans(processes_.file(".bans"), processes_.lock());
+      router_.explain([this](const Choice& choice) { log_empty_choice(router_, choice); });
+    router_.keep_bans(processes_.file(".bans"), processes_.lock());
     changed();
     look();
     if (platform.socket)
       handover_ = std::make_unique<ops::Handover>(loop_, processes_.file(".streams"),
-                                                  [this](const Passing& stream) { front_.adopt(stream); },
-                                                  [this](const News& news) { conductor_.believe(news); });
+                                                  [this](const PassedStream& stream) { front_.adopt(stream); },
+                                                  [this](const HandoverState& handover_state) { router_.take_over(handover_state); });
     processes_.serves(true);
     held_.reset();  // the handlers are there
   }
   ~Parts() {
-    conductor_.on_change = nullptr;  // the timer goes before the conductor does, and so does the witness
-    conductor_.witness(nullptr);
+    router_.on_change = nullptr;  // the timer goes before the router does, and so does the observer
+    router_.observer(nullptr);
   }
   Parts(const Parts&) = delete;
   Parts& operator=(const Parts&) = delete;
 
   struct Grpc {
     Grpc(Parts& program, const config::Operator& settings)
-        : front(program.conductor_),
+        : front(program.router_),
           health(program.status_),
           server(program.loop_, settings.grpc_listen, static_cast<std::size_t>(settings.grpc_connections),
                  program.platform_.socket.has_value()),
@@ -131,7 +131,7 @@
 
   void changed() {
     status_.check();
-    if (const auto due = conductor_.next_due()) due_.start(*due - clock_.now());
+    if (const auto due = router_.next_due()) due_.start(*due - clock_.now());
     else due_.stop();
   }
 
@@ -142,12 +142,12 @@
     processes_.serves(false);
     handover_.reset();
     const bool successor = processes_.another_serves();
-    logging::info() << signal << ": draining, " << conductor_.open() << " requests open"
+    logging::info() << signal << ": draining, " << router_.open() << " requests open"
                     << (successor ? ", another process takes the clients" : "");
     if (successor) hand_over();
     else front_.drain();
     // Clients send on every connection that stays open, and who asks late may wait longer than there is time.
-    conductor_.end_waits(clock_.now() + last_wait());
+    router_.end_waits(clock_.now() + last_wait());
     status_.drain();
     window_.start(arrival_window);
   }
@@ -156,7 +156,7 @@
     front_.hand_over();
     if (grpc_) grpc_->server.stop_accepting();
     agent_.reset();
-    ops::Handover::tell(processes_.file(".streams"), conductor_.news());
+    ops::Handover::tell(processes_.file(".streams"), router_.handover_state());
     pass_streams();
   }
   Micros last_wait() const {
@@ -166,19 +166,19 @@
   }
   // A stream may outlast this process's time; each is given away once it stands between two events.
   void pass_streams() {
-    conductor_.pass_streams([path = processes_.file(".streams")](const Passing& stream) {
+    router_.pass_streams([path = processes_.file(".streams")](const PassedStream& stream) {
       return ops::Handover::send(path, stream);
     });
     pass_.start(pass_again);
   }
-  // What the other process of this conductor, if there is one, has changed. Both together must stay within the
+  // What the other process of this router, if there is one, has changed. Both together must stay within the
   // limits of one, so each has half of the places while two run.
   void look() {
-    conductor_.refresh_bans();
+    router_.refresh_bans();
     const bool shares = processes_.another_runs();
     if (std::exchange(shares_, shares) != shares) {
-      logging::info() << (shares ? "another process of this conductor runs, places are halved"
-                                 : "no other process of this conductor runs");
+      logging::info() << (shares ? "another process of this router runs, places are halved"
+                                 : "no other process of this router runs");
       const std::size_t parts = this->parts();
       front_.limit(std::max<std::size_t>(2, front_places(platform_) / parts));
       nodes_->limit(node_limits(platform_, parts));
@@ -202,8 +202,8 @@
       platform_.settings = platform.settings;
       platform_.connection_idle = platform.connection_idle;
       nodes_->limit(node_limits(platform_, parts()));
-      conductor_.retune(platform.settings, platform.zones, platform.kinds);
-      if (!watch_) conductor_.update(ListKind::full, ++platform_.known.version, platform.known.nodes);
+      router_.retune(platform.settings, platform.zones, platform.kinds);
+      if (!watch_) router_.update(ListKind::full, ++platform_.known.version, platform.known.nodes);
       else watch_->retune(lists_of(platform.settings), platform.settings.drain_grace);
       if (watch_ && std::exchange(platform_.discovery, platform.discovery) != platform.discovery)
         watch_->move(platform.discovery);
@@ -219,7 +219,7 @@
     poll_end();
   }
   void poll_end() {
-    if (conductor_.idle() && front_.idle() && (!grpc_ || grpc_->server.idle())) {
+    if (router_.idle() && front_.idle() && (!grpc_ || grpc_->server.idle())) {
       logging::info() << "drained, ending";
       loop_.stop();
       return;
@@ -234,7 +234,7 @@
   const SystemClock clock_;
   ops::Processes processes_;
   std::unique_ptr<Nodes> nodes_;
-  Conductor conductor_;
+  Router router_;
   std::unique_ptr<discovery::Watch> watch_;  // none where the nodes are fixed
   ops::Status status_;
   http::Front front_;
--- a/src/cli/program.h
+++ b/src/cli/program.h
@@ -1,4 +1,4 @@
-// The conductor put together: core, fronts, node client, discovery and what operators touch, on the loop given.
+// The router put together: core, fronts, node client, discovery and what operators touch, on the loop given.
 #pragma once
 
 #include <functional>
--- a/src/cli/start.cpp
+++ b/src/cli/start.cpp
@@ -5,7 +5,7 @@
 namespace lemonroute::cli {
 namespace {
 
-// While discovery is down there is no list to be had, and conductors that were all killed are to be ready soon: two
+// While discovery is down there is no list to be had, and routers that were all killed are to be ready soon: two
 // calls at the least are made in this time, and then the last list that the platform knows of has to do.
 constexpr std::chrono::milliseconds first_list_within{500};
 
@@ -29,13 +29,13 @@
   return settings.discovery_on_request ? discovery::Lists::asked : discovery::Lists::pushed;
 }
 
-std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform, Conductor& conductor) {
-  conductor.update(ListKind::cached, platform.known.version, platform.known.nodes);
+std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform, Router& router) {
+  router.update(ListKind::cached, platform.known.version, platform.known.nodes);
   if (platform.discovery.empty()) return nullptr;
   // Copies of one program may be started with one seed, or with none.
   const std::uint64_t seed = platform.seed ^ hash_of(platform.name);
   auto watch = std::make_unique<discovery::Watch>(
-      loop, platform.discovery, conductor,
+      loop, platform.discovery, router,
       discovery::Cadence(lists_of(platform.settings), platform.settings.drain_grace, seed));
   bool over = false;
   net::Timer bound(loop, [&over] { over = true; });
--- a/src/cli/start.h
+++ b/src/cli/start.h
@@ -21,10 +21,10 @@
   sigset_t before_;
 };
 
-// The list that the conductor serves from. What the agent has counts as told from the first moment of a process, so
+// The list that the router serves from. What the agent has counts as told from the first moment of a process, so
 // `known` alone would have it send to nodes that have long been draining: no client is taken before the first list has
 // come, or half a second has passed without one. None where the nodes are fixed.
-std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform, Conductor& conductor);
+std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform, Router& router);
 
 discovery::Lists lists_of(const Settings& settings);
 void say_unused(const config::Platform& platform);  // one line of the log
--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -126,7 +126,7 @@
     in.end();
   }
   if (!all.empty() && !file.has("peers"))
-    file.fault("regions", "are of use to conductors that know each other only, and there is no section [peers]");
+    file.fault("regions", "are of use to routers that know each other only, and there is no section [peers]");
   return all;
 }
 
@@ -140,7 +140,7 @@
   }
   mine.at.clear();
   if (name.empty() || name.size() > most_name)
-    faults.push_back({path, peers.line, "peers", "the conductor's name '" + name + "' must have 1 to 64 bytes"});
+    faults.push_back({path, peers.line, "peers", "the router's name '" + name + "' must have 1 to 64 bytes"});
   if (mine.listen.empty() || mine.site.empty())
     faults.push_back({path, peers.line, "peers.at", "has no section [peers.at." + name + "], and [peers] itself no listen and site"});
   return mine;
--- a/src/config/fleet.h
+++ b/src/config/fleet.h
@@ -1,4 +1,4 @@
-// The operator's sections about conductors that know each other: [peers], [regions.NAME], [pools], [tiers]. Each is off
+// The operator's sections about routers that know each other: [peers], [regions.NAME], [pools], [tiers]. Each is off
 // where it is absent. A reader for each in a file of its own.
 #pragma once
 
@@ -15,8 +15,8 @@
 struct PeersFile {
   std::string listen;                    // where datagrams are taken
   std::string advertise;                 // where others send to; empty: as listen
-  std::string site;                      // the zone in which this conductor stands
-  // What holds instead for the conductor of that name, [peers.at.NAME], so that one file serves a whole fleet.
+  std::string site;                      // the zone in which this router stands
+  // What holds instead for the router of that name, [peers.at.NAME], so that one file serves a whole fleet.
   struct At {
     std::string listen, advertise, site;
   };
@@ -33,14 +33,14 @@
 
 struct Region {
   std::vector<std::string> sites;
-  std::vector<std::string> keepers;  // names of conductors of the region that keep the rights to its pools
+  std::vector<std::string> keepers;  // names of routers of the region that keep the rights to its pools
   std::size_t line = 0;
 };
 using Regions = std::map<std::string, Region>;
 
 std::optional<PeersFile> read_peers(Section& file);  // none: off
 Regions read_regions(Section& file);
-// What holds for the conductor of that name, once it is known: `at` is empty then.
+// What holds for the router of that name, once it is known: `at` is empty then.
 PeersFile peers_of(const PeersFile& peers, const std::string& name, const std::string& path, std::vector<Fault>& faults);
 
 }  // namespace lemonroute::config
--- a/src/config/installation.h
+++ b/src/config/installation.h
@@ -11,7 +11,7 @@
 namespace lemonroute::config {
 
 struct Installation {
-  static constexpr const char* unnamed = "lemonroute";  // what a conductor is called where nothing names it
+  static constexpr const char* unnamed = "lemonroute";  // what a router is called where nothing names it
   bool stated = false;  // whether the file speaks of any of this
   Platform platform;    // as the platform's file would have it; `known` holds the fixed nodes
   bool fixed = false;   // the nodes are those of the file, and no discovery is asked
@@ -28,7 +28,7 @@
 // What `node` may be written as in a fleet, here and in expectations: name, address, kind, zone, cell, weight, phase,
 // started. `zones` and `kinds`: names known so far; an unknown kind is a fault, a new zone is added.
 struct FleetNode {
-  Conductor::Listed listed;
+  Router::Listed listed;
   std::size_t line = 0;
 };
 FleetNode read_node(Section& node, const std::vector<std::string>& kinds, std::vector<std::string>& zones);
--- a/src/config/known_settings.cpp
+++ b/src/config/known_settings.cpp
@@ -21,7 +21,7 @@
     "over-share-worth", "report.columns", "safety.cold-from", "safety.cold-us", "safety.drain-grace-us",
     "safety.fall-multiple", "safety.fall-us", "siblings", "tick-us", "zones"};
 
-// One request a connection, no probes, no talk among conductors but by [peers]; weights, prices and scores are not
+// One request a connection, no probes, no talk among routers but by [peers]; weights, prices and scores are not
 // what decides. Places and processor time are held to by what the process itself may have.
 constexpr std::string_view unused[] = {
     "/limits.cores", "/limits.memory_mb", "accounts[].share", "clients.marks-retry", "extra.cross-cell-price",
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -148,7 +148,7 @@
   need(!in.platform.listen.empty(), "serve.listen", "is missing, and no platform's file is given");
   need(!in.classes.empty(), "classes", "is missing, and no platform's file is given");
   need(!in.platform.kinds.empty(), "kinds", "is missing, and no platform's file is given");
-  // Danger: conductors of the default's name would all be one to their peers.
+  // Danger: routers of the default's name would all be one to their peers.
   need(!settings.peers || !settings.peers->at.empty() || in.platform.name != Installation::unnamed,
        "serve.name", "is missing: peers know each other by name");
   need(in.fixed || !in.platform.discovery.empty(), "fleet", "is missing, and no serve.discovery is given");
@@ -197,22 +197,22 @@
 # left out, the platform's file (mgmt) or BALANCER_MGMT says; without any of them it is off.
 # listen = "127.0.0.1:9092"
 
-# ---- Conductors that know each other; docs/fleet.md ----
+# ---- Routers that know each other; docs/fleet.md ----
 # Off unless the section is there.
 
 # [peers]
 # listen = "10.0.0.7:7946"    # UDP; advertise is where others send to, if that is another address
-# site = "a"                  # the zone of the list in which this conductor stands
-# seeds = ["10.0.0.8:7946", "10.1.0.8:7946"]  # conductors to join by; any one is enough
+# site = "a"                  # the zone of the list in which this router stands
+# seeds = ["10.0.0.8:7946", "10.1.0.8:7946"]  # routers to join by; any one is enough
 # key_files = ["fleet.key"]   # lemonroute config key FILE makes one; the first seals, each one opens
 # period = "1s"               # one probe each
-# siblings_least = 1          # bounds of what the number of conductors seen makes of settings.siblings
+# siblings_least = 1          # bounds of what the number of routers seen makes of settings.siblings
 # siblings_most = 100000
 
-# [peers.at.estratti-1]       # listen, advertise and site of the conductor of that name, so that one file serves all
+# [peers.at.estratti-1]       # listen, advertise and site of the router of that name, so that one file serves all
 # listen = "10.0.0.7:7946"
 
-# [regions.nord]              # sites by region; keepers: 1, 3, 5 or 7 conductors that keep the rights to its pools
+# [regions.nord]              # sites by region; keepers: 1, 3, 5 or 7 routers that keep the rights to its pools
 # sites = ["a", "b"]
 # keepers = ["estratti-1", "estratti-2", "estratti-3"]
 
@@ -228,7 +228,7 @@
 
 # [settings]
 # max_attempts = 4            # of a request, 1 to 6
-# siblings = 1                # conductors that share the nodes, this one among them; me is its number from 0
+# siblings = 1                # routers that share the nodes, this one among them; me is its number from 0
 # connect_timeout = "250ms"
 # connection_idle = "8s"      # nodes close connections idle for so long
 # max_retry_after = "2s"
--- a/src/config/platform.cpp
+++ b/src/config/platform.cpp
@@ -67,7 +67,7 @@
     need(lane, "settings: lanes: ", {"name", "idempotency", "slo-us", "hard-limit-us"});
 }
 
-// Leaves out what the platform allows and this conductor never makes use of, so that nothing comes to depend on it:
+// Leaves out what the platform allows and this router never makes use of, so that nothing comes to depend on it:
 // the writer is chosen when the read has ended, so no place is held ahead; one attempt is out at a time; a stream that
 // broke goes on by the client's asking again, as any request does. Not using them breaks no rule.
 std::vector<std::string> leave_out_unused(Settings& settings) {
--- a/src/config/platform.h
+++ b/src/config/platform.h
@@ -1,4 +1,4 @@
-// What the platform tells a conductor at its start.
+// What the platform tells a router at its start.
 #pragma once
 
 #include <functional>
@@ -26,7 +26,7 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
   Settings settings;                // without what `unused` names
-  std::vector<std::string> unused;  // keys of what the platform allows and this conductor never does
+  std::vector<std::string> unused;  // keys of what the platform allows and this router never does
   std::vector<std::string> not_read, unknown;  // keys that are stated: known, and nothing depends on them; not known
   std::vector<std::string> zones, kinds;
   Micros connection_idle{};
--- a/src/core/bans.h
+++ b/src/core/bans.h
@@ -1,4 +1,4 @@
-// The nodes that are out by hand, kept in a file that the processes of one conductor share.
+// The nodes that are out by hand, kept in a file that the processes of one router share.
 #pragma once
 
 #include <sys/stat.h>
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -1,4 +1,4 @@
-// What this conductor's clients ask of the writers, as it can tell: its own streams, and what writers say they hold.
+// What this router's clients ask of the writers, as it can tell: its own streams, and what writers say they hold.
 // No I/O, no clock.
 #pragma once
 
@@ -16,9 +16,9 @@
   void taken() { ++taken_; }
   void refused() { ++refused_; }
 
-  // Of the time since the last call. `own`: tokens that streams of this conductor hold at writers; `memory`: what the
+  // Of the time since the last call. `own`: tokens that streams of this router hold at writers; `memory`: what the
   // `writers` have in all, in tokens.
-  Witness::Demand take(double own, double memory, std::uint32_t writers, Micros now);
+  NodeObserver::Demand take(double own, double memory, std::uint32_t writers, Micros now);
 
   static constexpr Micros fresh = std::chrono::seconds(10);  // an older report says nothing any more
 
--- a/src/core/figures.h
+++ b/src/core/figures.h
@@ -1,4 +1,4 @@
-// What the conductor counts from its start on, for each class.
+// What the router counts from its start on, for each class.
 #pragma once
 
 #include <algorithm>
--- a/src/core/guide.h
+++ b/src/core/guide.h
@@ -1,5 +1,5 @@
-// What conductors know together, as one of them uses it while it serves, and what it tells the others of what it sees.
-// Both are met on the serving loop only: a guide never changes once it is made, and a witness neither waits nor fails.
+// What routers know together, as one of them uses it while it serves, and what it tells the others of what it sees.
+// Both are met on the serving loop only: a guide never changes once it is made, and a observer neither waits nor fails.
 #pragma once
 
 #include <limits>
@@ -21,7 +21,7 @@
  public:
   virtual ~Guide() = default;
 
-  // Conductors that share the nodes, this one among them; 0: as the settings say.
+  // Routers that share the nodes, this one among them; 0: as the settings say.
   virtual std::uint32_t siblings() const { return 0; }
 
   // Laid over what is listed of a node, as bans are: a node of a pool that is not ours drains, one of a pool that was
@@ -39,17 +39,17 @@
   virtual Micros lost(const Node&) const { return {}; }
 };
 
-// Hears on the serving loop what this conductor sees of nodes.
-class Witness {
+// Hears on the serving loop what this router sees of nodes.
+class NodeObserver {
  public:
-  virtual ~Witness() = default;
+  virtual ~NodeObserver() = default;
   // A read has ended well at that node: so much of the prompt is kept there now.
   virtual void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) = 0;
   // A node's own count of what it found kept of a prompt when it read it: it proves hints right or wrong.
   virtual void found(const Node& /*node*/, Key /*session*/, Key /*shared*/, double /*tokens*/, Micros /*now*/) {}
   virtual void lost(const Node& node, Micros now) = 0;  // its kept texts are gone, it did not say so
   virtual void listed(const std::vector<Node>& nodes, Micros now) = 0;  // all that are known, after each change
-  // What this conductor's writers did since the last call: the share of their memory that its own streams hold and that
+  // What this router's writers did since the last call: the share of their memory that its own streams hold and that
   // was reported in all (0 to 1, weighed by writers), requests taken, and those refused for want of writers.
   struct Demand {
     double own = 0, reported = 0;
--- a/src/core/conductor.h
+++ b/src/core/router.h
@@ -18,13 +18,13 @@
 
 namespace lemonroute {
 
-class Conductor {
+class Router {
  public:
-  Conductor(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
+  Router(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
             std::uint64_t seed, const Clock& clock, Nodes& nodes);
-  ~Conductor();
-  Conductor(const Conductor&) = delete;
-  Conductor& operator=(const Conductor&) = delete;
+  ~Router();
+  Router(const Router&) = delete;
+  Router& operator=(const Router&) = delete;
 
   // ---- for discovery ----
   struct Listed {
@@ -43,29 +43,29 @@
   Ordered take_out(const std::string& node);  // no new work to it, whatever discovery lists, until it is put back
   Ordered put_back(const std::string& node);
   void keep_bans(std::string path, LockFile& lock);  // takes those that are there
-  void refresh_bans();                               // takes what another process of this conductor has changed
+  void refresh_bans();                               // takes what another process of this router has changed
   Figures figures() const;
   std::string name_of(HostId id) const;  // of a listed node; "" for any other
   // From now on `to` hears of each choice of the module's, before what comes of it. An empty one ends that.
   void explain(std::function<void(const Choice&)> to) { scheduler_.explain(std::move(to)); }
 
-  // ---- for what conductors know together ----
+  // ---- for what routers know together ----
   void guide(std::shared_ptr<const Guide> guide);  // from now on; none: what discovery and operators say
-  void witness(Witness* witness);  // hears what is seen of nodes; outlives this, or is taken back with null
+  void observer(NodeObserver* observer);  // hears what is seen of nodes; outlives this, or is taken back with null
 
   // ---- for fronts ----
   enum class Taken { yes, unknown_kind, duplicate };
   // Takes a request; its one answer goes to `client`. Unless it says yes, nothing was taken.
-  Taken take(const Inquiry& inquiry, Client& client, RequestId& id);
+  Taken take(const ClientRequest& client_request, Client& client, RequestId& id);
   void gone(RequestId id);     // the client has gone: it is told nothing more
   void drained(RequestId id);  // the client can take more events
 
-  // ---- for another process of this conductor ----
+  // ---- for another process of this router ----
   // Gives away streams that stand between two events, each once `give` has sent it; the others stay.
-  void pass_streams(const std::function<bool(const Passing&)>& give);
-  bool adopt(const Passing& stream, Client& client, RequestId& id);  // goes on with one that was given
-  News news() const;                // of ready nodes, where there is something to tell
-  void believe(const News& news);  // what another process told
+  void pass_streams(const std::function<bool(const PassedStream&)>& give);
+  bool adopt(const PassedStream& stream, Client& client, RequestId& id);  // goes on with one that was given
+  HandoverState handover_state() const;                // of ready nodes, where there is something to tell
+  void take_over(const HandoverState& handover_state);  // what another process told
   // The process is ended soon after `at`: no request waits for its first event longer, one taken later included.
   void end_waits(Micros at);
 
@@ -80,9 +80,9 @@
   std::size_t ready_nodes() const;
 
  private:
-  struct Try;
-  struct Entry;
-  struct Released;
+  struct AttemptState;
+  struct RequestState;
+  struct PendingRelease;
 
   void put(Event event);
   void pump();
@@ -102,21 +102,21 @@
   void act(const Subscribe&) {}  // the watch is always on here
   void act(const Snapshot&) {}
 
-  void event(Try& attempt, std::string_view data);
-  void done(Try& attempt, Result result);
-  void witnessed(const Entry& entry, const Try& ended, const Node& node, const Completed& completed);
-  void watch_silence(Try& attempt);
-  void begin_by(Try& attempt, Micros at, Result or_else);
+  void event(AttemptState& attempt, std::string_view data);
+  void done(AttemptState& attempt, Result result);
+  void tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node, const Completed& completed);
+  void watch_silence(AttemptState& attempt);
+  void begin_by(AttemptState& attempt, Micros at, Result or_else);
   void hurry_to_leaving();
-  void stalled(Try& attempt);
-  void timed_out(Try& attempt);
-  void end(Entry& entry);
+  void stalled(AttemptState& attempt);
+  void timed_out(AttemptState& attempt);
+  void end(RequestState& entry);
   void settle();
-  void start_release(Entry& entry, HostId holder);
-  void let_go_leftover(Entry& entry);
-  const Node* asked_to_release(const Released& released) const;
-  void try_release(Released& released);
-  void drop_release(Released& released);
+  void start_release(RequestState& entry, HostId holder);
+  void let_go_leftover(RequestState& entry);
+  const Node* asked_to_release(const PendingRelease& released) const;
+  void try_release(PendingRelease& released);
+  void drop_release(PendingRelease& released);
   Ordered order(const std::string& node, bool out);
   bool lay_over(Node& node);
   void lay_again();
@@ -128,8 +128,8 @@
   void place(Node& node) const;
   HostId id_of(const std::string& name) const;  // the one it has, or one that is free
   Role role(HostId id) const;
-  Entry* find(RequestId id);
-  Entry& enter(const Prompt& prompt, Client& client, const std::string& kind);
+  RequestState* find(RequestId id);
+  RequestState& enter(const Prompt& prompt, Client& client, const std::string& kind);
 
   Settings settings_;
   std::vector<std::string> zones_, kinds_;
@@ -142,13 +142,13 @@
   Bans bans_;
   std::shared_ptr<const Guide> guide_;
   Micros laid_until_ = Micros::max();  // what the guide laid over the list holds until then
-  Witness* witness_ = nullptr;
+  NodeObserver* observer_ = nullptr;
   DemandCount demand_;
   std::unordered_map<std::string, HostId> ids_;  // of the known ones, by name
   std::deque<std::string> left_;  // names of nodes that have gone, the last one at the back
-  std::unordered_map<RequestId, std::unique_ptr<Entry>> requests_;
+  std::unordered_map<RequestId, std::unique_ptr<RequestState>> requests_;
   std::unordered_map<std::string, RequestId> by_name_;
-  std::list<Released> releases_;
+  std::list<PendingRelease> releases_;
   std::map<std::uint64_t, std::unique_ptr<Call>> probes_;
   std::uint64_t next_probe_ = 0;
   CountsByClass counts_;
--- a/src/core/conductor/actions.cpp
+++ b/src/core/router/actions.cpp
@@ -2,13 +2,13 @@
 #include <utility>
 
 #include "base/log.h"
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 #include "core/load_report.h"
 
 namespace lemonroute {
 
-void Conductor::act(const Send& send) {
-  Entry* entry = find(send.id);
+void Router::act(const Send& send) {
+  RequestState* entry = find(send.id);
   const auto node = known_.find(send.host);
   const Micros now = clock_.now();
   const auto number = entry ? entry->attempts++ : std::uint16_t(0);
@@ -27,8 +27,8 @@
   if (node == known_.end() || !node->second.ready()) return answer(Outcome::connect_failed);
   const Micros left = entry->deadline - now;
   const Micros within = send.within > Micros(0) ? std::min(send.within, left) : left;
-  entry->out = std::make_unique<Try>(*this, send.id, number, node->second, role(send.host), now);
-  Try& attempt = *entry->out;
+  entry->out = std::make_unique<AttemptState>(*this, send.id, number, node->second, role(send.host), now);
+  AttemptState& attempt = *entry->out;
   logging::debug() << entry->prompt.id << " attempt " << number << " to " << node->second.name;
   attempt.timer = timers_.add(now + within, [this, &attempt] { timed_out(attempt); });
   attempt.call = nodes_.begin(node->second, entry->prompt, within, attempt);
@@ -41,8 +41,8 @@
   }
 }
 
-void Conductor::act(const Refuse& refuse) {
-  Entry* entry = find(refuse.id);
+void Router::act(const Refuse& refuse) {
+  RequestState* entry = find(refuse.id);
   if (!entry || !entry->client) return;
   if (entry->once && entry->ran) return act(Fail{refuse.id});  // a refusal says that trying again is harmless
   Client& client = *entry->client;
@@ -54,8 +54,8 @@
   client.refuse(refuse.stay_away);
 }
 
-void Conductor::act(const Fail& fail) {
-  Entry* entry = find(fail.id);
+void Router::act(const Fail& fail) {
+  RequestState* entry = find(fail.id);
   if (!entry || !entry->client) return;
   Client& client = *entry->client;
   end(*entry);
@@ -65,17 +65,17 @@
   client.fail(clock_.now() >= entry->deadline ? Failure::timed_out : Failure::gave_up);
 }
 
-void Conductor::act(const Cancel& cancel) {
-  Entry* entry = find(cancel.id);
+void Router::act(const Cancel& cancel) {
+  RequestState* entry = find(cancel.id);
   if (!entry || !entry->out || entry->out->number != cancel.attempt || entry->out->started) return;
   done(*entry->out, {Outcome::cancelled, 0, {}, "called off"});
 }
 
-void Conductor::act(const Sleep& sleep) {
+void Router::act(const Sleep& sleep) {
   timers_.add(clock_.now() + sleep.after, [this, cookie = sleep.cookie] { put(Alarm{cookie}); });
 }
 
-void Conductor::act(const Probe& probe) {
+void Router::act(const Probe& probe) {
   const auto node = known_.find(probe.host);
   if (node == known_.end()) return;
   const auto number = next_probe_++;
@@ -88,15 +88,15 @@
   probes_[number] = std::move(call);
 }
 
-void Conductor::act(const HangUp& hang_up) {
+void Router::act(const HangUp& hang_up) {
   const auto node = known_.find(hang_up.host);
   if (node != known_.end()) nodes_.hang_up(node->second);
 }
 
-void Conductor::act(const Log& log) { logging::info() << "module: " << log.line; }
+void Router::act(const Log& log) { logging::info() << "module: " << log.line; }
 
-void Conductor::act(const Release& release) {
-  Entry* entry = find(release.id);
+void Router::act(const Release& release) {
+  RequestState* entry = find(release.id);
   if (!entry) return;
   entry->leftover.reset();
   entry->state_waits.reset();
--- a/src/core/conductor/attempts.cpp
+++ b/src/core/router/attempts.cpp
@@ -2,7 +2,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 #include "core/load_report.h"
 
 namespace lemonroute {
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-void Conductor::event(Try& attempt, std::string_view data) {
-  Entry& entry = *find(attempt.request);
+void Router::event(AttemptState& attempt, std::string_view data) {
+  RequestState& entry = *find(attempt.request);
   watch_silence(attempt);
   if (!std::exchange(attempt.started, true)) {
     entry.leftover.reset();
@@ -54,7 +54,7 @@
   attempt.call->hold_back(true);
 }
 
-void Conductor::watch_silence(Try& attempt) {
+void Router::watch_silence(AttemptState& attempt) {
   timers_.drop(attempt.timer);
   attempt.timer = timers_.add(clock_.now() + stream_silence, [this, &attempt] { stalled(attempt); });
 }
@@ -62,26 +62,26 @@
 // Danger: a send that was right when it was decided and is wrong by the time its connection comes up, or a place on one
 // is free: to a node that drains by then, of a repeat that its class allows no more, or while a state waits at a reader
 // for which nothing is out. So it is taken back.
-void Conductor::begin_by(Try& attempt, Micros at, Result or_else) {
+void Router::begin_by(AttemptState& attempt, Micros at, Result or_else) {
   if (!attempt.unsent() || (attempt.begin_timer && attempt.begin_timer->first <= at)) return;
   if (attempt.begin_timer) timers_.drop(*attempt.begin_timer);
   attempt.begin_timer = timers_.add(at, [this, &attempt, or_else = std::move(or_else)] {
     attempt.begin_timer.reset();
     if (!attempt.unsent()) return;
     // Nothing is out, so what a cut read may have left is let go of before another attempt is made.
-    if (Entry& entry = *find(attempt.request); entry.leftover) let_go_leftover(entry);
+    if (RequestState& entry = *find(attempt.request); entry.leftover) let_go_leftover(entry);
     done(attempt, or_else);
   });
 }
 
 // Guards against a result that lives in the call, which is let go of here: it is taken by value.
-void Conductor::done(Try& attempt, Result result) {
-  Entry& entry = *find(attempt.request);
+void Router::done(AttemptState& attempt, Result result) {
+  RequestState& entry = *find(attempt.request);
   timers_.drop(attempt.timer);
   // Guards the nodes' good name, and the others' time: what one node can't use no node can. The fault is the
   // client's, who is told at once.
   if (result.unfit) result.outcome = Outcome::moot;
-  const std::unique_ptr<Try> ended = std::move(entry.out);
+  const std::unique_ptr<AttemptState> ended = std::move(entry.out);
   logging::debug() << entry.prompt.id << " attempt " << attempt.number << " at " << attempt.node << ": "
                    << word(result.outcome) << (result.detail.empty() ? "" : ", ") << result.detail;
   if (result.unfit)
@@ -115,7 +115,7 @@
   }
   Completed completed{attempt.request, result.outcome, finished, clock_.now() - attempt.sent, attempt.host,
                       result.kept,     attempt.number, parse_load(result.load, settings_.report_columns)};
-  if (const auto node = known_.find(attempt.host); node != known_.end()) witnessed(entry, *ended, node->second, completed);
+  if (const auto node = known_.find(attempt.host); node != known_.end()) tell_observer(entry, *ended, node->second, completed);
   ended->call.reset();
   if (client && result.outcome == Outcome::ok) client->finish();
   else if (client && result.unfit) client->fail(Failure::unfit);
@@ -127,15 +127,15 @@
   if (tells) put(std::move(health));
 }
 
-// What an attempt that ended says of its node, for this conductor's peers.
-void Conductor::witnessed(const Entry& entry, const Try& ended, const Node& node, const Completed& completed) {
-  if (!witness_) return;
+// What an attempt that ended says of its node, for this router's peers.
+void Router::tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node, const Completed& completed) {
+  if (!observer_) return;
   const Micros now = clock_.now();
   const bool has_read = completed.outcome == Outcome::read || completed.outcome == Outcome::ok;
   if (ended.role != Role::write && has_read) {
     // What was found there is told first: it is held against what was known until now.
-    witness_->found(node, entry.session, entry.shared, completed.note, now);
-    witness_->kept(node, entry.session, entry.shared, entry.tokens, entry.shared_tokens, now);
+    observer_->found(node, entry.session, entry.shared, completed.note, now);
+    observer_->kept(node, entry.session, entry.shared, entry.tokens, entry.shared_tokens, now);
   }
   const auto& columns = settings_.report_columns;
   const auto held = std::find(columns.begin(), columns.end(), "x0");
@@ -144,7 +144,7 @@
     demand_.reported(ended.host, completed.load[at], now);
 }
 
-void Conductor::stalled(Try& attempt) { done(attempt, {Outcome::reset, 0, {}, "the stream fell silent"}); }
-void Conductor::timed_out(Try& attempt) { done(attempt, {Outcome::timeout, 0, {}, "no answer in time"}); }
+void Router::stalled(AttemptState& attempt) { done(attempt, {Outcome::reset, 0, {}, "the stream fell silent"}); }
+void Router::timed_out(AttemptState& attempt) { done(attempt, {Outcome::timeout, 0, {}, "no answer in time"}); }
 
 }  // namespace lemonroute
--- a/src/core/conductor/events.cpp
+++ b/src/core/router/events.cpp
@@ -1,17 +1,17 @@
 #include <utility>
 
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
 // Calls come back into the core from whatever it calls. What they bring waits here in order, so that the
 // Scheduler sees one event at a time.
-void Conductor::put(Event event) {
+void Router::put(Event event) {
   events_.push_back(std::move(event));
   pump();
 }
 
-void Conductor::pump() {
+void Router::pump() {
   if (pumping_) return;
   pumping_ = true;
   while (!events_.empty()) {
@@ -33,21 +33,21 @@
   if (on_change) on_change();
 }
 
-void Conductor::decide(const Event& event) {
+void Router::decide(const Event& event) {
   std::vector<Action> actions;
   scheduler_.handle(clock_.now(), event, actions);
   for (const auto& action : actions) std::visit([&](const auto& one) { act(one); }, action);
 }
 
-void Conductor::run_due() {
+void Router::run_due() {
   timers_.run(clock_.now());
   if (on_change) on_change();
 }
 
 // Once all events are handled: frees what a cut read may have left, and forgets requests that are over.
-void Conductor::settle() {
+void Router::settle() {
   for (const RequestId id : std::exchange(touched_, {})) {
-    Entry* entry = find(id);
+    RequestState* entry = find(id);
     if (!entry || entry->out) continue;
     if (entry->leftover) let_go_leftover(*entry);
     if (entry->client) continue;
--- a/src/core/conductor/guidance.cpp
+++ b/src/core/router/guidance.cpp
@@ -1,21 +1,21 @@
 #include <algorithm>
 
 #include "base/log.h"
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
 namespace {
 
-constexpr Micros tell_every = std::chrono::seconds(1);  // the witness hears of demand
+constexpr Micros tell_every = std::chrono::seconds(1);  // the observer hears of demand
 
 }  // namespace
 
-void Conductor::guide(std::shared_ptr<const Guide> guide) {
+void Router::guide(std::shared_ptr<const Guide> guide) {
   const auto before = live_settings().siblings;
   guide_ = std::move(guide);
   if (const auto live = live_settings(); live.siblings != before) {
-    logging::info() << "conductors that share the nodes: " << live.siblings;
+    logging::info() << "routers that share the nodes: " << live.siblings;
     scheduler_.retune(live);
   }
   std::vector<HostId> lost;
@@ -28,21 +28,21 @@
   for (const HostId id : lost) put(Void{id});
 }
 
-void Conductor::witness(Witness* witness) {
-  witness_ = witness;
-  if (!witness_) return;
+void Router::observer(NodeObserver* observer) {
+  observer_ = observer;
+  if (!observer_) return;
   tell_listed();
   tell_demand();
 }
 
-Settings Conductor::live_settings() const {
+Settings Router::live_settings() const {
   Settings live = settings_;
   if (const auto siblings = guide_ ? guide_->siblings() : 0) live.siblings = siblings;
   return live;
 }
 
-// Nodes of the prompt's text that this conductor's peers know of, by the names that all conductors share.
-std::vector<KeptHint> Conductor::hints(Key session, Key shared) const {
+// Nodes of the prompt's text that this router's peers know of, by the names that all routers share.
+std::vector<KeptHint> Router::hints(Key session, Key shared) const {
   std::vector<KeptHint> hints;
   if (!guide_) return hints;
   for (const auto& kept : guide_->kept(session, shared))
@@ -51,15 +51,15 @@
   return hints;
 }
 
-void Conductor::tell_listed() {
-  if (!witness_) return;
+void Router::tell_listed() {
+  if (!observer_) return;
   std::vector<Node> nodes;
   for (const auto& [id, node] : known_) nodes.push_back(node);
-  witness_->listed(nodes, clock_.now());
+  observer_->listed(nodes, clock_.now());
 }
 
-void Conductor::tell_demand() {
-  if (!witness_) return;
+void Router::tell_demand() {
+  if (!observer_) return;
   const Micros now = clock_.now();
   double memory = 0, own = 0;
   std::uint32_t writers = 0;
@@ -71,7 +71,7 @@
   }
   for (const auto& [id, entry] : requests_)
     if (entry->out && entry->out->role != Role::read) own += entry->tokens;
-  witness_->demand(demand_.take(own, memory, writers, now), now);
+  observer_->demand(demand_.take(own, memory, writers, now), now);
   timers_.add(now + tell_every, [this] { tell_demand(); });
 }
 
--- a/src/core/conductor/list.cpp
+++ b/src/core/router/list.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "base/log.h"
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Conductor::update(ListKind kind, std::uint32_t version, const std::vector<Listed>& listed) {
+void Router::update(ListKind kind, std::uint32_t version, const std::vector<Listed>& listed) {
   HostList list{kind, version, {}};
   version_ = version;
   if (kind != ListKind::delta)
@@ -46,7 +46,7 @@
   }
   logging::info() << "list " << version << (kind == ListKind::delta ? ": changes for " : ": whole, ")
                   << listed.size() << " nodes, " << ready_nodes() << " ready";
-  // Guards the memory of a conductor that outlives its nodes many times over: a node that has gone is
+  // Guards the memory of a router that outlives its nodes many times over: a node that has gone is
   // forgotten. What is still under way there knows its name.
   std::erase_if(known_, [this](const auto& node) {
     const bool gone = node.second.entry.phase == Phase::gone;
@@ -61,7 +61,7 @@
   tell_listed();
 }
 
-void Conductor::place(Node& node) const {
+void Router::place(Node& node) const {
   const auto index = [](const std::vector<std::string>& names, const std::string& name) {
     const auto found = std::find(names.begin(), names.end(), name);
     return static_cast<std::uint8_t>(std::min<std::ptrdiff_t>(found - names.begin(), 255));
@@ -71,9 +71,9 @@
 }
 
 // The Scheduler sees a node that drains, and one that has just started when it is put back: it may have been
-// restarted meanwhile, and discovery tells of that seconds late. Nodes of a pool that other conductors have, or may
+// restarted meanwhile, and discovery tells of that seconds late. Nodes of a pool that other routers have, or may
 // have by now, drain as well.
-bool Conductor::lay_over(Node& node) {
+bool Router::lay_over(Node& node) {
   const Guide::Laid laid = guide_ ? guide_->lay(node) : Guide::Laid{};
   const bool away = laid.away || laid.until <= clock_.now();
   if (!away) laid_until_ = std::min(laid_until_, laid.until);
@@ -86,7 +86,7 @@
   return true;
 }
 
-HostList Conductor::laid_again() {
+HostList Router::laid_again() {
   HostList list{ListKind::delta, version_, {}};
   laid_until_ = Micros::max();
   for (auto& [id, node] : known_)
@@ -96,7 +96,7 @@
 }
 
 // Attempts to nodes that are not ready any more begin soon or not at all; half of what is allowed is left to the wire.
-void Conductor::hurry_to_leaving() {
+void Router::hurry_to_leaving() {
   for (const auto& [id, entry] : requests_) {
     if (!entry->out || entry->out->started) continue;
     const auto node = known_.find(entry->out->host);
@@ -105,28 +105,28 @@
   }
 }
 
-void Conductor::lay_again() {
+void Router::lay_again() {
   if (HostList list = laid_again(); !list.hosts.empty()) put(std::move(list));
 }
 
-HostId Conductor::id_of(const std::string& name) const {
+HostId Router::id_of(const std::string& name) const {
   if (const auto known = ids_.find(name); known != ids_.end()) return known->second;
   auto id = static_cast<HostId>(hash_of(name));
   while (known_.count(id)) ++id;
   return id;
 }
 
-std::string Conductor::name_of(HostId id) const {
+std::string Router::name_of(HostId id) const {
   const auto found = known_.find(id);
   return found == known_.end() ? "" : found->second.name;
 }
 
-std::size_t Conductor::ready_nodes() const {
+std::size_t Router::ready_nodes() const {
   return static_cast<std::size_t>(
       std::count_if(known_.begin(), known_.end(), [](const auto& node) { return node.second.ready(); }));
 }
 
-Role Conductor::role(HostId id) const {
+Role Router::role(HostId id) const {
   const auto found = known_.find(id);
   if (found == known_.end() || found->second.entry.kind >= settings_.kind_role.size()) return Role::both;
   return settings_.kind_role[found->second.entry.kind];
--- a/src/core/conductor/orders.cpp
+++ b/src/core/router/orders.cpp
@@ -1,11 +1,11 @@
 #include <algorithm>
 
 #include "base/log.h"
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
-void Conductor::retune(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds) {
+void Router::retune(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds) {
   settings_ = std::move(settings);
   zones_ = std::move(zones);
   kinds_ = std::move(kinds);
@@ -21,10 +21,10 @@
   tell_listed();
 }
 
-Conductor::Ordered Conductor::take_out(const std::string& node) { return order(node, true); }
-Conductor::Ordered Conductor::put_back(const std::string& node) { return order(node, false); }
+Router::Ordered Router::take_out(const std::string& node) { return order(node, true); }
+Router::Ordered Router::put_back(const std::string& node) { return order(node, false); }
 
-Conductor::Ordered Conductor::order(const std::string& node, bool out) {
+Router::Ordered Router::order(const std::string& node, bool out) {
   const bool listed = std::any_of(known_.begin(), known_.end(), [&](auto& one) { return one.second.name == node; });
   if (!listed && !bans_.out(node) && std::find(left_.begin(), left_.end(), node) == left_.end())
     return Ordered::never_listed;
@@ -34,18 +34,18 @@
   return Ordered::done;
 }
 
-void Conductor::keep_bans(std::string path, LockFile& lock) {
+void Router::keep_bans(std::string path, LockFile& lock) {
   bans_.keep_in(std::move(path), lock);
   lay_again();
 }
 
-void Conductor::refresh_bans() {
+void Router::refresh_bans() {
   if (!bans_.refresh()) return;
-  logging::info() << "nodes were taken out or put back at the other process of this conductor";
+  logging::info() << "nodes were taken out or put back at the other process of this router";
   lay_again();
 }
 
-Figures Conductor::figures() const {
+Figures Router::figures() const {
   Figures figures{counts_.all(), sends_, open_, known_.size(), 0};
   const auto avoided = scheduler_.avoided(clock_.now());
   for (const auto& [id, node] : known_)
--- a/src/core/conductor/parts.h
+++ b/src/core/router/parts.h
@@ -5,22 +5,22 @@
 #include <optional>
 #include <string>
 
-#include "core/conductor.h"
+#include "core/router.h"
 
 namespace lemonroute {
 
 // One attempt of a request, on its way.
-struct Conductor::Try : Attempt {
-  Try(Conductor& owner, RequestId of, std::uint16_t number, const Node& at, Role role, Micros now)
-      : conductor(owner), request(of), number(number), host(at.id), node(at.name), role(role), sent(now) {}
-  ~Try() override {
-    if (begin_timer) conductor.timers_.drop(*begin_timer);
+struct Router::AttemptState : Attempt {
+  AttemptState(Router& owner, RequestId of, std::uint16_t number, const Node& at, Role role, Micros now)
+      : router(owner), request(of), number(number), host(at.id), node(at.name), role(role), sent(now) {}
+  ~AttemptState() override {
+    if (begin_timer) router.timers_.drop(*begin_timer);
   }
-  void written() override { ++conductor.sends_; }
-  void event(std::string_view data) override { conductor.event(*this, data); }
-  void done(Result result) override { conductor.done(*this, std::move(result)); }
+  void written() override { ++router.sends_; }
+  void event(std::string_view data) override { router.event(*this, data); }
+  void done(Result result) override { router.done(*this, std::move(result)); }
 
-  Conductor& conductor;
+  Router& router;
   RequestId request;
   std::uint16_t number;
   HostId host;
@@ -35,7 +35,7 @@
   bool unsent() const { return call && call->unsent(); }
 };
 
-struct Conductor::Entry {
+struct Router::RequestState {
   RequestId id = 0;
   Prompt prompt;
   Client* client = nullptr;  // null once answered or gone
@@ -50,7 +50,7 @@
   bool ran = false;   // and an attempt that would have answered may have run
   Micros repeats_for = Micros::max();    // how long after its sending the class may be repeated,
   Micros repeats_until = Micros::max();  // and, once one may have run, until when
-  std::unique_ptr<Try> out;  // at most one
+  std::unique_ptr<AttemptState> out;  // at most one
   HostId held_at = 0;        // the node of the last read that ended well,
   bool holds = false;        // and whether it holds the state
   std::optional<Micros> state_waits;  // since when a state is or may be there with nothing out that has begun
@@ -60,7 +60,7 @@
   bool adopted = false;  // begun by another process
 };
 
-struct Conductor::Released {
+struct Router::PendingRelease {
   RequestId request = 0;
   std::string id;
   HostId holder = 0;
--- a/src/core/conductor/releases.cpp
+++ b/src/core/router/releases.cpp
@@ -2,7 +2,7 @@
 #include <vector>
 
 #include "base/log.h"
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-void Conductor::start_release(Entry& entry, HostId holder) {
-  Released& released = releases_.emplace_back();
+void Router::start_release(RequestState& entry, HostId holder) {
+  PendingRelease& released = releases_.emplace_back();
   released.request = entry.id;
   released.id = entry.prompt.id;
   released.holder = holder;
@@ -28,7 +28,7 @@
   try_release(released);
 }
 
-void Conductor::let_go_leftover(Entry& entry) {
+void Router::let_go_leftover(RequestState& entry) {
   entry.state_waits.reset();
   start_release(entry, *std::exchange(entry.leftover, std::nullopt));
 }
@@ -36,7 +36,7 @@
 // The holder first, and at every fourth try again; in between every other ready node in turn, each of which takes the
 // call as well. Guards against a holder that is lost and listed still: asked at every second try, and in its turn
 // among the others, it took up all of the time there is to have its state let go.
-const Node* Conductor::asked_to_release(const Released& released) const {
+const Node* Router::asked_to_release(const PendingRelease& released) const {
   const auto holder = known_.find(released.holder);
   std::vector<const Node*> others;
   for (const auto& [id, one] : known_)
@@ -48,8 +48,8 @@
   return others.empty() ? nullptr : others[nth % others.size()];
 }
 
-void Conductor::try_release(Released& released) {
-  const Entry* entry = find(released.request);
+void Router::try_release(PendingRelease& released) {
+  const RequestState* entry = find(released.request);
   // Guards the state of a later read: while an attempt is out nothing counts as left, and the call would
   // take away what that attempt is about to use.
   // One that has not begun does not count: its connection may not come up for longer than the state may stay.
@@ -84,9 +84,9 @@
   });
 }
 
-void Conductor::drop_release(Released& released) {
+void Router::drop_release(PendingRelease& released) {
   timers_.drop(released.timer);
-  releases_.remove_if([&](const Released& one) { return &one == &released; });
+  releases_.remove_if([&](const PendingRelease& one) { return &one == &released; });
 }
 
 }  // namespace lemonroute
--- a/src/core/conductor/requests.cpp
+++ b/src/core/router/requests.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "base/log.h"
-#include "core/conductor/parts.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Conductor::Conductor(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
+Router::Router(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
                      std::uint64_t seed, const Clock& clock, Nodes& nodes)
     : settings_(std::move(settings)),
       zones_(std::move(zones)),
@@ -21,23 +21,23 @@
       scheduler_(settings_, seed) {
   counts_.keep(settings_.classes);
 }
-Conductor::~Conductor() = default;
+Router::~Router() = default;
 
-Conductor::Entry* Conductor::find(RequestId id) {
+Router::RequestState* Router::find(RequestId id) {
   const auto found = requests_.find(id);
   return found == requests_.end() ? nullptr : found->second.get();
 }
 
-Conductor::Taken Conductor::take(const Inquiry& inquiry, Client& client, RequestId& id) {
+Router::Taken Router::take(const ClientRequest& client_request, Client& client, RequestId& id) {
   const auto named = [](const auto& list, const std::string& name) {
     return std::find_if(list.begin(), list.end(), [&](auto& one) { return one.name == name; }) - list.begin();
   };
-  const auto cls = static_cast<std::size_t>(named(settings_.classes, inquiry.kind));
+  const auto cls = static_cast<std::size_t>(named(settings_.classes, client_request.kind));
   if (cls >= settings_.classes.size()) return Taken::unknown_kind;
   // Guards against a client that repeats an id while the first is open: nodes know a request by its id, and
   // two under one name would be two attempts out at once.
-  if (by_name_.count(inquiry.prompt.id)) return Taken::duplicate;
-  Entry& entry = enter(inquiry.prompt, client, inquiry.kind);
+  if (by_name_.count(client_request.prompt.id)) return Taken::duplicate;
+  RequestState& entry = enter(client_request.prompt, client, client_request.kind);
   id = entry.id;
   entry.once = settings_.classes[cls].effect == Effect::unsafe;
   if (settings_.classes[cls].effect == Effect::keyed) entry.repeats_for = settings_.classes[cls].window;
@@ -45,35 +45,35 @@
   Request request;
   request.id = id;
   request.cls = static_cast<std::uint16_t>(cls);
-  request.tenant = static_cast<std::uint16_t>(named(settings_.tenants, inquiry.tenant));
-  request.session = inquiry.session;
-  request.shared = inquiry.shared;
-  request.budget = inquiry.budget > Micros(0) ? inquiry.budget : settings_.classes[cls].deadline;
-  request.prompt = static_cast<float>(inquiry.prompt_tokens);
-  request.shared_prefix = static_cast<float>(inquiry.shared_tokens);
-  request.max_output = static_cast<float>(inquiry.max_output);
-  request.flags = static_cast<std::uint8_t>((inquiry.repeat ? 2 : 0) | (inquiry.resumed ? 16 : 0));
+  request.tenant = static_cast<std::uint16_t>(named(settings_.tenants, client_request.tenant));
+  request.session = client_request.session;
+  request.shared = client_request.shared;
+  request.budget = client_request.budget > Micros(0) ? client_request.budget : settings_.classes[cls].deadline;
+  request.prompt = static_cast<float>(client_request.prompt_tokens);
+  request.shared_prefix = static_cast<float>(client_request.shared_tokens);
+  request.max_output = static_cast<float>(client_request.max_output);
+  request.flags = static_cast<std::uint8_t>((client_request.repeat ? 2 : 0) | (client_request.resumed ? 16 : 0));
 
   request.hints = hints(request.session, request.shared);
   entry.session = request.session;
   entry.shared = request.shared;
-  entry.tokens = inquiry.prompt_tokens;
-  entry.shared_tokens = inquiry.shared_tokens;
+  entry.tokens = client_request.prompt_tokens;
+  entry.shared_tokens = client_request.shared_tokens;
   demand_.taken();
 
   entry.deadline = clock_.now() + request.budget;
   if (waits_end_) entry.deadline = std::min(entry.deadline, *waits_end_);
-  logging::debug() << inquiry.prompt.id << " taken, " << inquiry.kind << ", " << inquiry.prompt_tokens << " tokens, "
-                   << request.budget.count() / 1000 << " ms" << (inquiry.repeat ? ", a repeat" : "");
+  logging::debug() << client_request.prompt.id << " taken, " << client_request.kind << ", " << client_request.prompt_tokens << " tokens, "
+                   << request.budget.count() / 1000 << " ms" << (client_request.repeat ? ", a repeat" : "");
   put(request);
   return Taken::yes;
 }
 
-Conductor::Entry& Conductor::enter(const Prompt& prompt, Client& client, const std::string& kind) {
+Router::RequestState& Router::enter(const Prompt& prompt, Client& client, const std::string& kind) {
   RequestId id = hash_of(prompt.id) & request_bits;
   while (requests_.count(id)) id = (id + 1) & request_bits;
   by_name_[prompt.id] = id;
-  auto entry = std::make_unique<Entry>();
+  auto entry = std::make_unique<RequestState>();
   entry->id = id;
   entry->prompt = prompt;
   entry->client = &client;
@@ -86,7 +86,7 @@
 
 // Guards what is held at nodes: killed with an attempt out, a process leaves a state behind that nobody will let go.
 // Its client hears while there is time to answer it, and to have the state let go.
-void Conductor::end_waits(Micros at) {
+void Router::end_waits(Micros at) {
   waits_end_ = at;
   for (const auto& [id, entry] : requests_) {
     entry->deadline = std::min(entry->deadline, at);
@@ -97,8 +97,8 @@
   if (on_change) on_change();
 }
 
-void Conductor::gone(RequestId id) {
-  Entry* entry = find(id);
+void Router::gone(RequestId id) {
+  RequestState* entry = find(id);
   if (!entry || !entry->client) return;
   logging::debug() << entry->prompt.id << " is given up by its client after " << entry->attempts << " attempts";
   end(*entry);
@@ -110,15 +110,15 @@
   put(Abandoned{id});
 }
 
-void Conductor::drained(RequestId id) {
-  const Entry* entry = find(id);
+void Router::drained(RequestId id) {
+  const RequestState* entry = find(id);
   if (!entry || !entry->out || !entry->out->started) return;
   entry->out->call->hold_back(false);
   watch_silence(*entry->out);
   if (on_change) on_change();
 }
 
-void Conductor::end(Entry& entry) {
+void Router::end(RequestState& entry) {
   entry.client = nullptr;
   --open_;
 }
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -46,7 +46,7 @@
 };
 
 // A client's request.
-struct Inquiry {
+struct ClientRequest {
   Prompt prompt;
   std::string kind;  // name of the class
   std::string tenant;
@@ -68,42 +68,42 @@
 // Whether nodes can be told of a request by this id: letters, digits, '-' and '_', up to 128 of them.
 bool valid_id(std::string_view id);
 
-// A connection that another process of the conductor can go on with: nothing of what it carried is held here.
-struct Passed {
+// A connection that another process of the router can go on with: nothing of what it carried is held here.
+struct PassedConnection {
   int fd = -1;
   bool closes = false;  // whether it ends with this answer
 };
 // A stream under way, with both its connections.
-struct Passing {
+struct PassedStream {
   std::string id, kind, node;
   std::uint16_t attempt = 0;
-  Passed client, call;
+  PassedConnection client, call;
 };
 
-// What one process of the conductor believes of a node, for another that has just started.
-struct Heard {
+// What one process of the router believes of a node, for another that has just started.
+struct NodeReport {
   std::string node;
   std::string load;  // its last report, as the node worded it
   Micros age{};      // of that report
   bool avoided = false;  // left out by choice, since attempts fail there
   double sent = 0;       // tokens a microsecond that are sent there, 0 = unknown
 };
-struct News {
-  std::vector<Heard> nodes;
-  std::vector<std::pair<Role, double>> read_rates;  // as in Lessons
+struct HandoverState {
+  std::vector<NodeReport> nodes;
+  std::vector<std::pair<Role, double>> read_rates;  // as in LearnedRates
 };
 
 // Where the answer to one request goes. Exactly one of finish, refuse, fail and cut ends it, and none of
-// them is called after Conductor::gone. None of them may call the Conductor's gone from within.
+// them is called after Router::gone. None of them may call the Router's gone from within.
 class Client {
  public:
   virtual ~Client() = default;
-  virtual bool event(std::string_view data) = 0;  // false: hold the rest back until Conductor::drained
+  virtual bool event(std::string_view data) = 0;  // false: hold the rest back until Router::drained
   virtual void finish() = 0;                      // the stream is whole
   virtual void refuse(Micros stay_away) = 0;      // trying again is harmless
   virtual void fail(Failure why) = 0;
   virtual void cut() = 0;  // the stream broke after its first event
-  virtual std::optional<Passed> passable() { return std::nullopt; }
+  virtual std::optional<PassedConnection> passable() { return std::nullopt; }
   virtual void passed() {}  // another process has it now; nothing more is called
 };
 
@@ -143,7 +143,7 @@
   virtual void hold_back(bool) {}  // backpressure of a stream
   // Nothing of the request has left, and nothing will if the call is let go of. False where that is not certain.
   virtual bool unsent() const { return false; }
-  virtual std::optional<Passed> passable() { return std::nullopt; }
+  virtual std::optional<PassedConnection> passable() { return std::nullopt; }
   virtual void passed() {}
 };
 
@@ -157,7 +157,7 @@
                                         std::function<void(bool)> done) = 0;
   virtual std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) = 0;
   // Goes on with a stream that another process began; nothing if that can't be done, and the descriptor is open still.
-  virtual std::unique_ptr<Call> adopt(const Node&, const Passed&, Attempt&) { return nullptr; }
+  virtual std::unique_ptr<Call> adopt(const Node&, const PassedConnection&, Attempt&) { return nullptr; }
   virtual void hang_up(const Node& node) = 0;  // closes the idle connections
   struct Limits {
     Micros connect_timeout{}, idle{};  // idle connections are retired after it
--- a/src/demo/stand_ins.h
+++ b/src/demo/stand_ins.h
@@ -1,4 +1,4 @@
-// Stand-ins on loopback for what surrounds a conductor: nodes, a discovery agent and clients of both fronts. They speak
+// Stand-ins on loopback for what surrounds a router: nodes, a discovery agent and clients of both fronts. They speak
 // the platform's protocol, keep state as real nodes do, and can be told to drain or to die.
 #pragma once
 
--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -23,8 +23,8 @@
   return found == item.end() || found->is_null() ? otherwise : found->get<T>();
 }
 
-Conductor::Listed parse_node(const json& item) {
-  Conductor::Listed node;
+Router::Listed parse_node(const json& item) {
+  Router::Listed node;
   node.name = item.at("instanceId").get<std::string>();
   if (node.name.empty()) throw ListError("an instanceId is empty");
   node.phase = parse_phase(item.at("lifecycle").get<std::string>());
--- a/src/discovery/list.h
+++ b/src/discovery/list.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/conductor.h"
+#include "core/router.h"
 
 namespace lemonroute::discovery {
 
@@ -17,7 +17,7 @@
 struct NodeList {
   std::uint32_t version = 0;
   bool whole = false;
-  std::vector<Conductor::Listed> nodes;
+  std::vector<Router::Listed> nodes;
 };
 
 // Both throw ListError, naming what is wrong; a list is taken whole or not at all.
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -9,9 +9,9 @@
 
 }  // namespace
 
-Watch::Watch(net::Loop& loop, std::string address, Conductor& conductor, Cadence cadence)
+Watch::Watch(net::Loop& loop, std::string address, Router& router, Cadence cadence)
     : address_(std::move(address)),
-      conductor_(conductor),
+      router_(router),
       client_(loop, {}),
       again_(loop, [this] { ask(); }),
       overdue_(loop, [this] { broken("no answer"); }),
@@ -63,7 +63,7 @@
   const Cadence::Answer answer = cadence_.take(status_, text_, took);
   if (!well_) logging::info() << "discovery answers again";
   well_ = heard_ = true;
-  if (answer.kind) conductor_.update(*answer.kind, answer.list.version, answer.list.nodes);
+  if (answer.kind) router_.update(*answer.kind, answer.list.version, answer.list.nodes);
   if (answer.rest > Micros(0)) again_.start(answer.rest);
   else ask();
 }
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-#include "core/conductor.h"
+#include "core/router.h"
 #include "discovery/cadence.h"
 #include "http/client.h"
 
@@ -11,7 +11,7 @@
 
 class Watch : http::Listener {
  public:
-  Watch(net::Loop& loop, std::string address, Conductor& conductor, Cadence cadence = Cadence());
+  Watch(net::Loop& loop, std::string address, Router& router, Cadence cadence = Cadence());
   void start() { ask(); }
   void move(std::string address);  // asks there from now on, for the whole list first
   void retune(Lists lists, Micros drain_grace) { cadence_.retune(lists, drain_grace); }
@@ -27,7 +27,7 @@
   void take();
 
   std::string address_;
-  Conductor& conductor_;
+  Router& router_;
   http::Client client_;
   net::Timer again_, overdue_, whole_;
   std::unique_ptr<http::Exchange> exchange_;
--- a/src/expect/template.cpp
+++ b/src/expect/template.cpp
@@ -4,7 +4,7 @@
 
 std::string template_text() {
   return R"(# Routing expectations. Check this file with: lemonroute expect check FILE
-# What is written here is played on the real conductor and its decision module, without traffic, on a clock of its own.
+# What is written here is played on the real router and its decision module, without traffic, on a clock of its own.
 
 # The configuration that holds, beside this file. --config and --platform win over it.
 config = "operator.toml"
--- a/src/expect/world.cpp
+++ b/src/expect/world.cpp
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Micros zero = hours(24 * 365);  // the case's zero on the conductor's clock
-constexpr Micros hop = milliseconds(1);   // from the conductor to a node, and back
+constexpr Micros zero = hours(24 * 365);  // the case's zero on the router's clock
+constexpr Micros hop = milliseconds(1);   // from the router to a node, and back
 constexpr Micros beat = seconds(1);       // between the events of a stream
 constexpr std::size_t most_events = 5000000;
 
@@ -166,7 +166,7 @@
   }
 
   // ---- the list ----
-  Conductor::Listed entry(const std::string& name, Phase phase) const {
+  Router::Listed entry(const std::string& name, Phase phase) const {
     const Place& place = nodes_.at(name);
     const auto& s = *place.script;
     return {name, "127.0.0.1:1", s.zone, s.kind, s.cell, phase, s.weight, place.started ? zero + *place.started : Micros(0)};
@@ -176,7 +176,7 @@
     monitor_.listed(clock_.at, name, place.phase, place.started ? zero + *place.started : Micros(0), place.script->capacity);
   }
   void list_all() {
-    std::vector<Conductor::Listed> all;
+    std::vector<Router::Listed> all;
     for (const auto& node : case_.nodes) {
       Place& place = nodes_[node.name];
       if (node.started && zero + *node.started > clock_.at) continue;  // it does not run yet
@@ -214,7 +214,7 @@
   }
   void on(const Step& step, const step::Ban& what) {
     const auto said = what.out ? core_.take_out(what.node) : core_.put_back(what.node);
-    if (said != Conductor::Ordered::done)
+    if (said != Router::Ordered::done)
       return impossible(step, "'" + what.node + "' was never listed, so it can't be taken out by hand");
     if (what.out) monitor_.banned(clock_.at, what.node);
     else monitor_.unbanned(clock_.at, what.node);
@@ -269,18 +269,18 @@
     by_wire_[one.wire_name] = &one;
     requests_.push_back(std::move(owned));
 
-    Inquiry inquiry;
-    inquiry.prompt = {one.wire_name, "/v1/chat/completions", body_};
-    inquiry.kind = ask.cls;
-    inquiry.tenant = ask.tenant;
-    inquiry.session = key_of("session " + (ask.session.empty() ? one.wire_name : ask.session));
-    inquiry.shared = ask.opening.empty() ? 0 : key_of("opening " + ask.opening);
-    inquiry.budget = ask.budget;
-    inquiry.prompt_tokens = ask.tokens;
-    inquiry.shared_tokens = ask.shared;
-    inquiry.max_output = ask.output;
-    inquiry.repeat = ask.repeat;
-    inquiry.resumed = ask.resumed;
+    ClientRequest client_request;
+    client_request.prompt = {one.wire_name, "/v1/chat/completions", body_};
+    client_request.kind = ask.cls;
+    client_request.tenant = ask.tenant;
+    client_request.session = key_of("session " + (ask.session.empty() ? one.wire_name : ask.session));
+    client_request.shared = ask.opening.empty() ? 0 : key_of("opening " + ask.opening);
+    client_request.budget = ask.budget;
+    client_request.prompt_tokens = ask.tokens;
+    client_request.shared_tokens = ask.shared;
+    client_request.max_output = ask.output;
+    client_request.repeat = ask.repeat;
+    client_request.resumed = ask.resumed;
     const auto& classes = settings_.classes;
     const auto cls = std::find_if(classes.begin(), classes.end(), [&](auto& c) { return c.name == ask.cls; });
     const Micros budget = ask.budget > Micros(0) ? ask.budget : cls == classes.end() ? Micros(0) : cls->deadline;
@@ -288,9 +288,9 @@
     one.story.holders = holders(ask, one.wire_name);
     monitor_.taken(clock_.at, ask.name, one.deadline, monitor_.limits().most_attempts);
     if (past) only(ask.reader, Role::read);
-    const auto taken = core_.take(inquiry, one, one.id);
+    const auto taken = core_.take(client_request, one, one.id);
     if (past) only("", Role::read);
-    if (taken != Conductor::Taken::yes) {
+    if (taken != Router::Taken::yes) {
       impossible(step, "class '" + ask.cls + "' is not known at that moment");
       monitor_.left(clock_.at, ask.name);
       one.open = false;
@@ -304,7 +304,7 @@
   // The list of one moment: of a stage's nodes only `name` is ready. With "" the list is as it was.
   void only(const std::string& name, Role stage) {
     if (name.empty() && hidden_.empty()) return;
-    std::vector<Conductor::Listed> changes;
+    std::vector<Router::Listed> changes;
     if (name.empty()) {
       for (const auto& one : hidden_) changes.push_back(entry(one, nodes_.at(one).phase));
       hidden_.clear();
@@ -591,7 +591,7 @@
   std::vector<Told> pending_;
   std::shared_ptr<const std::string> body_ = std::make_shared<std::string>("{}");
   Run run_;
-  Conductor core_;  // last: its calls know all of the above
+  Router core_;  // last: its calls know all of the above
 };
 
 // ---- What came of it ----------------------------------------------------------------------------------------
--- a/src/expect/world.h
+++ b/src/expect/world.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/conductor.h"
+#include "core/router.h"
 #include "expect/case.h"
 #include "rules/monitor.h"
 
--- a/src/fleet/homes.cpp
+++ b/src/fleet/homes.cpp
@@ -40,10 +40,10 @@
   if (readers.empty()) return {};
   const auto zones = zones_of(readers, writers);
   const auto here = zones.find(seat.zone);
-  // Danger: a zone with few nodes and much traffic. Clients come where conductors are; this one's own part of the
+  // Danger: a zone with few nodes and much traffic. Clients come where routers are; this one's own part of the
   // traffic is here, and the others' is taken to be spread over the zones. What the zone can't bear, the same
-  // beginnings for each of its conductors, lives in the others.
-  const double own = 1.0 / std::max(1u, seat.conductors);
+  // beginnings for each of its routers, lives in the others.
+  const double own = 1.0 / std::max(1u, seat.routers);
   const double traffic = own + (1 - own) / static_cast<double>(zones.size());
   const bool local = here != zones.end() && here->second.readers > 0 &&
                      unit(mix(opening ^ mix(seat.zone))) * traffic < here->second.part;
--- a/src/fleet/homes.h
+++ b/src/fleet/homes.h
@@ -1,4 +1,4 @@
-// At which readers every conductor, by hash alone, expects the beginning of a prompt. Conductors share nothing, so
+// At which readers every router, by hash alone, expects the beginning of a prompt. Routers share nothing, so
 // this is how they agree. No I/O, no state.
 #pragma once
 
@@ -14,16 +14,16 @@
   std::uint32_t zone = 0;
   double able = 1;
 };
-// Where a conductor stands: its zone, and how many conductors there are in all zones, 1 or more.
+// Where a router stands: its zone, and how many routers there are in all zones, 1 or more.
 struct Seat {
-  std::uint32_t zone = 0, conductors = 1;
+  std::uint32_t zone = 0, routers = 1;
 };
 
 // The homes of a beginning that makes up `part` (0 to 1) of all arrivals: as many readers as it would half fill, one
-// at least. They are in the conductor's zone, so that neither reads nor states cross zones and each zone reads the
-// beginning once; where a zone has too few readers for its conductors' traffic, or too few writers for what they
+// at least. They are in the router's zone, so that neither reads nor states cross zones and each zone reads the
+// beginning once; where a zone has too few readers for its routers' traffic, or too few writers for what they
 // would read, some beginnings live elsewhere. The reader that the session's hash ranks first is in front, so that
-// conductors which count the homes differently still agree for most sessions. `opening` must not be 0. Work grows
+// routers which count the homes differently still agree for most sessions. `opening` must not be 0. Work grows
 // with the members.
 std::vector<HostId> homes(Key opening, Key session, double part, Seat seat, const std::vector<Member>& readers,
                           const std::vector<Member>& writers);
--- a/src/fleet/learned.h
+++ b/src/fleet/learned.h
@@ -1,4 +1,4 @@
-// Figures that one conductor learns from its own samples, and that fade when no new ones come. No I/O, no clock.
+// Figures that one router learns from its own samples, and that fade when no new ones come. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
--- a/src/fleet/openings.h
+++ b/src/fleet/openings.h
@@ -1,4 +1,4 @@
-// How popular each shared beginning of prompts is, as one conductor can tell that sees a few requests of very many.
+// How popular each shared beginning of prompts is, as one router can tell that sees a few requests of very many.
 // No I/O, no clock; bounded by the number of arrivals that are kept in mind.
 #pragma once
 
--- a/src/grpc/front.cpp
+++ b/src/grpc/front.cpp
@@ -12,11 +12,11 @@
 
 class Generate : public Method, Client {
  public:
-  Generate(Conductor& conductor, ServerCall& call, std::string_view timeout)
-      : conductor_(conductor), call_(call), timeout_(timeout) {}
+  Generate(Router& router, ServerCall& call, std::string_view timeout)
+      : router_(router), call_(call), timeout_(timeout) {}
   // The client has cancelled the call, or its connection is lost.
   ~Generate() override {
-    if (taken_) conductor_.gone(id_);
+    if (taken_) router_.gone(id_);
   }
 
  private:
@@ -27,33 +27,33 @@
     if (!valid_id(request.id())) return call_.finish(Status::invalid_argument, "the id is missing or odd");
     if (request.body().size() > most_body)
       return call_.finish(Status::resource_exhausted, "the body is too large");
-    Inquiry inquiry;
+    ClientRequest client_request;
     if (!timeout_.empty()) {
       const auto budget = parse_timeout(timeout_);
       if (!budget) return call_.finish(Status::invalid_argument, "grpc-timeout can't be read");
-      inquiry.budget = std::max(*budget, Micros(1));
+      client_request.budget = std::max(*budget, Micros(1));
     }
-    inquiry.prompt = {request.id(), std::string(chat_path), std::make_shared<std::string>(request.body())};
-    inquiry.kind = request.kind();
-    inquiry.tenant = request.tenant();
-    inquiry.session = key_of(request.session());
-    inquiry.shared = key_of(request.prefix());
-    inquiry.prompt_tokens = request.prompt_tokens();
-    inquiry.shared_tokens = request.prefix_tokens();
-    inquiry.max_output = request.max_output();
-    inquiry.repeat = request.repeat();
+    client_request.prompt = {request.id(), std::string(chat_path), std::make_shared<std::string>(request.body())};
+    client_request.kind = request.kind();
+    client_request.tenant = request.tenant();
+    client_request.session = key_of(request.session());
+    client_request.shared = key_of(request.prefix());
+    client_request.prompt_tokens = request.prompt_tokens();
+    client_request.shared_tokens = request.prefix_tokens();
+    client_request.max_output = request.max_output();
+    client_request.repeat = request.repeat();
     taken_ = true;  // the answer may come before take returns
-    switch (conductor_.take(inquiry, *this, id_)) {
-      case Conductor::Taken::yes: return;
-      case Conductor::Taken::unknown_kind:
+    switch (router_.take(client_request, *this, id_)) {
+      case Router::Taken::yes: return;
+      case Router::Taken::unknown_kind:
         taken_ = false;
         return call_.finish(Status::invalid_argument, "the kind is not known");
-      case Conductor::Taken::duplicate:
+      case Router::Taken::duplicate:
         taken_ = false;
         return call_.finish(Status::already_exists, "a request with this id is open");
     }
   }
-  void drained() override { conductor_.drained(id_); }
+  void drained() override { router_.drained(id_); }
 
   bool event(std::string_view data) override {
     v1::GenerateEvent event;
@@ -82,7 +82,7 @@
     call_.finish(status, text, more);
   }
 
-  Conductor& conductor_;
+  Router& router_;
   ServerCall& call_;
   std::string timeout_;
   RequestId id_ = 0;
@@ -93,7 +93,7 @@
 
 std::unique_ptr<Method> Front::open(std::string_view path, const Headers& headers, ServerCall& call) {
   if (path != "/lemonroute.v1.Drafting/Generate") return nullptr;
-  return std::make_unique<Generate>(conductor_, call, find(headers, "grpc-timeout"));
+  return std::make_unique<Generate>(router_, call, find(headers, "grpc-timeout"));
 }
 
 }  // namespace lemonroute::grpc
--- a/src/grpc/server.h
+++ b/src/grpc/server.h
@@ -84,7 +84,7 @@
   void overdone(Session& session, Abuse abuse, bool connection) override;
 
   // A connection and how many of its calls are open.
-  struct Visit : net::Admission::Guest {
+  struct Visit : net::Admission::Peer {
     void dismiss() override { session->close(); }
     std::unique_ptr<Session> session;
     std::size_t calls = 0;
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -30,7 +30,7 @@
       service_(std::make_unique<peers::Service>(std::move(options.service), clock, riders_of(guests_),
                                                 static_cast<peers::Service::Desk&>(*this))) {
   for (const auto& guest : guests_)
-    if (guest.witness) witnesses_.push_back(guest.witness.get());
+    if (guest.observer) witnesses_.push_back(guest.observer.get());
   service_->start();
 }
 
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -31,7 +31,7 @@
 
   static constexpr std::chrono::milliseconds least_between{10};
 
-  Witness& witness() { return notes_; }
+  NodeObserver& observer() { return notes_; }
   // What is known, as JSON; a moment old. Null until the first was made; says so where the peers' thread has ended.
   std::shared_ptr<const std::string> text() const;
   const std::string& address() const { return service_->address(); }
@@ -54,7 +54,7 @@
 
   Guided guided_;
   std::vector<Guest> guests_;
-  std::vector<Witness*> witnesses_;
+  std::vector<NodeObserver*> witnesses_;
   Notes notes_;
   boost::lockfree::spsc_queue<Told> told_;
   peers::Wake take_;
--- a/src/guide/guest.h
+++ b/src/guide/guest.h
@@ -1,4 +1,4 @@
-// A rider with what it gives the serving loop and wants to hear from it. Riders know neither Guide nor Witness: what
+// A rider with what it gives the serving loop and wants to hear from it. Riders know neither Guide nor NodeObserver: what
 // their snapshot answers and what they hear is taken up by name.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 struct Guest {
   std::unique_ptr<peers::Rider> rider;
-  std::unique_ptr<Witness> witness;                     // writes to the rider; null: it hears nothing
+  std::unique_ptr<NodeObserver> observer;                     // writes to the rider; null: it hears nothing
   std::function<std::shared_ptr<const Guide>()> guide;  // its newest; another pointer where it has changed
 };
 
@@ -40,9 +40,9 @@
   std::shared_ptr<const Snapshot> of_;
 };
 
-// The Witness for a rider that has any of its functions.
+// The NodeObserver for a rider that has any of its functions.
 template <class Rider>
-class Hears final : public Witness {
+class Hears final : public NodeObserver {
  public:
   explicit Hears(Rider& rider) : rider_(rider) {}
   void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) override {
@@ -73,7 +73,7 @@
   using Pointer = std::invoke_result_t<Newest, const Rider&>;
   using Snapshot = std::remove_const_t<typename Pointer::element_type>;
   Guest guest;
-  guest.witness = std::make_unique<Hears<Rider>>(*rider);
+  guest.observer = std::make_unique<Hears<Rider>>(*rider);
   guest.guide = [&at = *rider, newest, last = Pointer{}, said = std::shared_ptr<const Guide>{}]() mutable {
     if (auto now = newest(at); now != last) {
       last = now;
--- a/src/guide/notes.cpp
+++ b/src/guide/notes.cpp
@@ -41,7 +41,7 @@
   write({Note::demand, 0, 0, 0, 0, 0, now, nullptr, demand});
 }
 
-void Notes::read(const std::vector<Witness*>& to) {
+void Notes::read(const std::vector<NodeObserver*>& to) {
   Note note;
   // A ring's worth at the most: the writer may be faster than this.
   for (std::size_t i = 0; i < room && ring_.pop(note); ++i) {
@@ -52,19 +52,19 @@
     }
     const auto found = by_id_.find(note.host);
     const Node* node = found == by_id_.end() ? nullptr : found->second;
-    for (Witness* witness : to) {
+    for (NodeObserver* observer : to) {
       switch (note.kind) {
         case Note::kept:
-          if (node) witness->kept(*node, note.session, note.shared, note.tokens, note.shared_tokens, note.now);
+          if (node) observer->kept(*node, note.session, note.shared, note.tokens, note.shared_tokens, note.now);
           break;
         case Note::found:
-          if (node) witness->found(*node, note.session, note.shared, note.tokens, note.now);
+          if (node) observer->found(*node, note.session, note.shared, note.tokens, note.now);
           break;
         case Note::lost:
-          if (node) witness->lost(*node, note.now);
+          if (node) observer->lost(*node, note.now);
           break;
-        case Note::listed: witness->listed(*note.nodes, note.now); break;
-        case Note::demand: witness->demand(note.asked, note.now); break;
+        case Note::listed: observer->listed(*note.nodes, note.now); break;
+        case Note::demand: observer->demand(note.asked, note.now); break;
       }
     }
   }
--- a/src/guide/notes.h
+++ b/src/guide/notes.h
@@ -1,4 +1,4 @@
-// What the serving loop tells the thread of the peers of nodes, through a bounded ring: a Witness that writes it, and its
+// What the serving loop tells the thread of the peers of nodes, through a bounded ring: a NodeObserver that writes it, and its
 // reader, who repeats it to the witnesses there.
 #pragma once
 
@@ -21,10 +21,10 @@
   double tokens = 0, shared_tokens = 0;
   Micros now{};
   std::shared_ptr<const std::vector<Node>> nodes;
-  Witness::Demand asked;
+  NodeObserver::Demand asked;
 };
 
-class Notes final : public Witness {
+class Notes final : public NodeObserver {
  public:
   static constexpr std::size_t room = 4096, most_urgent = 1024;
 
@@ -39,7 +39,7 @@
   void demand(const Demand& demand, Micros now) override;
 
   // ---- on the thread of the peers ----
-  void read(const std::vector<Witness*>& to);
+  void read(const std::vector<NodeObserver*>& to);
   std::uint64_t dropped() const { return dropped_; }
 
  private:
--- a/src/guide/siblings.h
+++ b/src/guide/siblings.h
@@ -1,9 +1,9 @@
-// How many conductors share the nodes, as rule 4 is to count them: each sends a cold node one part in so many, so too
+// How many routers share the nodes, as rule 4 is to count them: each sends a cold node one part in so many, so too
 // few is the dangerous side and too many only warms nodes slower. Free of I/O.
 //
 // It rises at once with the view. It falls only after a stated number of periods in which no view was larger, and only
-// while this conductor sees more than half of those it has known, and of those the settings name: of the parts of a
-// fleet that is cut, one at the most may count less than all. Of n conductors with s in that part the parts of a cold
+// while this router sees more than half of those it has known, and of those the settings name: of the parts of a
+// fleet that is cut, one at the most may count less than all. Of n routers with s in that part the parts of a cold
 // node sum to s/s + (n-s)/n, below 1.5; the module uses no more than half of what a cold node bears, so that rule 4
 // holds there as with the fixed number, at any cut.
 #pragma once
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -22,7 +22,7 @@
     connection_.write(head);
     if (body) connection_.write(std::move(body));
   }
-  PooledConnection(Client& owner, const std::string& address, const Passed& adopted)
+  PooledConnection(Client& owner, const std::string& address, const PassedConnection& adopted)
       : owner_(owner),
         address_(address),
         timer_(owner.loop_, [this] { on_timer(); }),
@@ -37,9 +37,9 @@
     listener_ = &listener;
     exchange.connection_ = this;
   }
-  std::optional<Passed> passable() {
+  std::optional<PassedConnection> passable() {
     const bool between = has_head_ && body_.between_chunks() && connection_.at_rest();
-    return between ? std::optional(Passed{connection_.descriptor(), closes_}) : std::nullopt;
+    return between ? std::optional(PassedConnection{connection_.descriptor(), closes_}) : std::nullopt;
   }
   void passed() {
     connection_.read(false);  // what comes from now on is for the other process
@@ -164,7 +164,7 @@
 
 bool Exchange::unsent() const { return connection_ && connection_->unsent(); }
 
-std::optional<Passed> Exchange::passable() const {
+std::optional<PassedConnection> Exchange::passable() const {
   return connection_ ? connection_->passable() : std::nullopt;
 }
 void Exchange::passed() {
@@ -187,7 +187,7 @@
   return exchange;
 }
 
-std::unique_ptr<Exchange> Client::adopt(const std::string& address, const Passed& connection, Listener& listener) {
+std::unique_ptr<Exchange> Client::adopt(const std::string& address, const PassedConnection& connection, Listener& listener) {
   auto made = std::make_unique<PooledConnection>(*this, address, connection);
   auto exchange = std::make_unique<Exchange>();
   made->go_on(*exchange, listener);
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -3,7 +3,7 @@
 #include <sstream>
 
 #include "http/front.h"
-#include "http/inquiry.h"
+#include "http/request_fields.h"
 
 namespace lemonroute::http {
 namespace {
@@ -23,7 +23,7 @@
   connection_.limit_input(most_input);
   timer_.start(front_.options_.asking);
 }
-ClientConnection::ClientConnection(Front& front, const Passed& adopted) : ClientConnection(front, adopted.fd) {
+ClientConnection::ClientConnection(Front& front, const PassedConnection& adopted) : ClientConnection(front, adopted.fd) {
   timer_.stop();
   state_ = State::streaming;
   asked_ = whole_ = true;
@@ -32,12 +32,12 @@
 }
 ClientConnection::~ClientConnection() {
   forget_body();
-  if (state_ == State::waiting || state_ == State::streaming) front_.conductor_.gone(id_);
+  if (state_ == State::waiting || state_ == State::streaming) front_.router_.gone(id_);
 }
 
-bool ClientConnection::go_on(const Passing& stream) {
-  inquiry_.prompt.id = stream.id;
-  if (front_.conductor_.adopt(stream, *this, id_)) return true;
+bool ClientConnection::go_on(const PassedStream& stream) {
+  client_request_.prompt.id = stream.id;
+  if (front_.router_.adopt(stream, *this, id_)) return true;
   state_ = State::closed;
   return false;
 }
@@ -63,7 +63,7 @@
   Fault fault = Fault::none;
   const auto body = Body::of_request(scan.head, fault);
   if (!body) return answer_and_close(static_cast<int>(fault));
-  status_ = answer_of(scan.head, front_.draining_, inquiry_);
+  status_ = answer_of(scan.head, front_.draining_, client_request_);
   body_ = *body;
   if (same_name(scan.head.field("Expect"), "100-continue") && status_ == 0)
     connection_.write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -104,19 +104,19 @@
   if (status_ != 0) return answer(status_);
   // Who had gone before its request was read, in the listener's queue or while this process did not run, wants nothing.
   if (connection_.ended()) return close();
-  inquiry_.prompt.body = std::move(text_);
-  if (inquiry_.prompt_tokens == 0)
-    inquiry_.prompt_tokens = static_cast<double>(inquiry_.prompt.body->size()) / characters_a_token;
+  client_request_.prompt.body = std::move(text_);
+  if (client_request_.prompt_tokens == 0)
+    client_request_.prompt_tokens = static_cast<double>(client_request_.prompt.body->size()) / characters_a_token;
   state_ = State::waiting;
-  const auto taken = front_.conductor_.take(inquiry_, *this, id_);
-  if (taken != Conductor::Taken::yes) answer(400);
+  const auto taken = front_.router_.take(client_request_, *this, id_);
+  if (taken != Router::Taken::yes) answer(400);
 }
 
 void ClientConnection::on_drained() {
   if (state_ == State::ending) return finish_ending();
   if (state_ == State::streaming && std::exchange(held_back_, false)) {
     timer_.stop();
-    front_.conductor_.drained(id_);
+    front_.router_.drained(id_);
   }
 }
 // A peer that ends only its sending counts as gone as well: nothing tells it from one that closed, until something is
@@ -126,7 +126,7 @@
 }
 void ClientConnection::on_timer() {
   if (state_ == State::streaming || state_ == State::ending)
-    front_.loop_.tally().note(net::Overdone::takes_nothing, inquiry_.prompt.id);
+    front_.loop_.tally().note(net::Overdone::takes_nothing, client_request_.prompt.id);
   if (state_ == State::head && !asked_ && !in_request_) front_.loop_.tally().note(net::Overdone::silent);
   if (in_request_ && (state_ == State::head || state_ == State::body)) return answer_and_close(408);
   if (state_ == State::head) return half_close();
@@ -170,9 +170,9 @@
 void ClientConnection::fail(Failure why) {
   answer(why == Failure::timed_out ? 504 : why == Failure::unfit ? 400 : 502);
 }
-std::optional<Passed> ClientConnection::passable() {
+std::optional<PassedConnection> ClientConnection::passable() {
   const bool between = state_ == State::streaming && !held_back_ && connection_.at_rest();
-  return between ? std::optional(Passed{connection_.descriptor(), closes_}) : std::nullopt;
+  return between ? std::optional(PassedConnection{connection_.descriptor(), closes_}) : std::nullopt;
 }
 void ClientConnection::passed() {
   connection_.read(false);  // what comes from now on is for the other process
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/conductor.h"
+#include "core/router.h"
 #include "http/message.h"
 #include "net/admission.h"
 #include "net/connection.h"
@@ -15,12 +15,12 @@
 
 class Front;
 
-class ClientConnection : net::Connection::Handler, public net::Admission::Guest, public lemonroute::Client {
+class ClientConnection : net::Connection::Handler, public net::Admission::Peer, public lemonroute::Client {
  public:
   ClientConnection(Front& front, evutil_socket_t fd);
-  ClientConnection(Front& front, const Passed& adopted);  // a stream that another process began to answer
+  ClientConnection(Front& front, const PassedConnection& adopted);  // a stream that another process began to answer
   ~ClientConnection() override;
-  bool go_on(const Passing& stream);  // with what was adopted; false: it is none of the core's
+  bool go_on(const PassedStream& stream);  // with what was adopted; false: it is none of the core's
 
   // Nothing of a request has come, not to the kernel either: what is on its way may still be read and answered.
   bool between_requests() { return state_ == State::head && connection_.silent(); }
@@ -48,7 +48,7 @@
   void refuse(Micros stay_away) override;
   void fail(Failure why) override;
   void cut() override;
-  std::optional<Passed> passable() override;
+  std::optional<PassedConnection> passable() override;
   void passed() override;
   bool ends_connection() const;
   void answer(int status, std::string_view field = {});
@@ -64,7 +64,7 @@
   Front& front_;
   State state_ = State::head;
   RequestId id_ = 0;
-  Inquiry inquiry_;
+  ClientRequest client_request_;
   int status_ = 0;
   bool keep_ = true, closes_ = false, in_request_ = false, asked_ = false, whole_ = false, held_back_ = false;
   std::size_t dropped_ = 0;  // bytes read and never looked at
--- a/src/http/client_ending.cpp
+++ b/src/http/client_ending.cpp
@@ -27,7 +27,7 @@
 
 void ClientConnection::close() {
   const State was = std::exchange(state_, State::closed);
-  if (was == State::waiting || was == State::streaming) front_.conductor_.gone(id_);
+  if (was == State::waiting || was == State::streaming) front_.router_.gone(id_);
   front_.discard(*this);
 }
 
@@ -73,7 +73,7 @@
 // that it is dropped, and the connection ends with the answer, since the next request's beginning is lost.
 void ClientConnection::read_ahead() {
   if (dropped_ == 0 && evbuffer_get_length(connection_.input()) <= most_ahead) return;
-  if (dropped_ == 0) front_.loop_.tally().note(net::Overdone::sent_ahead, inquiry_.prompt.id);
+  if (dropped_ == 0) front_.loop_.tally().note(net::Overdone::sent_ahead, client_request_.prompt.id);
   keep_ = false;
   closes_ = true;
   drop_input();
@@ -82,10 +82,10 @@
 // Guards the loop against a sender that never stops: each byte read costs the others' time. A request that waits gets
 // its answer, a stream is cut.
 void ClientConnection::overdone() {
-  front_.loop_.tally().note(net::Overdone::flood, inquiry_.prompt.id);
+  front_.loop_.tally().note(net::Overdone::flood, client_request_.prompt.id);
   const State was = state_;
   if (was != State::waiting && was != State::streaming) return close();
-  front_.conductor_.gone(id_);
+  front_.router_.gone(id_);
   if (was == State::waiting) answer(400);
   else begin_ending(linger_for);
 }
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -4,9 +4,9 @@
 
 namespace lemonroute::http {
 
-Front::Front(net::Loop& loop, Conductor& conductor, Options options)
+Front::Front(net::Loop& loop, Router& router, Options options)
     : loop_(loop),
-      conductor_(conductor),
+      router_(router),
       options_(std::move(options)),
       admission_(loop, options_.most_connections, [this](bool on) { pause(on); }) {
   const net::Listener::Accepted accepted = [this](evutil_socket_t fd) { accept(fd); };
@@ -29,7 +29,7 @@
   admission_.arrived(made);
 }
 
-void Front::adopt(const Passing& stream) {
+void Front::adopt(const PassedStream& stream) {
   auto connection = std::make_unique<ClientConnection>(*this, stream.client);
   ClientConnection& made = *connection;
   connections_[&made] = std::move(connection);
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/conductor.h"
+#include "core/router.h"
 #include "net/admission.h"
 #include "net/connection.h"
 
@@ -25,14 +25,14 @@
     Micros sending{std::chrono::seconds(10)};    // for an answer to be taken
     std::optional<int> inherited{};  // a socket that listens on the first of them already; the others are shared then
   };
-  Front(net::Loop& loop, Conductor& conductor, Options options);
+  Front(net::Loop& loop, Router& router, Options options);
   ~Front();
 
   std::uint16_t port() const { return listeners_.front()->port(); }
   void limit(std::size_t connections) { admission_.limit(connections); }
   void drain();             // from now on connections end after their answer
   void hand_over();         // another process takes the connections that come; those at rest are closed
-  void adopt(const Passing& stream);  // takes its descriptors
+  void adopt(const PassedStream& stream);  // takes its descriptors
   void stop_accepting();    // and connections between requests are closed
   bool idle() const { return connections_.empty(); }
 
@@ -44,7 +44,7 @@
   void close_if(bool (ClientConnection::*holds)());
 
   net::Loop& loop_;
-  Conductor& conductor_;
+  Router& router_;
   Options options_;
   bool draining_ = false;
   std::size_t bodies_ = 0;  // bytes of requests that are coming or at work
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -49,7 +49,7 @@
     exchange_ = client.start(node.address, head.str(), prompt.body, *this);
   }
   // Goes on with a stream that another process began, after one of its events.
-  AttemptCall(Client& client, const Node& node, const Passed& connection, Attempt& attempt)
+  AttemptCall(Client& client, const Node& node, const PassedConnection& connection, Attempt& attempt)
       : attempt_(attempt), status_(200), streams_(true), events_(1) {
     set_up();
     result_.outcome = Outcome::ok;
@@ -57,7 +57,7 @@
   }
   void hold_back(bool on) override { exchange_->hold_back(on); }
   bool unsent() const override { return exchange_ && exchange_->unsent(); }
-  std::optional<Passed> passable() override {
+  std::optional<PassedConnection> passable() override {
     return streams_ && events_ > 0 && !done_seen_ && stream_.between() ? exchange_->passable() : std::nullopt;
   }
   void passed() override { exchange_->passed(); }
@@ -182,7 +182,7 @@
   return std::make_unique<AttemptCall>(client_, node, prompt, within, attempt);
 }
 
-std::unique_ptr<Call> NodeClient::adopt(const Node& node, const Passed& connection, Attempt& attempt) {
+std::unique_ptr<Call> NodeClient::adopt(const Node& node, const PassedConnection& connection, Attempt& attempt) {
   return std::make_unique<AttemptCall>(client_, node, connection, attempt);
 }
 
--- a/src/http/inquiry.cpp
+++ b/src/http/request_fields.cpp
@@ -1,4 +1,4 @@
-#include "http/inquiry.h"
+#include "http/request_fields.h"
 
 #include <algorithm>
 #include <charconv>
@@ -15,7 +15,7 @@
   return error == std::errc() && end == text.data() + text.size() && value >= 0 && value <= most;
 }
 
-bool understand_extra(std::string_view extra, Inquiry& inquiry) {
+bool understand_extra(std::string_view extra, ClientRequest& client_request) {
   while (!extra.empty()) {
     const auto comma = extra.find(',');
     const auto item = trim(extra.substr(0, comma));
@@ -23,10 +23,10 @@
     const auto equals = item.find('=');
     if (equals == std::string_view::npos) return false;
     const auto name = item.substr(0, equals), value = item.substr(equals + 1);
-    if (name == "prefix") inquiry.shared = key_of(value);
-    for (auto [wanted, to] : {std::pair<std::string_view, double*>{"prompt_len", &inquiry.prompt_tokens},
-                              {"prefix_len", &inquiry.shared_tokens},
-                              {"max_out", &inquiry.max_output}})
+    if (name == "prefix") client_request.shared = key_of(value);
+    for (auto [wanted, to] : {std::pair<std::string_view, double*>{"prompt_len", &client_request.prompt_tokens},
+                              {"prefix_len", &client_request.shared_tokens},
+                              {"max_out", &client_request.max_output}})
       if (name == wanted && !parse_real(value, 1e7, *to)) return false;
   }
   return true;
@@ -34,28 +34,28 @@
 
 }  // namespace
 
-int answer_of(const Head& head, bool draining, Inquiry& inquiry) {
+int answer_of(const Head& head, bool draining, ClientRequest& client_request) {
   const auto path = head.target.substr(0, head.target.find('?'));
   if (path == "/healthz") return head.method == "GET" ? (draining ? 503 : 200) : 405;
   if (path != chat_path) return 404;
   if (head.method != "POST") return 405;
   if (head.minor == 0) return 400;  // a stream can't be framed for it
-  inquiry = {};
-  inquiry.prompt.id = head.field("Req-Id");
-  inquiry.prompt.target = head.target;
-  if (!valid_id(inquiry.prompt.id)) return 400;
-  inquiry.kind = head.field("Req-Kind");
-  inquiry.tenant = head.field("Req-Owner");
-  inquiry.session = key_of(head.field("Req-Key"));
+  client_request = {};
+  client_request.prompt.id = head.field("Req-Id");
+  client_request.prompt.target = head.target;
+  if (!valid_id(client_request.prompt.id)) return 400;
+  client_request.kind = head.field("Req-Kind");
+  client_request.tenant = head.field("Req-Owner");
+  client_request.session = key_of(head.field("Req-Key"));
   if (const auto text = head.field("Req-Deadline"); !text.empty()) {
     double seconds = 0;
     if (!parse_real(text, most_deadline_s, seconds)) return 400;
-    inquiry.budget = std::max(Micros(1), Micros(std::llround(seconds * 1e6)));
+    client_request.budget = std::max(Micros(1), Micros(std::llround(seconds * 1e6)));
   }
   const auto retry = head.field("Req-Retry");
-  inquiry.repeat = !retry.empty();
-  inquiry.resumed = retry == "again";
-  return understand_extra(head.field("Req-Extra"), inquiry) ? 0 : 400;
+  client_request.repeat = !retry.empty();
+  client_request.resumed = retry == "again";
+  return understand_extra(head.field("Req-Extra"), client_request) ? 0 : 400;
 }
 
 }  // namespace lemonroute::http
--- a/src/module/admission.h
+++ b/src/module/admission.h
@@ -7,7 +7,7 @@
 
 constexpr double wait_margin = 0.8;  // waits turn out longer than estimated: others' sends are seen late
 
-// Whether a request is beyond its tenant's share, by a token bucket that holds this conductor's part of it.
+// Whether a request is beyond its tenant's share, by a token bucket that holds this router's part of it.
 inline bool beyond_share(State& s, std::uint16_t tenant) {
   if (tenant >= s.settings.tenants.size() || s.settings.tenants[tenant].quota_rps <= 0) return false;
   auto& bucket = s.buckets[tenant];
@@ -21,7 +21,7 @@
 }
 
 // The least load of the decode nodes by the time this request is prefilled: what they hold, and their part of
-// what is in prefill now, here and, by the same measure, at the other conductors.
+// what is in prefill now, here and, by the same measure, at the other routers.
 inline double least_load(State& s, const Job& job) {
   double prefill = 0, memory = 0, least = 1e9;
   for (const auto& [id, other] : s.jobs)
@@ -47,7 +47,7 @@
       job.terms->worth / std::max(1e-9, s.most_worth) * (job.over_share ? s.settings.over_share_worth : 1);
   const double yield = 0.5 + 0.5 * std::sqrt(value);
   const double most_wait = wait_margin * std::max(job.aim - read, job.aim / 2) * yield;
-  // Danger: a conductor that took waits to be long refuses all, and learns no better. Its evidence fades.
+  // Danger: a router that took waits to be long refuses all, and learns no better. Its evidence fades.
   const double counted = wait * s.any_rate.trust(s.now, s.fade);
   const bool refused = counted > most_wait || load > full_at * yield;
   if (refused && s.told_to)
--- a/src/module/decode_load.h
+++ b/src/module/decode_load.h
@@ -1,4 +1,4 @@
-// How full and how slow a decode node is, from this conductor's own streams and from load reports.
+// How full and how slow a decode node is, from this router's own streams and from load reports.
 #pragma once
 
 #include "node_health.h"
--- a/src/module/eligibility.h
+++ b/src/module/eligibility.h
@@ -27,7 +27,7 @@
                                 : ran_at->entry.cell == node.entry.cell;
 }
 
-// Danger: many conductors that know as little choose the same node. Among near equals it differs by request.
+// Danger: many routers that know as little choose the same node. Among near equals it differs by request.
 inline double unsure(const Job& job, const Node& node, double trust) {
   return (1 - trust) * near_margin * unit(mix(job.request.id ^ mix(node.entry.host)));
 }
--- a/src/module/prefill_wait.h
+++ b/src/module/prefill_wait.h
@@ -15,7 +15,7 @@
   return std::max(trust * node.prefill_rate.value + (1 - trust) * usual, usual * lateness(s, node, true));
 }
 
-// Tokens of prompt that wait at the node: this conductor's, and with the others'.
+// Tokens of prompt that wait at the node: this router's, and with the others'.
 inline double own_queued(const State& s, const Node& node, double rate) {
   double sum = 0;
   const Attempt* head = nullptr;
@@ -34,12 +34,12 @@
 }
 
 // Danger: a mixed node in prefill all the time, whose running answers then miss their token aim. Its prefills
-// are queued as if it did them only part of the time, less what the other conductors are taken to do there:
+// are queued as if it did them only part of the time, less what the other routers are taken to do there:
 // as much each as this one does at a mixed node in the mean.
 inline double mixed_prefill(const State& s) {  // part of the time, over all mixed nodes
   return s.mixed_prefill * std::exp(-us(s.now - s.mixed_prefill_at) / us(s.fade)) / us(s.fade);
 }
-inline double mixed_share(const State& s) {  // part of a mixed node's time that is this conductor's for it
+inline double mixed_share(const State& s) {  // part of a mixed node's time that is this router's for it
   const double rest = (s.settings.siblings - 1) * mixed_prefill(s) / std::max(1.0, s.pool(Role::both).nodes);
   return std::max(most_mixed / s.settings.siblings, most_mixed - rest);
 }
--- a/src/module/prefix_cache.h
+++ b/src/module/prefix_cache.h
@@ -52,8 +52,8 @@
   s.act(Log{"texts kept by host " + std::to_string(node.entry.host) + " no longer trusted"});
 }
 
-// The prefill nodes where every conductor, by hash alone, expects a session's beginning. Without it the turns
-// of a session that come to other conductors find nothing cached.
+// The prefill nodes where every router, by hash alone, expects a session's beginning. Without it the turns
+// of a session that come to other routers find nothing cached.
 inline std::vector<HostId> homes(const State& s, const Job& job) {
   const Key key = job.request.shared ? job.request.shared : job.request.session;
   if (!key) return {};
--- a/src/module/scheduler.cpp
+++ b/src/module/scheduler.cpp
@@ -23,24 +23,24 @@
 void Scheduler::explain(std::function<void(const Choice&)> to) { core_->told_to = std::move(to); }
 void Scheduler::retune(Settings settings) { core_->take(std::move(settings)); }
 
-Lessons Scheduler::lessons(Micros now) const {
-  Lessons all{.read_rates = {core_->usual_rate.begin(), core_->usual_rate.end()}, .sent = {}};
+LearnedRates Scheduler::learned_rates(Micros now) const {
+  LearnedRates all{.read_rates = {core_->usual_rate.begin(), core_->usual_rate.end()}, .sent = {}};
   for (const auto& [id, node] : core_->nodes)
     if (node.listed() && node.work_rate.known)
       all.sent.emplace_back(id, node.work_rate.value * node.work_rate.fresh(now, core_->fade));
   return all;
 }
 // Danger: a process that takes over in a jam takes its first prefills' waits for their rate, and refuses all.
-void Scheduler::believe(Micros now, const Lessons& lessons) {
+void Scheduler::take_over(Micros now, const LearnedRates& learned_rates) {
   using decisions::few_prefills;
-  for (const auto& [role, rate] : lessons.read_rates) {
+  for (const auto& [role, rate] : learned_rates.read_rates) {
     auto& recent = core_->recent_rates[role];
     if (!std::isfinite(rate) || rate <= 0 || recent.size() >= few_prefills) continue;
     recent.insert(recent.begin(), 2 * few_prefills, rate);
     core_->usual_rate[role] = rate;
     core_->any_rate.add(rate, now, 1);
   }
-  for (const auto& [id, rate] : lessons.sent) {
+  for (const auto& [id, rate] : learned_rates.sent) {
     auto* const node = lookup(core_->nodes, id);
     if (node && std::isfinite(rate) && rate > 0 && node->sent.empty()) node->work_rate.add(rate, now, 1);
   }
--- a/src/module/slow_start.h
+++ b/src/module/slow_start.h
@@ -12,8 +12,8 @@
 }
 
 // A cold node gets a part of what it could bear, were it as able as the warm nodes' load shows them to be at
-// least, over the window and divided by the conductors. One request in an empty window is let through, to
-// warm it up; where a part is less than one, only by conductors whose turn a hash says it is in this window.
+// least, over the window and divided by the routers. One request in an empty window is let through, to
+// warm it up; where a part is less than one, only by routers whose turn a hash says it is in this window.
 inline bool admits_slow_start(const State& s, Node& node, double work) {
   const auto& c = s.settings;
   while (!node.sent.empty() && s.now - node.sent.front().first > c.fall_window) node.sent.pop_front();
--- a/src/module/state.h
+++ b/src/module/state.h
@@ -33,8 +33,8 @@
   double memory = 0;        // tokens of KV cache
   Learned prefill_rate{};   // microseconds a token, from prefill latencies
   Learned slow{};           // latency against the pool's norm, as a decode node
-  Learned others{};         // share of memory held here for other conductors, by report
-  Learned others_queued{};  // prompt tokens queued here for other conductors, by report
+  Learned others{};         // share of memory held here for other routers, by report
+  Learned others_queued{};  // prompt tokens queued here for other routers, by report
   double mixed_debt = 0;    // as a mixed node: time owed to prefill, drained by `mixed_share`
   double failing = 0;       // share of recent attempts that failed, fading
   Micros mixed_debt_at{}, failing_at{}, prefill_done{}, void_before{};
@@ -42,7 +42,7 @@
   std::vector<AttemptRef> out{};
   std::deque<std::pair<Micros, double>> sent{};  // work sent within the slow-start window
   Learned work_rate{};
-  bool listed() const { return entry.phase == Phase::ready; }  // as far as this conductor knows
+  bool listed() const { return entry.phase == Phase::ready; }  // as far as this router knows
   double room() const { return memory > 0 ? memory : 1e5; }
 };
 
@@ -155,15 +155,15 @@
   std::map<Role, std::deque<double>> recent_rates;
   Learned any_rate;                         // of whatever role did a prefill last
   bool reported = false, surveyed = false;  // any decode node's load; `pools`, in this event
-  double mixed_prefill = 0;                 // this conductor's prefill at mixed nodes, fading
+  double mixed_prefill = 0;                 // this router's prefill at mixed nodes, fading
   Micros mixed_prefill_at{};
-  Learned coming{0, {}, true};  // tokens that this conductor has in prefill, in the mean
+  Learned coming{0, {}, true};  // tokens that this router has in prefill, in the mean
   int ask_failures = 0;
   std::function<void(const Choice&)> told_to;
   Choice choice;
 };
 
-// Places are never held ahead, and each conductor decides by what it sees itself.
+// Places are never held ahead, and each router decides by what it sees itself.
 inline void on(State&, const auto&) {}
 
 }  // namespace lemonroute::decisions
--- a/src/net/admission.cpp
+++ b/src/net/admission.cpp
@@ -28,25 +28,25 @@
   go_on();
 }
 
-void Admission::arrived(Guest& guest) {
+void Admission::arrived(Peer& peer) {
   ++present_;
-  move(guest, &unproven_);
+  move(peer, &unproven_);
   make_room();
 }
-void Admission::busy(Guest& guest) { move(guest, nullptr); }
-void Admission::at_rest(Guest& guest) { move(guest, &resting_); }
+void Admission::busy(Peer& peer) { move(peer, nullptr); }
+void Admission::at_rest(Peer& peer) { move(peer, &resting_); }
 
-void Admission::left(Guest& guest) {
-  move(guest, nullptr);
+void Admission::left(Peer& peer) {
+  move(peer, nullptr);
   --present_;
   go_on();
 }
 
-void Admission::leaving(Guest& guest) {
-  move(guest, &leaving_);
+void Admission::leaving(Peer& peer) {
+  move(peer, &leaving_);
   // Guards the descriptors: peers that never go, of connections that end by the hundred.
   while (leaving_.size() > std::max<std::size_t>(1, most_ / 8)) {
-    const Guest* const first = leaving_.front();
+    const Peer* const first = leaving_.front();
     leaving_.front()->dismiss();
     if (!leaving_.empty() && leaving_.front() == first) break;
   }
@@ -57,7 +57,7 @@
   for (std::size_t n = 0; n < let_go_at_once; ++n) {
     auto& from = !leaving_.empty() ? leaving_ : resting_;
     if (from.empty()) return;
-    Guest& first = *from.front();
+    Peer& first = *from.front();
     first.dismiss();
     if (!leaving_.empty() && leaving_.back() == &first) first.dismiss();  // its descriptor is wanted now
   }
@@ -69,12 +69,12 @@
   if (std::exchange(paused_, false)) pause_(false);
 }
 
-void Admission::move(Guest& guest, std::list<Guest*>* to) {
-  if (guest.in) guest.in->erase(guest.at);
-  guest.in = to;
+void Admission::move(Peer& peer, std::list<Peer*>* to) {
+  if (peer.in) peer.in->erase(peer.at);
+  peer.in = to;
   if (!to) return;
-  guest.at = to->insert(to->end(), &guest);
-  guest.since = now_();
+  peer.at = to->insert(to->end(), &peer);
+  peer.since = now_();
 }
 
 // One place is kept free for whoever comes next. Resting peers are asked to leave first, since they lose the
@@ -93,7 +93,7 @@
   again_.start(look_again);
 }
 
-bool Admission::dismiss_first(std::list<Guest*>& of, Micros after) {
+bool Admission::dismiss_first(std::list<Peer*>& of, Micros after) {
   if (of.empty() || now_() - of.front()->since < after) return false;
   of.front()->dismiss();
   return true;
--- a/src/net/admission.h
+++ b/src/net/admission.h
@@ -12,16 +12,16 @@
 
 class Admission {
  public:
-  class Guest {
+  class Peer {
    public:
-    virtual ~Guest() = default;
+    virtual ~Peer() = default;
     // Its place is needed. It leaves at once, or says that it is leaving; asked for the second time it leaves.
     virtual void dismiss() = 0;
 
    private:
     friend class Admission;
-    std::list<Guest*>* in = nullptr;  // none while it is busy
-    std::list<Guest*>::iterator at{};
+    std::list<Peer*>* in = nullptr;  // none while it is busy
+    std::list<Peer*>::iterator at{};
     std::chrono::steady_clock::time_point since{};
   };
 
@@ -30,13 +30,13 @@
   Admission(Loop& loop, std::size_t most, std::function<void(bool)> pause, Now now = std::chrono::steady_clock::now);
 
   void limit(std::size_t most);  // from now on; those who are there stay until they may be dismissed
-  void arrived(Guest& guest);  // and has not asked for anything yet
-  void busy(Guest& guest);     // a request of it is open: it is not dismissed
-  void at_rest(Guest& guest);  // between requests
+  void arrived(Peer& peer);  // and has not asked for anything yet
+  void busy(Peer& peer);     // a request of it is open: it is not dismissed
+  void at_rest(Peer& peer);  // between requests
   // Its last answer is out and it only waits for its peer to go: it takes no place any more, but of these there may be
   // an eighth of the places; beyond that the one that has been leaving longest goes.
-  void leaving(Guest& guest);
-  void left(Guest& guest);
+  void leaving(Peer& peer);
+  void left(Peer& peer);
   // Descriptors run short, places or not: a few leave at once, those that leave already first, then the ones longest at
   // rest. Nobody with a request open does.
   void let_go();
@@ -44,9 +44,9 @@
   std::size_t free() const { return taken() < most_ ? most_ - taken() : 0; }
 
  private:
-  void move(Guest& guest, std::list<Guest*>* to);
+  void move(Peer& peer, std::list<Peer*>* to);
   void make_room();
-  bool dismiss_first(std::list<Guest*>& of, Micros after);
+  bool dismiss_first(std::list<Peer*>& of, Micros after);
   void go_on();
   std::size_t taken() const { return present_ - leaving_.size(); }
 
@@ -55,7 +55,7 @@
   std::function<void(bool)> pause_;
   const Now now_;
   bool paused_ = false;
-  std::list<Guest*> unproven_, resting_, leaving_;  // each with the longest there in front
+  std::list<Peer*> unproven_, resting_, leaving_;  // each with the longest there in front
   Timer again_;
 };
 
--- a/src/ops/handover.cpp
+++ b/src/ops/handover.cpp
@@ -91,7 +91,7 @@
   if (fd_ >= 0) close(fd_);
 }
 
-bool Handover::send(const std::string& path, const Passing& stream) {
+bool Handover::send(const std::string& path, const PassedStream& stream) {
   const nlohmann::json all{{"id", stream.id},          {"kind", stream.kind},
                            {"node", stream.node},      {"attempt", stream.attempt},
                            {"client", stream.client.closes}, {"call", stream.call.closes}};
@@ -99,16 +99,16 @@
   return post(path, text_of(all), &both);
 }
 
-void Handover::tell(const std::string& path, const News& news) {
+void Handover::tell(const std::string& path, const HandoverState& handover_state) {
   auto rates = nlohmann::json::array();
-  for (const auto& [role, rate] : news.read_rates) rates.push_back({static_cast<int>(role), rate});
+  for (const auto& [role, rate] : handover_state.read_rates) rates.push_back({static_cast<int>(role), rate});
   const std::string begins = R"({"read_rates":)" + text_of(rates) + R"(,"nodes":[)", ends = "]}";
   std::string list;
   const auto flush = [&] {
     post(path, begins + list + ends, nullptr);
     list.clear();
   };
-  for (const auto& one : news.nodes) {
+  for (const auto& one : handover_state.nodes) {
     const std::string text = text_of({{"node", one.node}, {"load", one.load}, {"age_us", one.age.count()},
                                       {"avoided", one.avoided}, {"sent", one.sent}});
     if (begins.size() + list.size() + 1 + text.size() + ends.size() > most_text && !list.empty()) flush();
@@ -130,18 +130,18 @@
   try {
     const auto all = nlohmann::json::parse(std::string_view(text, static_cast<std::size_t>(size)));
     if (const auto nodes = all.find("nodes"); nodes != all.end()) {
-      News news;
+      HandoverState handover_state;
       for (const auto& one : all.at("read_rates"))
-        news.read_rates.emplace_back(static_cast<Role>(one.at(0).get<int>()), one.at(1).get<double>());
+        handover_state.read_rates.emplace_back(static_cast<Role>(one.at(0).get<int>()), one.at(1).get<double>());
       for (const auto& one : *nodes)
-        news.nodes.push_back({one.at("node"), one.at("load"), Micros(one.at("age_us").get<Micros::rep>()),
+        handover_state.nodes.push_back({one.at("node"), one.at("load"), Micros(one.at("age_us").get<Micros::rep>()),
                               one.at("avoided"), one.at("sent")});
       for (int& fd : both)  // such a message brings none; whatever came along is closed, once
         if (fd >= 0) close(std::exchange(fd, -1));
-      return told_(news);
+      return told_(handover_state);
     }
     if (both[1] < 0) throw std::runtime_error("it brings no connections");
-    Passing stream{all.at("id"), all.at("kind"), all.at("node"), all.at("attempt"), {}, {}};
+    PassedStream stream{all.at("id"), all.at("kind"), all.at("node"), all.at("attempt"), {}, {}};
     stream.client = {both[0], all.at("client").get<bool>()};
     stream.call = {both[1], all.at("call").get<bool>()};
     taken_(stream);
--- a/src/ops/management.cpp
+++ b/src/ops/management.cpp
@@ -79,9 +79,9 @@
   net::Connection connection_;
 };
 
-Management::Management(net::Loop& loop, const std::string& listen, Conductor& conductor, const Status& status,
+Management::Management(net::Loop& loop, const std::string& listen, Router& router, const Status& status,
                        std::function<Reloads()> reloads, Fleet fleet)
-    : loop_(loop), conductor_(conductor), status_(status), reloads_(std::move(reloads)), fleet_(std::move(fleet)) {
+    : loop_(loop), router_(router), status_(status), reloads_(std::move(reloads)), fleet_(std::move(fleet)) {
   listener_ = std::make_unique<net::Listener>(loop, listen, [this](evutil_socket_t fd) { accept(fd); });
   listener_->serve_always();
 }
@@ -112,16 +112,16 @@
   if (path == "/ready") return {status_.state() == State::draining ? 503 : 200, {}, {}};
   const auto name = http::query_value(head.target, "name");
   if (!name || name->empty()) return {400, "name=ID is missing or can't be read\n", {}};
-  switch (out ? conductor_.take_out(*name) : conductor_.put_back(*name)) {
-    case Conductor::Ordered::done: return {200, *name + (out ? " is out\n" : " may serve\n"), {}};
-    case Conductor::Ordered::never_listed: return {404, *name + " was never listed\n", {}};
-    case Conductor::Ordered::not_stored: break;
+  switch (out ? router_.take_out(*name) : router_.put_back(*name)) {
+    case Router::Ordered::done: return {200, *name + (out ? " is out\n" : " may serve\n"), {}};
+    case Router::Ordered::never_listed: return {404, *name + " was never listed\n", {}};
+    case Router::Ordered::not_stored: break;
   }
   return {503, "it can't be stored, nothing has changed\n", {}};
 }
 
 Management::Answer Management::metrics() const {
-  const Figures figures = conductor_.figures();
+  const Figures figures = router_.figures();
   const Reloads reloads = reloads_();
   auto transactions = nlohmann::json::object();
   for (const auto& [name, counts] : figures.classes)
--- a/src/ops/management.h
+++ b/src/ops/management.h
@@ -21,9 +21,9 @@
 class Management {
  public:
   // Answers to calls are made at the moment of the call; `reloads` tells what was counted of files, `fleet` what is known
-  // of the other conductors as JSON: null for the moment, none where peers are off.
+  // of the other routers as JSON: null for the moment, none where peers are off.
   using Fleet = std::function<std::shared_ptr<const std::string>()>;
-  Management(net::Loop& loop, const std::string& listen, Conductor& conductor, const Status& status,
+  Management(net::Loop& loop, const std::string& listen, Router& router, const Status& status,
              std::function<Reloads()> reloads, Fleet fleet = {});
   ~Management();
   std::uint16_t port() const { return listener_->port(); }
@@ -43,7 +43,7 @@
   void leave(Caller& caller);
 
   net::Loop& loop_;
-  Conductor& conductor_;
+  Router& router_;
   const Status& status_;
   std::function<Reloads()> reloads_;
   Fleet fleet_;
--- a/src/ops/processes.h
+++ b/src/ops/processes.h
@@ -1,4 +1,4 @@
-// Which processes of one conductor there are: one, or two while a new version takes over.
+// Which processes of one router there are: one, or two while a new version takes over.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 class Processes {
  public:
-  // They find each other by the conductor's name and its clients' address, in the folder that they share.
+  // They find each other by the router's name and its clients' address, in the folder that they share.
   Processes(const std::filesystem::path& folder, const std::string& name, const std::string& listen)
       : stem_(folder / ("lemonroute-" + plain(name + "-" + listen))), lock_(stem_.string() + ".lock") {
     lock_.share(runs);
--- a/src/ops/status.cpp
+++ b/src/ops/status.cpp
@@ -6,7 +6,7 @@
 
 State Status::state() const {
   if (draining_) return State::draining;
-  return conductor_.ready_nodes() > 0 ? State::up : State::down;
+  return router_.ready_nodes() > 0 ? State::up : State::down;
 }
 
 void Status::drain() {
--- a/src/ops/status.h
+++ b/src/ops/status.h
@@ -1,11 +1,11 @@
-// Whether this conductor wants traffic, for everything that reports it: agent-check, /healthz, grpc.health.v1.
+// Whether this router wants traffic, for everything that reports it: agent-check, /healthz, grpc.health.v1.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <map>
 
-#include "core/conductor.h"
+#include "core/router.h"
 
 namespace lemonroute::ops {
 
@@ -13,7 +13,7 @@
 
 class Status {
  public:
-  explicit Status(const Conductor& conductor) : conductor_(conductor) {}
+  explicit Status(const Router& router) : router_(router) {}
   State state() const;
   void drain();
   void check();  // tells the watchers if the state has changed
@@ -23,7 +23,7 @@
   Handle watch(std::function<void(State)> changed);
 
  private:
-  const Conductor& conductor_;
+  const Router& router_;
   bool draining_ = false;
   State told_ = State::down;
   std::uint64_t next_ = 0;
--- a/src/peers/membership/detector/health.h
+++ b/src/peers/membership/detector/health.h
@@ -1,4 +1,4 @@
-// Lifeguard's local health: how far this conductor itself must be doubted. Who is slow, or behind a bad line,
+// Lifeguard's local health: how far this router itself must be doubted. Who is slow, or behind a bad line,
 // sees others miss; it waits longer for them and probes more slowly, so it suspects others less.
 #pragma once
 
--- a/src/peers/membership/detector/helping.h
+++ b/src/peers/membership/detector/helping.h
@@ -1,4 +1,4 @@
-// Pings that this conductor sends for others, until each is answered or late. Bounded: beyond that it helps
+// Pings that this router sends for others, until each is answered or late. Bounded: beyond that it helps
 // nobody.
 #pragma once
 
--- a/src/peers/membership/detector/probe.h
+++ b/src/peers/membership/detector/probe.h
@@ -20,7 +20,7 @@
   Verdict verdict() const {
     return direct ? Verdict::well : indirect ? Verdict::well_by_others : Verdict::missed;
   }
-  // Helpers that are silent too say that it is this conductor that hears badly; helpers who say they missed
+  // Helpers that are silent too say that it is this router that hears badly; helpers who say they missed
   // it as well, that it is not.
   bool own_fault() const { return verdict() == Verdict::missed && (asked == 0 || answered < asked); }
 };
--- a/src/peers/membership/entry.h
+++ b/src/peers/membership/entry.h
@@ -1,4 +1,4 @@
-// What is kept of one conductor.
+// What is kept of one router.
 #pragma once
 
 #include <cstdint>
--- a/src/peers/membership/fact.h
+++ b/src/peers/membership/fact.h
@@ -1,4 +1,4 @@
-// What is said of one conductor, and which of two sayings overrides the other.
+// What is said of one router, and which of two sayings overrides the other.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 };
 
 // The process that a fact is about. The newer start wins; between equal ones the greater address, so that any
-// two conductors name the same winner.
+// two routers name the same winner.
 inline auto process(const Fact& fact) { return std::tie(fact.start, fact.address); }
 
 bool valid_name(std::string_view name);        // 1 to 64 printable characters, no blank, quote or backslash
--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -149,14 +149,14 @@
 }
 
 // An upgrade runs for a while beside the process that it replaces. What goes on for long is a mistake of two
-// conductors.
+// routers.
 void Membership::older(Entry& entry, const Fact& said, bool first_hand) {
   if (!first_hand || !entry.fact.there() || said.address == entry.fact.address) return;
   if (!entry.older_since) entry.older_since = now_;
   if (entry.older_told || now_ - *entry.older_since < options_.period * limits::twice) return;
   entry.older_told = true;
   ++counters_.names_twice;
-  notice("two conductors are named " + said.name + ": " + entry.fact.address +
+  notice("two routers are named " + said.name + ": " + entry.fact.address +
          ", whose newer start holds the name, and " + said.address);
 }
 
--- a/src/peers/membership/hash.h
+++ b/src/peers/membership/hash.h
@@ -1,4 +1,4 @@
-// The same hash on every conductor: digests are compared between them.
+// The same hash on every router: digests are compared between them.
 #pragma once
 
 #define XXH_INLINE_ALL
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -1,4 +1,4 @@
-// SWIM with Lifeguard's additions and anti-entropy, of one conductor. Free of I/O; the agent gives it times
+// SWIM with Lifeguard's additions and anti-entropy, of one router. Free of I/O; the agent gives it times
 // and packets and takes what is to be sent. Its parts decide, this class connects them: one file for each
 // kind of occasion.
 #pragma once
--- a/src/peers/membership/merge/judge.h
+++ b/src/peers/membership/merge/judge.h
@@ -1,6 +1,6 @@
 // What a saying does to what is held of a member. Sayings are ordered (process, incarnation, standing), so
 // that all who heard the same hold the same, whatever the order; but `gone` is never taken over at once: it
-// only makes this conductor ask, or its own suspicion shorter. A member that can answer always has the time
+// only makes this router ask, or its own suspicion shorter. A member that can answer always has the time
 // to.
 #pragma once
 
@@ -21,7 +21,7 @@
   implausible,  // not believed
 };
 
-// `unix_now`: this conductor's own clock, in us. It only serves to refuse a start in the far future, and only
+// `unix_now`: this router's own clock, in us. It only serves to refuse a start in the far future, and only
 // where the start that is held does not lie there as well: then it is this clock that is wrong.
 Verdict judge(const Entry* held, const Fact& said, std::uint64_t unix_now);
 
--- a/src/peers/membership/merge/own_name.h
+++ b/src/peers/membership/merge/own_name.h
@@ -1,5 +1,5 @@
-// What others say of this conductor itself. It refutes what is said against it. A later process of its name
-// supersedes it: an upgrade, in which both run for a while, or a mistake of two conductors with one name;
+// What others say of this router itself. It refutes what is said against it. A later process of its name
+// supersedes it: an upgrade, in which both run for a while, or a mistake of two routers with one name;
 // either way this one becomes quiet about itself. A later process that is never heard is a lie, or it has
 // ended: the name is taken back.
 #pragma once
--- a/src/peers/membership/probing.cpp
+++ b/src/peers/membership/probing.cpp
@@ -1,4 +1,4 @@
-// Whom this conductor asks, and what it makes of the answers.
+// Whom this router asks, and what it makes of the answers.
 #include <algorithm>
 
 #include "peers/membership/membership.h"
@@ -87,7 +87,7 @@
   };
   for (std::size_t tried = 0; tried < options_.seeds.size(); ++tried) {
     const std::string& seed = options_.seeds[next_seed_++ % options_.seeds.size()];
-    if (is_member(seed)) continue;  // this conductor's own address among them
+    if (is_member(seed)) continue;  // this router's own address among them
     send(seed, wire::Ping{0, "", table_.digest()});
     return;
   }
--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -97,7 +97,7 @@
     ++syncs_answered_;
     sync_with(sender.address, true);
   } else if (!std::exchange(synced_, false)) {
-    return;  // no answer that this conductor waits for
+    return;  // no answer that this router waits for
   } else {
     synced_ = true;
   }
--- a/src/peers/membership/suspicion/suspicion.h
+++ b/src/peers/membership/suspicion/suspicion.h
@@ -1,5 +1,5 @@
 // How long a suspected member has to refute. The time grows with the logarithm of the members, since both the
-// suspicion and its refutation need so long to reach all; each further conductor that misses the member
+// suspicion and its refutation need so long to reach all; each further router that misses the member
 // shortens it (Lifeguard's dogpile), down to the least, never below: a refutation always has time to arrive,
 // whoever claims what.
 #pragma once
@@ -23,7 +23,7 @@
   static Suspicion by_hearsay(Micros now, std::size_t members, Micros period, std::string_view by);
 
   bool confirm(std::string_view by);  // true: it is another one's, and counts
-  void shift(Micros late);            // this conductor slept: the member had no chance to be heard
+  void shift(Micros late);            // this router slept: the member had no chance to be heard
   Micros deadline() const;
   bool called = false;  // it was told once more, shortly before the deadline
 
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -1,4 +1,4 @@
-// All conductors that are known, by name, and a digest of those that are there by which two tables are
+// All routers that are known, by name, and a digest of those that are there by which two tables are
 // compared.
 #pragma once
 
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -19,7 +19,7 @@
   now_ = started_ = now;
   std::string nobody;
   table_.add(own_.own(), now, &nobody);
-  // Conductors that were started together don't all probe at the same moment.
+  // Routers that were started together don't all probe at the same moment.
   next_tick_ = now + Micros(random_.below(static_cast<std::size_t>(options_.period.count() / limits::ticks)));
 }
 
--- a/src/peers/membership/view/present.h
+++ b/src/peers/membership/view/present.h
@@ -9,7 +9,7 @@
 class Present {
  public:
   Present(std::string me, Micros period);
-  void note(const Table& table, Micros now);  // keeps since when this conductor has been in a minority
+  void note(const Table& table, Micros now);  // keeps since when this router has been in a minority
   std::optional<Micros> minority_since() const { return minority_since_; }
   const View& view(const Table& table, Micros now);
 
--- a/src/peers/rider.h
+++ b/src/peers/rider.h
@@ -1,4 +1,4 @@
-// What rides on the datagrams between conductors beside membership: pools and the map of kept state. A rider does no
+// What rides on the datagrams between routers beside membership: pools and the map of kept state. A rider does no
 // I/O and reads no clock; all its calls come from one thread, with times that never go back. Datagrams may be lost,
 // repeated, reordered and late, so what a rider says must bear that (a merge, or a question with its answer).
 #pragma once
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -1,4 +1,4 @@
-// Datagrams between conductors, sealed: nobody without the key reads one, makes one, or sends one a second time.
+// Datagrams between routers, sealed: nobody without the key reads one, makes one, or sends one a second time.
 //
 //   version 1 | id of the key 4 | tag of the sender 8 | its start 8 | sequence 8 | sealed text | proof 16
 //
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -40,7 +40,7 @@
   // All of them outlive the service; the riders and the desk are met on its thread only once it is started. Throws if
   // the address is taken.
   Service(Options options, const Clock& clock, const std::vector<Rider*>& riders, Desk& desk);
-  ~Service();  // tells the others that this conductor ends, and ends the thread
+  ~Service();  // tells the others that this router ends, and ends the thread
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
 
--- a/src/pools/demand/own.cpp
+++ b/src/pools/demand/own.cpp
@@ -5,7 +5,7 @@
 
 namespace lemonroute::pools {
 
-void Own::add(const Witness::Demand& seen, Micros now) {
+void Own::add(const NodeObserver::Demand& seen, Micros now) {
   const auto all = static_cast<double>(seen.taken + seen.refused);
   const double refused = all > 0 ? static_cast<double>(seen.refused) / all : 0;
   const double filled = std::clamp(seen.own, 0.0, 1.0) * seen.writers;
--- a/src/pools/demand/own.h
+++ b/src/pools/demand/own.h
@@ -1,4 +1,4 @@
-// What this conductor's own streams ask of writers, smoothed, as it tells the others.
+// What this router's own streams ask of writers, smoothed, as it tells the others.
 #pragma once
 
 #include <optional>
@@ -16,7 +16,7 @@
 class Own {
  public:
   // Times never go back.
-  void add(const Witness::Demand& seen, Micros now);
+  void add(const NodeObserver::Demand& seen, Micros now);
   std::optional<Report> report(Micros now) const;  // nothing before anything was seen
 
  private:
--- a/src/pools/demand/sum.cpp
+++ b/src/pools/demand/sum.cpp
@@ -23,11 +23,11 @@
   }
 }
 
-std::optional<double> Sum::writers(RegionId region, std::size_t conductors, Micros now) {
+std::optional<double> Sum::writers(RegionId region, std::size_t routers, Micros now) {
   std::vector<double> reports;
   for (const auto& [sender, said] : said_)
     if (said.region == region && said.at + ages_out > now) reports.push_back(said.report.writers);
-  if (reports.empty() || 2 * reports.size() < conductors) return std::nullopt;
+  if (reports.empty() || 2 * reports.size() < routers) return std::nullopt;
   return bounded_sum(reports, influence_);
 }
 
--- a/src/pools/move/move.cpp
+++ b/src/pools/move/move.cpp
@@ -39,7 +39,7 @@
   if (seen_.owned.ballot.counter > 0 && !held_since_) return Step::draining;
   if (planned_ && *planned_ != seen_.owned.owner) return Step::planned;
   if (seen_.owned.ballot.counter == 0) return Step::serving;
-  // The owner's conductors learn of it with their next question, those at home with another one.
+  // The owner's routers learn of it with their next question, those at home with another one.
   if (now < *held_since_ + 2 * terms_.asks_every()) return Step::handed_over;
   return now < *held_since_ + cold_for_ ? Step::cold : Step::serving;
 }
--- a/src/pools/planner/balance.cpp
+++ b/src/pools/planner/balance.cpp
@@ -24,7 +24,7 @@
 }
 
 bool Balance::keeps_room(const Stand& stand, const Pool& without) const {
-  // A region that stands at one site alone goes with it, conductors and all: there is nothing to keep room for.
+  // A region that stands at one site alone goes with it, routers and all: there is nothing to keep room for.
   // What it has borrowed elsewhere goes back all the same.
   if (stand.home_sites.size() < 2) return true;
   double most = 0;
--- a/src/pools/planner/planner.h
+++ b/src/pools/planner/planner.h
@@ -1,5 +1,5 @@
 // From what each region should have and what it has, to the pools that should move. A pure function: the same inputs,
-// in whatever order, give the same plan on every conductor.
+// in whatever order, give the same plan on every router.
 //
 // A region is short by what it wants beyond its writers. Two kinds of moves are made:
 // - needed: one that lowers the sum of all shortages by more than the hysteresis;
--- a/src/pools/rider.h
+++ b/src/pools/rider.h
@@ -1,4 +1,4 @@
-// Pools among conductors: what this one may send to, what it keeps for its region, and the moves that it plans. Rides
+// Pools among routers: what this one may send to, what it keeps for its region, and the moves that it plans. Rides
 // on the datagrams of peers::Agent; docs/pools-design.md has the ways weighed and the bounds.
 #pragma once
 
@@ -24,7 +24,7 @@
  public:
   struct Options {
     Settings settings;              // on
-    std::string name, site;         // this conductor's
+    std::string name, site;         // this router's
     std::set<std::string> writers;  // kinds of nodes that are writers, and no readers
     Micros cold_for{};              // as in the module's settings
     std::uint64_t start = 0;        // of this process, as the agent has it
@@ -34,7 +34,7 @@
   Pools(Options options, std::uint64_t seed);
 
   void listed(const std::vector<Node>& nodes, Micros now);
-  void demand(const Witness::Demand& seen, Micros now);
+  void demand(const NodeObserver::Demand& seen, Micros now);
   // Whether this process answers as keeper. On from the start on. Off while another process of the same name may answer;
   // once on again it begins without memory.
   void keep(bool on, Micros now);
@@ -65,8 +65,8 @@
 
   std::optional<RegionId> region_of(const std::string& site) const;
   std::optional<RegionId> region_of_member(std::string_view name) const;
-  std::size_t conductors_of(RegionId region) const;
-  bool plans() const;  // this conductor proposes for its region
+  std::size_t routers_of(RegionId region) const;
+  bool plans() const;  // this router proposes for its region
   void ask_all(Micros now, peers::Outbox& out);
   void tell_demand(Micros now, peers::Outbox& out);
   void take(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out);
@@ -87,7 +87,7 @@
   Own own_;
   Sum sum_;
   Questions questions_;
-  std::optional<Keeper> keeper_;  // where this conductor is one
+  std::optional<Keeper> keeper_;  // where this router is one
   bool keeps_ = true, replaced_ = false, started_ = false;
   std::uint64_t by_;    // in this process's ballots
   std::uint64_t mark_;  // of the settings
--- a/src/pools/rider/heard.cpp
+++ b/src/pools/rider/heard.cpp
@@ -1,4 +1,4 @@
-// What comes in from other conductors, and what operators are shown.
+// What comes in from other routers, and what operators are shown.
 #include <nlohmann/json.hpp>
 
 #include "pools/rider.h"
@@ -17,7 +17,7 @@
 }
 
 void Pools::take(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out) {
-  // A conductor asks for the region it stands in; one that the view does not have yet will ask again.
+  // A router asks for the region it stands in; one that the view does not have yet will ask again.
   if (region_of_member(from) != ask.region) {
     ++counts_.strangers;
     return;
--- a/src/pools/rider/planners.h
+++ b/src/pools/rider/planners.h
@@ -1,4 +1,4 @@
-// Which conductor of a region plans and proposes its moves: a hint that spares the others the work. Safety rests on
+// Which router of a region plans and proposes its moves: a hint that spares the others the work. Safety rests on
 // the keepers alone, and two that plan at once only make ballots.
 #pragma once
 
--- a/src/pools/rider/pools.cpp
+++ b/src/pools/rider/pools.cpp
@@ -35,7 +35,7 @@
   return member ? region_of(member->site) : std::nullopt;
 }
 
-std::size_t Pools::conductors_of(RegionId region) const {
+std::size_t Pools::routers_of(RegionId region) const {
   return static_cast<std::size_t>(std::count_if(view_.members.begin(), view_.members.end(), [&](auto& member) {
     return member.there() && !member.unreachable_from_here && region_of(member.site) == region;
   }));
@@ -55,7 +55,7 @@
   if (!started_) {
     started_ = true;
     if (keeper_) keeper_->start(now);
-    // Conductors that start together don't ask together.
+    // Routers that start together don't ask together.
     asks_at_ = now + Micros(by_ % static_cast<std::uint64_t>(options_.settings.terms.asks_every().count()));
     plans_at_ = now + options_.settings.terms.lease;
   }
@@ -77,7 +77,7 @@
   refresh(now);
 }
 
-void Pools::demand(const Witness::Demand& seen, Micros now) { own_.add(seen, now); }
+void Pools::demand(const NodeObserver::Demand& seen, Micros now) { own_.add(seen, now); }
 
 bool Pools::plans() const {
   return keeper_ && keeps_ && !replaced_ &&
@@ -123,9 +123,9 @@
   wishes_.clear();
   std::vector<bool> takes, keepers;
   for (RegionId r = 0; r < regions_.size(); ++r) {
-    const auto conductors = conductors_of(r);
-    wishes_.push_back(wish_of(options_.settings, shares[r], sum_.writers(r, conductors, now), stock_.all()));
-    takes.push_back(conductors > 0 && regions_[r].blocked_until <= now);
+    const auto routers = routers_of(r);
+    wishes_.push_back(wish_of(options_.settings, shares[r], sum_.writers(r, routers, now), stock_.all()));
+    takes.push_back(routers > 0 && regions_[r].blocked_until <= now);
     keepers.push_back(majority_there(regions_[r].settings->keepers, view_));
   }
   std::map<PoolName, Planning::PoolState> states;
@@ -167,7 +167,7 @@
         for (auto& parcel : wire::write(wire::Propose{entry}, mark_, now))
           out.send(topic(), keeper, std::move(parcel));
     }
-    // This conductor stops sending there by its own word, before any answer.
+    // This router stops sending there by its own word, before any answer.
     pool.holder.learn(entry.owned);
     follow(pool, now);
   }
--- a/src/pools/rights/holder/holder.h
+++ b/src/pools/rights/holder/holder.h
@@ -1,4 +1,4 @@
-// What one conductor may send to, derived from the answers of a pool's keepers. Free of I/O, told the time on the steady
+// What one router may send to, derived from the answers of a pool's keepers. Free of I/O, told the time on the steady
 // clock of its process.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace lemonroute::pools {
 
-// One pool at one conductor.
+// One pool at one router.
 class Holder {
  public:
   // `keepers`: of the pool's home region.
--- a/src/pools/rights/rights.h
+++ b/src/pools/rights/rights.h
@@ -1,4 +1,4 @@
-// What this conductor may send to, as the serving loop reads it. Never changes once it is made.
+// What this router may send to, as the serving loop reads it. Never changes once it is made.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
   };
   struct Frame {  // what does not change from one to the next
     Settings settings;
-    std::string region;            // this conductor's; empty: none
+    std::string region;            // this router's; empty: none
     std::set<std::string> writers; // kinds of nodes that pools are made of
   };
   Rights(std::shared_ptr<const Frame> frame, std::map<PoolName, Entry> pools)
@@ -36,7 +36,7 @@
 };
 
 // A pool that never moves: of the reserve, or of a region without keepers. Settled by the file alone, since lists may
-// differ from one conductor to the next.
+// differ from one router to the next.
 bool never_moves(const Settings& settings, const std::string& region, const PoolName& pool);
 
 }  // namespace lemonroute::pools
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -1,4 +1,4 @@
-// What the operator's file says of pools. The same on every conductor of the fleet: those whose keepers, reserves or
+// What the operator's file says of pools. The same on every router of the fleet: those whose keepers, reserves or
 // lease differ do not hear each other (see mark).
 #pragma once
 
@@ -15,7 +15,7 @@
 
 struct RegionSettings {
   std::vector<std::string> sites;
-  std::vector<std::string> keepers;  // 3, 5 or 7 conductors; none: its pools never move
+  std::vector<std::string> keepers;  // 3, 5 or 7 routers; none: its pools never move
   std::set<PoolName> reserve;        // pools of its sites that never move
 };
 
@@ -29,7 +29,7 @@
   double room = 0.5;               // part of its wish that a lender keeps after the loss of any one site
   double correction = 0.1;         // share of all writers by which demand may correct the calendar either way
   double fill = 0.7;               // share of their memory that writers are meant to fill
-  double influence = 2;            // most that one conductor's report counts, in means of its region's other reports
+  double influence = 2;            // most that one router's report counts, in means of its region's other reports
   Micros ahead = std::chrono::minutes(5);        // pools are asked for so long before the calendar says
   Micros plans_every = std::chrono::seconds(5);
   std::map<std::pair<std::string, std::string>, double> distance;  // region, site
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -38,7 +38,7 @@
   std::optional<Message> message;
   Fault fault = Fault::unreadable;  // where there is none
 };
-// `mark`: of this conductor's settings; `regions`: how many it knows. Never throws.
+// `mark`: of this router's settings; `regions`: how many it knows. Never throws.
 Read read(std::string_view bytes, std::uint64_t mark, std::size_t regions, Micros now);
 
 // One parcel, or several where entries need them; each within peers::Outbox::most.
--- a/src/rules/monitor.cpp
+++ b/src/rules/monitor.cpp
@@ -123,7 +123,7 @@
   if (!same) breach(Rule::attempts, now, request, name, "sent again outside the group" + after);
 }
 
-// The budget of any window: multiple x capacity at the start x window, in this conductor's part of it. One request
+// The budget of any window: multiple x capacity at the start x window, in this router's part of it. One request
 // alone in a window passes whatever its size, or a cold node could never warm up.
 void Monitor::cold(Micros now, const std::string& request, const std::string& name, Node& node, double tokens) {
   while (!node.sent.empty() && now - node.sent.front().first >= limits_.cold_window) node.sent.pop_front();
--- a/src/rules/monitor.h
+++ b/src/rules/monitor.h
@@ -1,4 +1,4 @@
-// Watches the rules from the outside: told of what happens at the edges of a conductor (the list, clients,
+// Watches the rules from the outside: told of what happens at the edges of a router (the list, clients,
 // sends, answers, held state), it says which rule broke, when and for which request. It does no I/O, reads no clock
 // and knows neither the core nor the module, so that tests, expectations and emulators can all lean on it.
 #pragma once
@@ -35,11 +35,11 @@
 struct Limits {
   Micros drain_grace = std::chrono::milliseconds(500);
   Micros held = std::chrono::seconds(1);
-  Micros told_late{};     // how long the conductor may take to learn that a client has gone
+  Micros told_late{};     // how long the router may take to learn that a client has gone
   Micros answer_slack{};  // how late after the deadline an answer still counts as in time
   Micros cold_for{}, cold_window{};
   double cold_from = 1, cold_multiple = 1;
-  std::uint32_t siblings = 1;  // conductors that share a cold node's budget, 1 or more
+  std::uint32_t siblings = 1;  // routers that share a cold node's budget, 1 or more
   std::uint32_t most_attempts = 6;  // of a request, unless it is taken with fewer
   bool second_copies = false;  // two attempts out at once are allowed
   Micros published = std::chrono::seconds(2);  // how late it may be told who owns a pool
@@ -59,7 +59,7 @@
   void limit(Limits limits) { limits_ = limits; }  // from now on
   const Limits& limits() const { return limits_; }
 
-  // ---- the nodes, as the conductor was told ----
+  // ---- the nodes, as the router was told ----
   // `capacity`: prompt tokens a second once warm; 0: unknown, no budget is watched. A new `started` is a new process.
   void listed(Micros now, const std::string& node, Phase phase, Micros started, double capacity = 0);
   // Where it stands. Reading has no effect, so what a node does that serves nobody is no repeat.
@@ -67,7 +67,7 @@
   void banned(Micros now, const std::string& node);  // from the yes to the operator on
   void unbanned(Micros now, const std::string& node);
 
-  // ---- pools, as their nodes are grouped and as conductors say who owns them ----
+  // ---- pools, as their nodes are grouped and as routers say who owns them ----
   void pooled(const std::string& node, const std::string& pool) { turns_.belongs(node, pool); }
   void owns(Micros now, const std::string& pool, const std::string& region, std::uint64_t epoch) {
     move(now);
@@ -76,7 +76,7 @@
 
   // ---- a request ----
   void taken(Micros now, const std::string& request, Micros deadline, std::uint32_t most_attempts, Terms terms = {});
-  // `region`: of the conductor that sends, where pools are watched.
+  // `region`: of the router that sends, where pools are watched.
   void sent(Micros now, const std::string& request, const std::string& node, double tokens, const std::string& region = {});
   // Its attempt there, however it ended. `ran`: unless that proves that it has not run.
   void over(Micros now, const std::string& request, const std::string& node, bool ran = true);
--- a/src/rules/turns.h
+++ b/src/rules/turns.h
@@ -1,5 +1,5 @@
 // Whether the regions that send to a pool take turns: a send by another region than the last one begins a turn, and
-// each turn needs an ownership, as conductors publish it, of a newer epoch than the turn before. So a region that sends
+// each turn needs an ownership, as routers publish it, of a newer epoch than the turn before. So a region that sends
 // on after another one has begun is caught, and one that begins without owning the pool is too.
 #pragma once
 
@@ -23,7 +23,7 @@
   using Broken = std::function<void(const Turn& turn, const std::string& what)>;
 
   void belongs(const std::string& node, const std::string& pool) { pool_of_[node] = pool; }
-  // Some conductor says that the region owns the pool at that epoch. May be told late, repeated and out of order.
+  // Some router says that the region owns the pool at that epoch. May be told late, repeated and out of order.
   void owns(const std::string& pool, const std::string& region, std::uint64_t epoch) {
     pools_[pool].epochs[region].insert(epoch);
   }
--- a/src/tiers/era/era.h
+++ b/src/tiers/era/era.h
@@ -7,7 +7,7 @@
 namespace lemonroute::tiers {
 
 // Eras are a join semilattice: the later start first, then the losses noticed since that start, counted in four lanes.
-// A loss is counted in the lane of the site that noticed it. So two conductors of one site that notice the same loss
+// A loss is counted in the lane of the site that noticed it. So two routers of one site that notice the same loss
 // count it once, and two sites that are cut off from each other and notice one each make an era that is later than both.
 struct Era {
   std::uint64_t start = 0;  // as the list tells it, Unix us; 0: long ago
--- a/src/tiers/era/eras.h
+++ b/src/tiers/era/eras.h
@@ -1,4 +1,4 @@
-// The eras of all devices as far as they are known here: from the own list, from what this conductor noticed, and from
+// The eras of all devices as far as they are known here: from the own list, from what this router noticed, and from
 // what others say. Bounded; the devices of the own list always have a place.
 #pragma once
 
@@ -17,7 +17,7 @@
 
   // Each returns whether the device's era has advanced.
   bool listed(NameId device, std::uint64_t start, Micros now);
-  bool lost(NameId device, Micros now);  // this conductor noticed. Heard or noticed already within 2 s: the same loss
+  bool lost(NameId device, Micros now);  // this router noticed. Heard or noticed already within 2 s: the same loss
   bool told(NameId device, const Era& era, Micros now);
   void unlist_all();  // before the next whole list
 
--- a/src/tiers/merge/choose.h
+++ b/src/tiers/merge/choose.h
@@ -29,7 +29,7 @@
 
 // Best first, holders_bound at the most. A holder's length is the second longest that is claimed, or the only one, so
 // that one contributor can't make it longer than another says. Of `before` those stay in front that are nearly as good,
-// so that all conductors use the same few holders for long.
+// so that all routers use the same few holders for long.
 std::vector<Shown> choose(const Row& row, const std::vector<Shown>& before, const Believed& believed);
 
 // Whether the change is worth a line at once, not only with the next repeat.
--- a/src/tiers/merge/row.h
+++ b/src/tiers/merge/row.h
@@ -15,7 +15,7 @@
   Era era{};
   std::uint32_t tokens = 0;     // of the prompt, from its beginning
   std::uint8_t confidence = 0;  // 255: its contributor is sure
-  Micros seen{};                // on this conductor's clock
+  Micros seen{};                // on this router's clock
 };
 
 struct Stamp {
--- a/src/tiers/names/homes.h
+++ b/src/tiers/names/homes.h
@@ -1,4 +1,4 @@
-// Which conductors keep a shard: the first few by rendezvous hash over those that the view holds to be there. Views may
+// Which routers keep a shard: the first few by rendezvous hash over those that the view holds to be there. Views may
 // differ; then some votes go to one too many, which costs a parcel and no harm.
 #pragma once
 
--- a/src/tiers/names/names.h
+++ b/src/tiers/names/names.h
@@ -1,4 +1,4 @@
-// Keys, devices and conductors as the fleet speaks of them: hashes with a seed that only its members know, so that
+// Keys, devices and routers as the fleet speaks of them: hashes with a seed that only its members know, so that
 // nobody outside can aim at a shard or make two keys meet.
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace lemonroute::tiers {
 
 using KeyId = std::uint64_t;   // of a session's or an opening's key
-using NameId = std::uint64_t;  // of a device or a conductor
+using NameId = std::uint64_t;  // of a device or a router
 enum class Tier : std::uint32_t { site = 0, region = 1 };
 
 class Names {
--- a/src/tiers/options.h
+++ b/src/tiers/options.h
@@ -11,7 +11,7 @@
 namespace lemonroute::tiers {
 
 struct Limits {
-  std::size_t device_keys = 1024;  // of this conductor's own sight, each with two devices at the most
+  std::size_t device_keys = 1024;  // of this router's own sight, each with two devices at the most
   std::size_t site_keys = 4096;    // in each of: what is kept for the site, what was told of it
   std::size_t region_keys = 2048;  // likewise
   std::size_t devices = 4096;      // whose eras are known
@@ -24,7 +24,7 @@
 };
 
 struct Options {
-  std::string name, site;   // this conductor's
+  std::string name, site;   // this router's
   std::uint64_t start = 0;  // of its process, Unix us
   std::uint64_t secret = 0; // derived from the fleet's key; the same at all of them
   std::map<std::string, std::vector<std::string>> regions;  // sites by region; a site in none has no region tier
@@ -35,7 +35,7 @@
 constexpr unsigned news_again = 2;           // what is new is said so often once more, for datagrams get lost
 constexpr Micros news_every = std::chrono::seconds(1);
 constexpr std::size_t shards = 16;           // of the keys
-constexpr std::size_t keepers_of_shard = 3;  // conductors of the site or region
+constexpr std::size_t keepers_of_shard = 3;  // routers of the site or region
 constexpr std::size_t holders_bound = 3;     // of a key, in one site
 constexpr std::size_t most_hints = 4;        // for a request
 
--- a/src/tiers/rider.cpp
+++ b/src/tiers/rider.cpp
@@ -65,7 +65,7 @@
     if (key == 0) continue;
     judge(key, device, tokens, now, wrong, right);
     const auto* own = device_.find(key, device);
-    // Only what this conductor saw before the loss was told can disprove it, and only a session's text: an opening may
+    // Only what this router saw before the loss was told can disprove it, and only a session's text: an opening may
     // have been read there anew for somebody else.
     if (session != 0 && key == known_.names.session(session) && own && !(own->era == *era) && tokens >= own->tokens / 2.0 &&
         known_.eras.void_lately(device, now))
--- a/src/tiers/rider.h
+++ b/src/tiers/rider.h
@@ -1,4 +1,4 @@
-// The map of kept state from device to site to region, as a rider on the datagrams between conductors.
+// The map of kept state from device to site to region, as a rider on the datagrams between routers.
 // docs/tiers-design.md has the ways weighed, the bounds and what was measured. No I/O, no clock.
 #pragma once
 
@@ -15,11 +15,11 @@
 
 namespace lemonroute::tiers {
 
-class Tiers : public peers::Rider, public Witness {
+class Tiers : public peers::Rider, public NodeObserver {
  public:
   Tiers(Options options, std::uint64_t seed);
 
-  // What this conductor sees while it serves, as a Witness hears it; on the peers' thread.
+  // What this router sees while it serves, as a NodeObserver hears it; on the peers' thread.
   void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) override;
   // What a node itself has counted as kept of a prompt, from its beginning, when it read it: hints that said much more
   // were wrong. The one thing that corrects trust in others.
--- a/src/tiers/share/known.h
+++ b/src/tiers/share/known.h
@@ -1,4 +1,4 @@
-// What all parts of one conductor's map share.
+// What all parts of one router's map share.
 #pragma once
 
 #include <algorithm>
--- a/src/tiers/share/level.h
+++ b/src/tiers/share/level.h
@@ -24,7 +24,7 @@
   bool run(Micros now, peers::Outbox& out);  // whether hints have changed
   void eras_advanced() { choose_all_ = true; }
 
-  // Puts a vote of this conductor to the key's keepers, itself included; the parcels go with `flush`.
+  // Puts a vote of this router to the key's keepers, itself included; the parcels go with `flush`.
   struct Mail {
     std::unordered_map<std::string, Packer> open;
   };
--- a/src/tiers/share/uplift.cpp
+++ b/src/tiers/share/uplift.cpp
@@ -18,7 +18,7 @@
     if (!site.homes().heads(options.name, shard)) continue;
     for (const auto* line : site.board().heaviest(shard, region.keeper().quota(), tokens_least)) {
       auto short_line = *line;
-      // In the region this conductor answers for it. Guards against a liar of the site that speaks through honest heads:
+      // In the region this router answers for it. Guards against a liar of the site that speaks through honest heads:
       // two have seen it, or this one itself.
       std::erase_if(short_line.holders, [&](const Shown& one) { return one.votes < 2 && one.by != me; });
       if (short_line.holders.empty()) continue;
--- a/src/tiers/share/uplift.h
+++ b/src/tiers/share/uplift.h
@@ -1,5 +1,5 @@
 // What a head of a site's shards says to the region: the heaviest of its keys, and only such as are worth a crossing and
-// were seen by two conductors.
+// were seen by two routers.
 #pragma once
 
 #include "tiers/share/level.h"
--- a/src/tiers/store/board.h
+++ b/src/tiers/store/board.h
@@ -16,7 +16,7 @@
   explicit Board(std::size_t most_keys) : most_gone_(most_keys / 4) {}
   const std::vector<Shown>& holders(KeyId key) const;
   void set(Line line);  // no holders: takes it back
-  void keep_only(const std::function<bool(KeyId)>& which);  // the rest is another conductor's to tell now
+  void keep_only(const std::function<bool(KeyId)>& which);  // the rest is another router's to tell now
   // Lines to be told now, `most` at the most; they count as told with `told`.
   std::vector<const Line*> due(Micros now, Micros repeat, std::size_t most) const;
   void told(KeyId key, Micros now);
--- a/src/tiers/store/device.h
+++ b/src/tiers/store/device.h
@@ -1,4 +1,4 @@
-// The device tier: what this conductor has itself seen kept, and what of it the keepers are still to be told.
+// The device tier: what this router has itself seen kept, and what of it the keepers are still to be told.
 #pragma once
 
 #include <deque>
--- a/src/tiers/store/keeper.h
+++ b/src/tiers/store/keeper.h
@@ -1,4 +1,4 @@
-// What a conductor keeps for its site or region: the votes for the keys of all shards that reach it, a bounded number
+// What a router keeps for its site or region: the votes for the keys of all shards that reach it, a bounded number
 // of keys for each shard, and of these a bounded number for each contributor. Soft: votes not said again are forgotten.
 #pragma once
 
--- a/src/tiers/store/told.h
+++ b/src/tiers/store/told.h
@@ -1,4 +1,4 @@
-// What this conductor was told by the heads of the shards: the side from which hints are read.
+// What this router was told by the heads of the shards: the side from which hints are read.
 #pragma once
 
 #include <array>
--- a/src/tiers/trust/trust.h
+++ b/src/tiers/trust/trust.h
@@ -1,4 +1,4 @@
-// How far this conductor believes each of the others, by the nodes' own counts alone. Told to nobody: a liar can't talk
+// How far this router believes each of the others, by the nodes' own counts alone. Told to nobody: a liar can't talk
 // the trust in others down. Beside it, the hints that a count has just disproved.
 #pragma once
 
--- a/src/tiers/wire/parcel.h
+++ b/src/tiers/wire/parcel.h
@@ -25,7 +25,7 @@
   Tier tier = Tier::site;
   Stamp stamp;
   std::vector<std::pair<NameId, Era>> devices;
-  std::vector<Line> lines;  // seen at: this conductor's clock
+  std::vector<Line> lines;  // seen at: this router's clock
   std::uint64_t digest = 0;
 };
 
--- a/tests/acceptance/calls_test.cpp
+++ b/tests/acceptance/calls_test.cpp
@@ -1,4 +1,4 @@
-// What goes on between the conductor and one node: which outcome comes of what a node does, and what its connections carry.
+// What goes on between the router and one node: which outcome comes of what a node does, and what its connections carry.
 #include <netinet/tcp.h>
 
 #include <sstream>
--- a/tests/acceptance/evidence_test.cpp
+++ b/tests/acceptance/evidence_test.cpp
@@ -1,4 +1,4 @@
-// What a conductor goes by has to fade, to be weighed against what else there is, and to be kept of those who come now.
+// What a router goes by has to fade, to be weighed against what else there is, and to be kept of those who come now.
 #include <random>
 
 #include "support.h"
--- a/tests/acceptance/front_test.cpp
+++ b/tests/acceptance/front_test.cpp
@@ -71,7 +71,7 @@
   Stopped clock;
   Silent silent;
   net::Loop loop;
-  Conductor core;
+  Router core;
   http::Front front{loop, core, http::Front::Options{{"127.0.0.1:0"}, 64}};
   std::size_t seen = 0;
   int asked = 0;
@@ -142,7 +142,7 @@
 
 // One token is four characters, where a request does not say how long its prompt is.
 TEST(Lengths, AreStatedOrCountedInCharacters) {
-  struct Ear : Witness {
+  struct Ear : NodeObserver {
     void kept(const Node&, Key, Key, double tokens, double shared_tokens, Micros) override { heard = {tokens, shared_tokens}; }
     void lost(const Node&, Micros) override {}
     void listed(const std::vector<Node>&, Micros) override {}
@@ -154,12 +154,12 @@
                                        std::pair{"Req-Extra: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\n", Both{5120, 2048}}}) {
     Bed bed(true);
     Ear ear;
-    bed.core.witness(&ear);
+    bed.core.observer(&ear);
     bed.ask(field, std::string(4000, 'x'));
     ASSERT_EQ(bed.silent.begun.size(), 1u);
     bed.silent.begun[0].attempt->done({Outcome::read, 0, {}, {}});
     EXPECT_EQ(ear.heard, lengths) << field;
-    bed.core.witness(nullptr);
+    bed.core.observer(nullptr);
   }
 }
 
--- a/tests/acceptance/late_answer_test.cpp
+++ b/tests/acceptance/late_answer_test.cpp
@@ -1,5 +1,5 @@
 // A second answer that comes when its connection has the next request already. Danger: that request's client is served
-// what no node made for it, and its attempt goes on at the node while the conductor takes it for ended.
+// what no node made for it, and its attempt goes on at the node while the router takes it for ended.
 #include "acceptance/door.h"
 
 namespace lemonroute::acceptance {
--- a/tests/acceptance/late_connect_test.cpp
+++ b/tests/acceptance/late_connect_test.cpp
@@ -1,8 +1,8 @@
 // A connection to a node that comes up late, after the node was said to leave: a request that has waited for it is new
-// work, and its first byte counts. Nothing may go out over 500 ms after the conductor was told.
+// work, and its first byte counts. Nothing may go out over 500 ms after the router was told.
 #include "acceptance/door.h"
 #include "base/log.h"
-#include "core/conductor.h"
+#include "core/router.h"
 #include "http/node_client.h"
 
 namespace lemonroute::acceptance {
@@ -43,16 +43,16 @@
   s.kind_role = {Role::read, Role::write};
   s.max_attempts = 6;
   s.connect_timeout = limits.connect_timeout;
-  Conductor core(s, {"a"}, {"r", "w"}, 1, clock, nodes);
-  Conductor::Listed reader{"r", door.address, "a", "r", 0, Phase::ready, 1, Micros(0)};
+  Router core(s, {"a"}, {"r", "w"}, 1, clock, nodes);
+  Router::Listed reader{"r", door.address, "a", "r", 0, Phase::ready, 1, Micros(0)};
   core.update(ListKind::full, 1, {reader});
   Asker asker;
-  Inquiry inquiry;
-  inquiry.prompt = {"q", "/", std::make_shared<std::string>("{}")};
-  inquiry.kind = "k";
-  inquiry.prompt_tokens = 100;
+  ClientRequest client_request;
+  client_request.prompt = {"q", "/", std::make_shared<std::string>("{}")};
+  client_request.kind = "k";
+  client_request.prompt_tokens = 100;
   RequestId id = 0;
-  ASSERT_EQ(core.take(inquiry, asker, id), Conductor::Taken::yes);
+  ASSERT_EQ(core.take(client_request, asker, id), Router::Taken::yes);
   reader.phase = Phase::draining;
   core.update(ListKind::delta, 2, {reader});
   clock.at += 600ms;
--- a/tests/acceptance/soak_test.cpp
+++ b/tests/acceptance/soak_test.cpp
@@ -10,7 +10,7 @@
 #include <random>
 
 #include "base/log.h"
-#include "core/conductor.h"
+#include "core/router.h"
 
 namespace {
 std::size_t live = 0;  // bytes held, as the allocator counts them
@@ -116,7 +116,7 @@
   bool one_in(std::uint64_t n) { return random_() % n == 0; }
   // A node in the place of another: a new name, as every release of the nodes brings.
   void list(int place) {
-    std::vector<Conductor::Listed> changes;
+    std::vector<Router::Listed> changes;
     const auto entry = [&](int number, Phase phase) {
       const std::string kind = place % 2 ? "w" : "r";
       changes.push_back({kind + std::to_string(place) + "-" + std::to_string(number), "127.0.0.1:1", "a", kind, 0, phase, 1, Micros(0)});
@@ -127,15 +127,15 @@
   }
   void ask() {
     Asker asker;
-    Inquiry inquiry;
-    inquiry.prompt = {"q" + std::to_string(asked_++), "/", std::make_shared<std::string>("{}")};
-    inquiry.kind = "k";
-    inquiry.session = 1 + random_() % 500;
-    inquiry.shared = 1 + random_() % 20;
-    inquiry.prompt_tokens = static_cast<double>(500 + random_() % 4000);
-    inquiry.shared_tokens = 400;
+    ClientRequest client_request;
+    client_request.prompt = {"q" + std::to_string(asked_++), "/", std::make_shared<std::string>("{}")};
+    client_request.kind = "k";
+    client_request.session = 1 + random_() % 500;
+    client_request.shared = 1 + random_() % 20;
+    client_request.prompt_tokens = static_cast<double>(500 + random_() % 4000);
+    client_request.shared_tokens = 400;
     RequestId id = 0;
-    ASSERT_EQ(core_.take(inquiry, asker, id), Conductor::Taken::yes);
+    ASSERT_EQ(core_.take(client_request, asker, id), Router::Taken::yes);
     bool reads = true;
     while (nodes_.out) {
       clock_.at += 5ms;
@@ -174,7 +174,7 @@
   std::mt19937_64 random_{3};
   Stopped clock_;
   Nodes1 nodes_;
-  Conductor core_;
+  Router core_;
   std::uint32_t version_ = 0;
   int asked_ = 0, numbers_[8] = {};
 };
--- a/tests/conformance/server_cases.cpp
+++ b/tests/conformance/server_cases.cpp
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "core/conductor.h"
+#include "core/router.h"
 #include "grpc/compression.h"
 #include "grpc/front.h"
 #include "grpc/reflection.h"
@@ -93,7 +93,7 @@
   net::Loop loop;
   SystemClock clock;
   EagerNodes nodes{loop};
-  Conductor core{settings(), {"a"}, {"r", "w"}, 1, clock, nodes};
+  Router core{settings(), {"a"}, {"r", "w"}, 1, clock, nodes};
   ops::Status status{core};
   grpc::Front front{core};
   ops::HealthService health{status};
--- a/tests/core/grpc_front_test.cpp
+++ b/tests/core/grpc_front_test.cpp
@@ -5,7 +5,7 @@
 
 #include "base/log.h"
 #include "conformance/peer.h"
-#include "core/conductor.h"
+#include "core/router.h"
 #include "grpc/front.h"
 #include "grpc/server.h"
 #include "net/core_bed.h"
@@ -50,7 +50,7 @@
   net::Loop loop;
   test::TestClock clock;
   test::TestNodes nodes;
-  Conductor core{test::settings(), {"a"}, {"r", "w"}, 1, clock, nodes};
+  Router core{test::settings(), {"a"}, {"r", "w"}, 1, clock, nodes};
   grpc::Front front{core};
   grpc::Server server{loop, "127.0.0.1:0", 16};
   std::unique_ptr<Peer> peer;
--- a/tests/core/play.cpp
+++ b/tests/core/play.cpp
@@ -96,20 +96,20 @@
   auto& one = *(askers_[name] = std::make_unique<Asker>(*this, name));
   const auto& c = settings_.classes[draw_.below(settings_.classes.size())];
   one.effect = c.effect;
-  Inquiry inquiry;
-  inquiry.prompt = {name, "/", std::make_shared<std::string>("{}")};
-  inquiry.kind = c.name;
-  inquiry.session = draw_.below(5);
-  inquiry.shared = draw_.below(3);
-  inquiry.budget = draw_.one_in(3) ? 100ms + draw_.up_to(4s) : c.deadline;
-  inquiry.prompt_tokens = static_cast<double>(50 + draw_.below(1000));
-  one.tokens = inquiry.prompt_tokens;
-  inquiry.shared_tokens = inquiry.prompt_tokens / 2;
-  inquiry.max_output = 100;
-  monitor_.taken(clock_.at, name, clock_.at + inquiry.budget, settings_.max_attempts, {c.effect, c.group, c.window});
-  if (core_.take(inquiry, one, one.id) != Conductor::Taken::yes) fault(name + " is not taken");
+  ClientRequest client_request;
+  client_request.prompt = {name, "/", std::make_shared<std::string>("{}")};
+  client_request.kind = c.name;
+  client_request.session = draw_.below(5);
+  client_request.shared = draw_.below(3);
+  client_request.budget = draw_.one_in(3) ? 100ms + draw_.up_to(4s) : c.deadline;
+  client_request.prompt_tokens = static_cast<double>(50 + draw_.below(1000));
+  one.tokens = client_request.prompt_tokens;
+  client_request.shared_tokens = client_request.prompt_tokens / 2;
+  client_request.max_output = 100;
+  monitor_.taken(clock_.at, name, clock_.at + client_request.budget, settings_.max_attempts, {c.effect, c.group, c.window});
+  if (core_.take(client_request, one, one.id) != Router::Taken::yes) fault(name + " is not taken");
   if (draw_.one_in(3))
-    at(clock_.at + draw_.up_to(draw_.one_in(2) ? inquiry.budget : inquiry.budget / 8), [this, &one] { leave(one); });
+    at(clock_.at + draw_.up_to(draw_.one_in(2) ? client_request.budget : client_request.budget / 8), [this, &one] { leave(one); });
 }
 
 // Most of one stage start anew, and many ask just then.
@@ -141,7 +141,7 @@
 
 // ---- Nodes, discovery and operators -------------------------------------------------------------------------
 
-Conductor::Listed Play::entry(const Place& place) const {
+Router::Listed Play::entry(const Place& place) const {
   return {place.name, "127.0.0.1:1", place.zone, place.name.substr(0, 1), place.cell, place.phase, 1, place.started};
 }
 void Play::list(Place& place) {
@@ -149,7 +149,7 @@
   core_.update(ListKind::delta, ++version_, {entry(place)});
 }
 void Play::list_all() {
-  std::vector<Conductor::Listed> all;
+  std::vector<Router::Listed> all;
   for (auto& [name, place] : nodes_) {
     monitor_.listed(clock_.at, name, place.phase, place.started, capacity);
     if (place.phase != Phase::gone) all.push_back(entry(place));
@@ -181,7 +181,7 @@
     case 3: return void(place.silent_until = clock_.at + draw_.up_to(2s));
     case 4: return list_all();
     case 5: {
-      if (core_.take_out(place.name) != Conductor::Ordered::done) return;
+      if (core_.take_out(place.name) != Router::Ordered::done) return;
       monitor_.banned(clock_.at, place.name);
       return at(clock_.at + draw_.up_to(2s), [this, &place] {
         core_.put_back(place.name);
--- a/tests/core/play.h
+++ b/tests/core/play.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/conductor.h"
+#include "core/router.h"
 #include "core/drawn.h"
 #include "rules/monitor.h"
 
@@ -79,7 +79,7 @@
   void at(Micros when, std::function<void()> job) { timers_.add(when, std::move(job)); }
   void later(Run& run, Micros after, std::function<void()> job);
   static rules::Limits limits_of(const Settings& settings);
-  Conductor::Listed entry(const Place& place) const;
+  Router::Listed entry(const Place& place) const;
   void fault(const std::string& what) { if (fault_.empty()) fault_ = what; }
 
   Seen& seen_;
@@ -93,7 +93,7 @@
   std::optional<Micros> waits_end_;
   std::map<std::string, Place> nodes_;
   std::map<std::string, std::unique_ptr<Asker>> askers_;
-  Conductor core_;  // last: its calls know all of the above
+  Router core_;  // last: its calls know all of the above
 };
 
 }  // namespace lemonroute::property
--- a/tests/core/unsent_test.cpp
+++ b/tests/core/unsent_test.cpp
@@ -34,14 +34,14 @@
   }
   void start(std::vector<std::string> names, Settings with = limits()) {
     core.emplace(with, std::vector<std::string>{"a"}, std::vector<std::string>{"r", "w"}, 1, clock, nodes);
-    std::vector<Conductor::Listed> list;
+    std::vector<Router::Listed> list;
     for (const auto& name : names) list.push_back(Bed::node(name));
     core->update(ListKind::full, 1, list);
-    Inquiry inquiry;
-    inquiry.prompt = {"q", "/", std::make_shared<std::string>("{}")};
-    inquiry.kind = "k";
-    inquiry.prompt_tokens = 100;
-    ASSERT_EQ(core->take(inquiry, client, id), Conductor::Taken::yes);
+    ClientRequest client_request;
+    client_request.prompt = {"q", "/", std::make_shared<std::string>("{}")};
+    client_request.kind = "k";
+    client_request.prompt_tokens = 100;
+    ASSERT_EQ(core->take(client_request, client, id), Router::Taken::yes);
   }
   void read() { end(Outcome::read); }
   void end(Outcome outcome, std::uint32_t note = 0) { nodes.begun.back().attempt->done({outcome, note, {}, {}}); }
@@ -54,7 +54,7 @@
   TestClock clock;
   SlowNodes nodes;
   TestClient client;
-  std::optional<Conductor> core;
+  std::optional<Router> core;
   RequestId id = 0;
 };
 
@@ -118,7 +118,7 @@
 TEST_F(Unsent, DoesNotBeginAtANodeThatIsOutByHand) {
   start({"r", "r2", "w"});
   const std::string first = at();
-  ASSERT_EQ(core->take_out(first), Conductor::Ordered::done);
+  ASSERT_EQ(core->take_out(first), Router::Ordered::done);
   pass(250ms);
   EXPECT_FALSE(nodes.begun[0].open);
   EXPECT_NE(at(), first);
--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -1,4 +1,4 @@
-// A drawn schedule: two processes of one conductor, the real core and the real Scheduler in each, on one clock, among
+// A drawn schedule: two processes of one router, the real core and the real Scheduler in each, on one clock, among
 // nodes and clients that do what the seed says. It keeps its own book of what may have run where.
 #pragma once
 
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/conductor.h"
+#include "core/router.h"
 
 namespace lemonroute::once {
 
@@ -60,7 +60,7 @@
       std::erase(play.calls_, this);
       if (!over) play.ended(*this, serves);  // given up, and it may run on
     }
-    std::optional<Passed> passable() override { return begun ? std::optional(Passed{3, false}) : std::nullopt; }
+    std::optional<PassedConnection> passable() override { return begun ? std::optional(PassedConnection{3, false}) : std::nullopt; }
     void passed() override { over = true; }
     Play& play;
     std::string name;
@@ -79,7 +79,7 @@
     void fail(Failure) override { answer(); }
     void cut() override { answer(); }
     void answer() { open = false, ++play.book_[name].answers; }
-    std::optional<Passed> passable() override { return begun && open ? std::optional(Passed{4, false}) : std::nullopt; }
+    std::optional<PassedConnection> passable() override { return begun && open ? std::optional(PassedConnection{4, false}) : std::nullopt; }
     void passed() override { open = false; }
     Play& play;
     std::string name;
@@ -111,7 +111,7 @@
       const auto kind = static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
       return std::make_unique<Run>(play, prompt.id, attempt, settings.kind_role.at(kind) != Role::read);
     }
-    std::unique_ptr<Call> adopt(const Node&, const Passed&, Attempt& attempt) override {
+    std::unique_ptr<Call> adopt(const Node&, const PassedConnection&, Attempt& attempt) override {
       if (play.one_in(8)) return nullptr;
       auto call = std::make_unique<Run>(play, play.passing_, attempt, true);
       call->begun = play.adopted_ = true;
@@ -128,7 +128,7 @@
     std::vector<std::string> kinds{"r", "w", "m"};
     Settings settings;
     std::map<RequestId, std::string> names;
-    Conductor core;
+    Router core;
   };
 
   // ---- what is drawn ----
@@ -176,18 +176,18 @@
     Process& process = *any(processes_);
     const std::string name = "q" + std::to_string(asked_++);
     askers_.push_back(std::make_unique<Asker>(*this, name));
-    Inquiry inquiry;
-    inquiry.prompt = {name, "/", std::make_shared<std::string>("{}")};
-    inquiry.kind = any(std::vector<std::string>{"draft", "once", "once", "chat"});
-    inquiry.session = below(6);
-    inquiry.shared = below(3);
-    inquiry.prompt_tokens = static_cast<double>(100 + below(5000));
-    inquiry.shared_tokens = inquiry.prompt_tokens / 2;
+    ClientRequest client_request;
+    client_request.prompt = {name, "/", std::make_shared<std::string>("{}")};
+    client_request.kind = any(std::vector<std::string>{"draft", "once", "once", "chat"});
+    client_request.session = below(6);
+    client_request.shared = below(3);
+    client_request.prompt_tokens = static_cast<double>(100 + below(5000));
+    client_request.shared_tokens = client_request.prompt_tokens / 2;
     const auto& classes = process.settings.classes;
-    const auto at = std::find_if(classes.begin(), classes.end(), [&](auto& one) { return one.name == inquiry.kind; });
+    const auto at = std::find_if(classes.begin(), classes.end(), [&](auto& one) { return one.name == client_request.kind; });
     book_[name] = {at != classes.end() && at->effect == Effect::unsafe, false, false, false, 0, process.settings.max_attempts, 0, 0};
     Asker& asker = *askers_.back();
-    if (process.core.take(inquiry, asker, asker.id) == Conductor::Taken::yes) {
+    if (process.core.take(client_request, asker, asker.id) == Router::Taken::yes) {
       process.names[asker.id] = name;
       owner_[name] = &process;
     } else {
@@ -277,7 +277,7 @@
   }
   void hand_over() {
     Process &from = *processes_[0], &to = *processes_[1];
-    from.core.pass_streams([&](const Passing& stream) {
+    from.core.pass_streams([&](const PassedStream& stream) {
       if (one_in(6)) return false;
       passing_ = stream.id;
       adopted_ = false;
--- a/tests/edges/descriptors.cpp
+++ b/tests/edges/descriptors.cpp
@@ -48,11 +48,11 @@
 // Of connections at rest the one that has rested longest goes first, and none before its time; of such that have not
 // asked likewise; none that is busy ever does.
 void oldest_first() {
-  struct Guest : net::Admission::Guest {
+  struct Peer : net::Admission::Peer {
     std::string name;
     std::string* gone;
     net::Admission* in;
-    Guest(std::string n, std::string& g, net::Admission& a) : name(std::move(n)), gone(&g), in(&a) {}
+    Peer(std::string n, std::string& g, net::Admission& a) : name(std::move(n)), gone(&g), in(&a) {}
     void dismiss() override {
       *gone += name;
       in->left(*this);
@@ -63,7 +63,7 @@
   bool paused = false;
   std::string gone;
   net::Admission admission(loop, 5, [&](bool on) { paused = on; }, [&] { return at; });
-  Guest a("a", gone, admission), b("b", gone, admission), c("c", gone, admission), d("d", gone, admission),
+  Peer a("a", gone, admission), b("b", gone, admission), c("c", gone, admission), d("d", gone, admission),
       e("e", gone, admission), f("f", gone, admission);
   for (auto* one : {&a, &b, &c, &d}) admission.arrived(*one);
   admission.busy(a);
@@ -83,7 +83,7 @@
 
 // One that only waits for its peer to go takes no place, but there are few of them.
 void leaving() {
-  struct Guest : net::Admission::Guest {
+  struct Peer : net::Admission::Peer {
     bool gone = false;
     net::Admission* in = nullptr;
     void dismiss() override {
@@ -94,7 +94,7 @@
   net::Loop loop;
   bool paused = false;
   net::Admission admission(loop, 16, [&](bool on) { paused = on; });
-  std::vector<Guest> guests(20);
+  std::vector<Peer> guests(20);
   for (int i = 0; i < 16; ++i) {
     guests[i].in = &admission;
     admission.arrived(guests[i]);
--- a/tests/fleet/main.cpp
+++ b/tests/fleet/main.cpp
@@ -15,7 +15,7 @@
 
 using namespace lemonroute;
 
-// Each pair of conductors has sockets of its own.
+// Each pair of routers has sockets of its own.
 void raise_limit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -37,7 +37,7 @@
   usage.options.add_options()("program,p", cli::po::value<std::string>(), "the lemonroute to be played with")(
       "seed,s", cli::po::value<std::uint64_t>(), "in place of the scene's")(
       "times,n", cli::po::value<int>()->default_value(1), "plays each scene so often")(
-      "no-peers", "conductors do not know each other")("keep,k", "the folder with files and logs stays")(
+      "no-peers", "routers do not know each other")("keep,k", "the folder with files and logs stays")(
       "verbose,v", "says each step")("waits", "tells how long first tokens took")(
       "scene", cli::po::value<std::vector<std::string>>(), "");
   usage.places = {"scene"};
--- a/tests/fleet/play/clients.cpp
+++ b/tests/fleet/play/clients.cpp
@@ -36,8 +36,8 @@
   for (std::uint32_t i = 0; i < step.count; ++i) put(step, step.names[i % step.names.size()]);
 }
 
-void Clients::put(const Step& step, const std::string& conductor) {
-  const auto door = find_(conductor);
+void Clients::put(const Step& step, const std::string& router) {
+  const auto door = find_(router);
   if (!door) return;
   const std::string id = "q" + std::to_string(++count_);
   Prompt prompt;
@@ -46,9 +46,9 @@
   prompt.tokens = step.tokens;
   prompt.shared = prompt.opening.empty() ? 0 : step.tokens * 2 / 3;
   const Micros now = clock_.now();
-  ledger_.asked(now, id, {conductor, door->region, door->generation, prompt}, now + patience);
+  ledger_.asked(now, id, {router, door->region, door->generation, prompt}, now + patience);
   Waiting& one = waiting_[id];
-  one.conductor = conductor;
+  one.router = router;
   one.since = now;
   one.until = now + patience + politeness;
   const demo::Question question{id, step.kind, prompt.session, prompt.opening, static_cast<int>(prompt.tokens),
@@ -70,9 +70,9 @@
   ledger_.answered(clock_.now(), id, how);
 }
 
-void Clients::dropped(const std::string& conductor) {
+void Clients::dropped(const std::string& router) {
   for (auto at = waiting_.begin(); at != waiting_.end();) {
-    if (at->second.conductor != conductor) {
+    if (at->second.router != router) {
       ++at;
       continue;
     }
--- a/tests/fleet/play/clients.h
+++ b/tests/fleet/play/clients.h
@@ -1,4 +1,4 @@
-// The clients of a scene: a steady stream of requests over some conductors, and single ones.
+// The clients of a scene: a steady stream of requests over some routers, and single ones.
 #pragma once
 
 #include <deque>
@@ -16,30 +16,30 @@
 
 class Clients {
  public:
-  // Where a conductor's clients go, and what is known of it; nothing: nobody would ask there now.
+  // Where a router's clients go, and what is known of it; nothing: nobody would ask there now.
   struct Door {
     std::string address, region;
     unsigned generation = 0;
   };
-  using Find = std::function<std::optional<Door>(const std::string& conductor)>;
+  using Find = std::function<std::optional<Door>(const std::string& router)>;
   Clients(net::Loop& loop, const Clock& clock, Ledger& ledger, std::uint64_t seed, Find find);
 
   void load(const Step& step);  // rate 0: off
   void ask(const Step& step);   // so many at once, in turns
-  void dropped(const std::string& conductor);  // its process ended or froze: whoever waits there goes
+  void dropped(const std::string& router);  // its process ended or froze: whoever waits there goes
   void run_due();  // clients that have waited past their time go
   // How long first events took, of all that were served; in the order of their coming.
   const std::vector<Micros>& waits() const { return waits_; }
 
  private:
   struct Waiting {
-    std::string conductor;
+    std::string router;
     Micros since{}, until{};
     bool heard = false;
     std::unique_ptr<demo::Client> client;
   };
   void next();
-  void put(const Step& step, const std::string& conductor);
+  void put(const Step& step, const std::string& router);
   void ended(const std::string& id, const std::string& how);
 
   net::Loop& loop_;
--- a/tests/fleet/play/fleet.cpp
+++ b/tests/fleet/play/fleet.cpp
@@ -54,7 +54,7 @@
     for (;;)
       if (const auto one = free_address(); taken.insert(one).second) return one;
   };
-  for (const auto& line : scene.conductors) {
+  for (const auto& line : scene.routers) {
     Member& one = members_[line.name];
     one.line = line;
     for (const auto& region : scene.regions)
@@ -87,7 +87,7 @@
 
 void Fleet::write_keys() {
   std::set<std::string> names;
-  for (const auto& one : scene_.conductors) names.insert(one.keys.begin(), one.keys.end());
+  for (const auto& one : scene_.routers) names.insert(one.keys.begin(), one.keys.end());
   std::random_device random;
   for (const auto& name : names) {
     std::ostringstream hex;
@@ -109,7 +109,7 @@
 void Fleet::write_file(Member& member) {
   Names seeds, keys;
   std::set<std::string> sites;
-  for (const auto& one : scene_.conductors)
+  for (const auto& one : scene_.routers)
     if (sites.insert(one.site).second || seeds.size() < 2)
       if (const auto via = member.places.via.find(one.name); via != member.places.via.end()) seeds.push_back(via->second);
   for (const auto& key : member.line.keys) keys.push_back((folder_.path() / (key + ".key")).string());
@@ -125,14 +125,14 @@
   }
 }
 
-bool Fleet::running(const std::string& conductor, unsigned generation) const {
-  const Process& process = *members_.at(conductor).process;
+bool Fleet::running(const std::string& router, unsigned generation) const {
+  const Process& process = *members_.at(router).process;
   return process.runs() && process.generation() == generation;
 }
 
-void Fleet::start(const std::string& conductor, bool state_lost) {
-  Member& one = members_.at(conductor);
-  if (one.process->runs()) throw std::runtime_error(conductor + " runs already");
+void Fleet::start(const std::string& router, bool state_lost) {
+  Member& one = members_.at(router);
+  if (one.process->runs()) throw std::runtime_error(router + " runs already");
   std::error_code ignored;
   if (state_lost) std::filesystem::remove_all(one.temp, ignored);
   std::filesystem::create_directories(one.temp);
@@ -140,25 +140,25 @@
   one.process->start({options_.program, "serve", "--config", one.file.string()});
 }
 
-void Fleet::kill(const std::string& conductor) {
-  Member& one = members_.at(conductor);
+void Fleet::kill(const std::string& router) {
+  Member& one = members_.at(router);
   one.ends = true;
   one.process->end();
-  ledger_.away(clock_.now(), conductor);
+  ledger_.away(clock_.now(), router);
 }
 
-void Fleet::stop(const std::string& conductor) {
-  members_.at(conductor).process->signal(SIGSTOP);
-  ledger_.away(clock_.now(), conductor);
+void Fleet::stop(const std::string& router) {
+  members_.at(router).process->signal(SIGSTOP);
+  ledger_.away(clock_.now(), router);
 }
 
-void Fleet::go_on(const std::string& conductor) {
-  members_.at(conductor).process->signal(SIGCONT);
-  ledger_.back(clock_.now(), conductor);
+void Fleet::go_on(const std::string& router) {
+  members_.at(router).process->signal(SIGCONT);
+  ledger_.back(clock_.now(), router);
 }
 
-void Fleet::term(const std::string& conductor) {
-  Member& one = members_.at(conductor);
+void Fleet::term(const std::string& router) {
+  Member& one = members_.at(router);
   one.ends = true;
   one.process->signal(SIGTERM);
 }
