--- a/tests/fleet/play/fleet.h
+++ b/tests/fleet/play/fleet.h
@@ -21,7 +21,7 @@
 
 struct Options {
   std::string program;         // lemonroute
-  bool peers = true;           // whether conductors know each other
+  bool peers = true;           // whether routers know each other
   bool keep = false;           // the folder with files and logs stays
   bool talks = false;          // each step is said
   double patience = 4;         // by which bounds are stretched: a step that holds costs nothing of it
@@ -45,7 +45,7 @@
 class Fleet {
  public:
   struct Member {
-    ConductorLine line;
+    RouterLine line;
     std::string region;
     Places places;
     std::filesystem::path file, temp;
@@ -56,18 +56,18 @@
 
   Fleet(net::Loop& loop, const Clock& clock, const Scene& scene, const Options& options, Ledger& ledger, Cells& cells);
 
-  void start(const std::string& conductor, bool state_lost = false);
-  void kill(const std::string& conductor);
-  void stop(const std::string& conductor);
-  void go_on(const std::string& conductor);
-  void term(const std::string& conductor);
+  void start(const std::string& router, bool state_lost = false);
+  void kill(const std::string& router);
+  void stop(const std::string& router);
+  void go_on(const std::string& router);
+  void term(const std::string& router);
   void device(const Step& step);  // restart, crash, drain, list, flush
   void link(const Step& step);
   void flood(const Step& step, Micros span);  // what falls due of it in that span
 
   Member& member(const std::string& name) { return members_.at(name); }
   std::map<std::string, Member>& members() { return members_; }
-  bool running(const std::string& conductor, unsigned generation) const;
+  bool running(const std::string& router, unsigned generation) const;
   const Counts& datagrams() const { return counts_; }
   const std::filesystem::path& folder() const { return folder_.path(); }
 
@@ -91,7 +91,7 @@
   std::map<std::string, std::unique_ptr<Device>> devices_;
   std::map<std::string, const DeviceLine*> lines_;
   std::vector<std::unique_ptr<DatagramRelay>> relays_;
-  std::map<std::pair<std::string, std::string>, std::unique_ptr<StreamRelay>> ways_;  // conductor, device
+  std::map<std::pair<std::string, std::string>, std::unique_ptr<StreamRelay>> ways_;  // router, device
   std::unique_ptr<Socket> stranger_;
   double owed_ = 0;  // datagrams of the flood
 };
--- a/tests/fleet/play/player.cpp
+++ b/tests/fleet/play/player.cpp
@@ -30,11 +30,11 @@
 
 Player::Player(const Scene& scene, const Options& options, std::ostream& out)
     : scene_(scene), options_(options), out_(out),
-      ledger_(limits(), [this](auto& conductor, unsigned generation) { return fleet_.running(conductor, generation); }),
+      ledger_(limits(), [this](auto& router, unsigned generation) { return fleet_.running(router, generation); }),
       fleet_(loop_, clock_, scene, options, ledger_, cells_),
       clients_(loop_, clock_, ledger_, options.seed.value_or(scene.seed),
-               [this](auto& conductor) -> std::optional<Clients::Door> {
-                 const auto& one = fleet_.member(conductor);
+               [this](auto& router) -> std::optional<Clients::Door> {
+                 const auto& one = fleet_.member(router);
                  if (!one.process->runs() || one.ends) return std::nullopt;
                  return Clients::Door{one.places.serve, one.region, one.process->generation()};
                }),
@@ -45,7 +45,7 @@
   cells_.holds = [this](auto& request, auto& device) { ledger_.holds(clock_.now(), request, device); };
   cells_.freed = [this](auto& request, auto& device) { ledger_.freed(clock_.now(), request, device); };
   cells_.read = [this](auto& device, auto& prompt, auto cached) { ledger_.read(device, prompt, cached); };
-  for (const auto& one : scene.conductors) known_[one.name];
+  for (const auto& one : scene.routers) known_[one.name];
   beaten_ = clock_.now();
   beat_.start(beat_each);
 }
@@ -82,9 +82,9 @@
   step_at_ = clock_.now();
   for (auto& [name, one] : known_) one.fresh = false;
   switch (step.verb) {
-    case Verb::start: case Verb::kill: case Verb::stop: case Verb::go_on: case Verb::term: return conductors(step);
+    case Verb::start: case Verb::kill: case Verb::stop: case Verb::go_on: case Verb::term: return routers(step);
     case Verb::restart:
-      if (scene_.conductor(step.names.front())) return conductors(step);
+      if (scene_.router(step.names.front())) return routers(step);
       return fleet_.device(step);
     case Verb::crash: case Verb::drain: case Verb::list: case Verb::flush: return fleet_.device(step);
     case Verb::cut: case Verb::slow: case Verb::lose: case Verb::repeat: case Verb::reorder: case Verb::corrupt:
@@ -98,7 +98,7 @@
   }
 }
 
-void Player::conductors(const Step& step) {
+void Player::routers(const Step& step) {
   for (const auto& name : step.names) {
     auto& one = fleet_.member(name);
     const auto away = [&](auto act) {
--- a/tests/fleet/play/player.h
+++ b/tests/fleet/play/player.h
@@ -21,7 +21,7 @@
     std::string why;
   };
   void step(const Step& step);
-  void conductors(const Step& step);
+  void routers(const Step& step);
   void expect(const Step& step);
   void hold(const Step& step);
   void wait(double periods);
--- a/tests/fleet/relay/streams.cpp
+++ b/tests/fleet/relay/streams.cpp
@@ -60,16 +60,16 @@
   };
   End& other(End& one) { return &one == &near_ ? far_ : near_; }
   Faults& faults(End& from) {
-    return (&from == &near_ ? relay_.links_.between(relay_.conductor_, relay_.device_)
-                            : relay_.links_.between(relay_.device_, relay_.conductor_)).faults;
+    return (&from == &near_ ? relay_.links_.between(relay_.router_, relay_.device_)
+                            : relay_.links_.between(relay_.device_, relay_.router_)).faults;
   }
   StreamRelay& relay_;
   bool over_ = false;
   End near_, far_;
 };
 
-StreamRelay::StreamRelay(net::Loop& loop, const std::string& host, Links& links, std::string conductor, std::string device)
-    : loop_(loop), links_(links), host_(host), conductor_(std::move(conductor)), device_(std::move(device)),
+StreamRelay::StreamRelay(net::Loop& loop, const std::string& host, Links& links, std::string router, std::string device)
+    : loop_(loop), links_(links), host_(host), router_(std::move(router)), device_(std::move(device)),
       listener_(std::make_unique<net::Listener>(loop, host + ":0", [this](evutil_socket_t fd) {
         pipes_.push_back(std::make_unique<Pipe>(*this, fd));
         if (pipes_.back()->over()) drop(*pipes_.back());  // the device refused at once
--- a/tests/fleet/scene/fact.cpp
+++ b/tests/fleet/scene/fact.cpp
@@ -15,7 +15,7 @@
     const auto equals = word.find('=');
     const std::string key = word.substr(0, equals), value = word.substr(equals + 1);
     if (standings.count(key) || key == "there" || key == "known") line.whole(value, 0, 1000);
-    else if (!scene.conductor(key)) line.fault("'" + key + "' is neither a standing nor a conductor");
+    else if (!scene.router(key)) line.fault("'" + key + "' is neither a standing nor a router");
     else if (!standings.count(value) && value != "none" && value != "unreachable")
       line.fault("'" + value + "' is no standing: alive, suspected, gone, left, none, unreachable");
     fact.wanted[key] = value;
@@ -55,7 +55,7 @@
     fact.what = line.take("a pool");
     if (!line.skip("owner")) line.fault("'owner' is missing");
     fact.to = line.take("a region");
-    if (!line.skip("at")) line.fault("'at' and conductors are missing");
+    if (!line.skip("at")) line.fault("'at' and routers are missing");
     fact.at = read_names(scene, line, false);
     return fact;
   }
--- a/tests/fleet/scene/names.cpp
+++ b/tests/fleet/scene/names.cpp
@@ -8,7 +8,7 @@
 
 Names of_sites(const Scene& scene, const Names& sites) {
   Names names;
-  for (const auto& one : scene.conductors)
+  for (const auto& one : scene.routers)
     if (std::find(sites.begin(), sites.end(), one.site) != sites.end()) names.push_back(one.name);
   return names;
 }
@@ -17,7 +17,7 @@
 std::optional<Names> meaning(const Scene& scene, Line& line, bool devices) {
   if (const auto site = line.option("site")) {
     const Names names = of_sites(scene, {*site});
-    if (names.empty()) line.fault("no conductor is at site " + *site);
+    if (names.empty()) line.fault("no router is at site " + *site);
     return names;
   }
   if (const auto region = line.option("region")) {
@@ -28,11 +28,11 @@
   const std::string word = line.peek();
   Names names;
   if (word == "all") {
-    for (const auto& one : scene.conductors) names.push_back(one.name);
+    for (const auto& one : scene.routers) names.push_back(one.name);
   } else {
     names = Line::range(word).value_or(Names{word});
     for (const auto& name : names)
-      if (!scene.conductor(name) && !(devices && scene.device(name))) return std::nullopt;
+      if (!scene.router(name) && !(devices && scene.device(name))) return std::nullopt;
   }
   line.take("a name");
   return names;
@@ -49,7 +49,7 @@
   }
   if (names.empty())
     line.fault(line.empty() ? "a name is missing"
-                            : "'" + line.peek() + "' is no conductor" + (devices ? " and no device" : ""));
+                            : "'" + line.peek() + "' is no router" + (devices ? " and no device" : ""));
   return {names.begin(), names.end()};
 }
 
--- a/tests/fleet/scene/parse.cpp
+++ b/tests/fleet/scene/parse.cpp
@@ -10,7 +10,7 @@
 namespace lemonroute::rig {
 namespace {
 
-constexpr std::size_t most_conductors = 24;
+constexpr std::size_t most_routers = 24;
 
 void check_new(const Scene& scene, const Line& line, const std::string& name) {
   static const std::set<std::string> taken{"all", "rest", "on", "at", "within"};
@@ -18,7 +18,7 @@
     return std::isalnum(c) || c == '-' || c == '_';
   });
   if (!plain || taken.count(name)) line.fault("'" + name + "' can't be a name");
-  if (scene.conductor(name) || scene.device(name)) line.fault("'" + name + "' is there twice");
+  if (scene.router(name) || scene.device(name)) line.fault("'" + name + "' is there twice");
 }
 
 Names plain_names(Line& line) {
@@ -32,17 +32,17 @@
   return names;
 }
 
-void conductors(Scene& scene, Line& line) {
+void routers(Scene& scene, Line& line) {
   const Names names = plain_names(line);
   const auto site = line.option("site");
   if (!site) line.fault("site= is missing");
   line.end();
   for (const auto& name : names) {
     check_new(scene, line, name);
-    scene.conductors.push_back({name, *site});
+    scene.routers.push_back({name, *site});
   }
-  if (scene.conductors.size() > most_conductors)
-    line.fault("more than " + std::to_string(most_conductors) + " conductors");
+  if (scene.routers.size() > most_routers)
+    line.fault("more than " + std::to_string(most_routers) + " routers");
 }
 
 void devices(Scene& scene, Line& line, bool reader) {
@@ -72,15 +72,15 @@
   }
   if (one.sites.empty()) line.fault("sites= is missing");
   for (const auto& keeper : one.keepers)
-    if (!scene.conductor(keeper)) line.fault("'" + keeper + "' is no conductor");
+    if (!scene.router(keeper)) line.fault("'" + keeper + "' is no router");
   scene.regions.push_back(one);
 }
 
-ConductorLine& known_conductor(Scene& scene, Line& line) {
-  const std::string name = line.take("a conductor");
-  for (auto& one : scene.conductors)
+RouterLine& known_router(Scene& scene, Line& line) {
+  const std::string name = line.take("a router");
+  for (auto& one : scene.routers)
     if (one.name == name) return one;
-  line.fault("'" + name + "' is no conductor");
+  line.fault("'" + name + "' is no router");
 }
 
 // Whether the line is one of the fleet's.
@@ -93,17 +93,17 @@
   } else if (verb == "relay") {
     if (!line.skip("devices")) line.fault("only 'relay devices' is known");
     scene.relay_devices = true;
-  } else if (verb == "conductors") {
-    conductors(scene, line);
+  } else if (verb == "routers") {
+    routers(scene, line);
   } else if (verb == "readers" || verb == "writers") {
     devices(scene, line, verb == "readers");
   } else if (verb == "region") {
     region(scene, line);
   } else if (verb == "key") {
-    auto& one = known_conductor(scene, line);
+    auto& one = known_router(scene, line);
     one.keys = plain_names(line);
   } else if (verb == "clock") {
-    auto& one = known_conductor(scene, line);
+    auto& one = known_router(scene, line);
     one.clock = line.span(line.take("a span"));
   } else if (verb == "setting") {
     const std::string name = line.take("a key of [settings]");
@@ -120,9 +120,9 @@
 
 }  // namespace
 
-const ConductorLine* Scene::conductor(const std::string& name) const {
-  const auto at = std::find_if(conductors.begin(), conductors.end(), [&](auto& one) { return one.name == name; });
-  return at == conductors.end() ? nullptr : &*at;
+const RouterLine* Scene::router(const std::string& name) const {
+  const auto at = std::find_if(routers.begin(), routers.end(), [&](auto& one) { return one.name == name; });
+  return at == routers.end() ? nullptr : &*at;
 }
 const DeviceLine* Scene::device(const std::string& name) const {
   const auto at = std::find_if(devices.begin(), devices.end(), [&](auto& one) { return one.name == name; });
@@ -145,7 +145,7 @@
     scene.steps.push_back(read_step(scene, line, verb));
     scene.steps.back().text = written.substr(0, written.find(" #"));
   }
-  if (scene.conductors.empty()) throw SceneError(path + ":" + std::to_string(number) + ": no conductors");
+  if (scene.routers.empty()) throw SceneError(path + ":" + std::to_string(number) + ": no routers");
   if (scene.steps.empty()) throw SceneError(path + ":" + std::to_string(number) + ": no steps");
   return scene;
 }
--- a/tests/fleet/scene/scene.h
+++ b/tests/fleet/scene/scene.h
@@ -19,7 +19,7 @@
 
 using Names = std::vector<std::string>;
 
-struct ConductorLine {
+struct RouterLine {
   std::string name, site;
   Names keys{"fleet"};  // the first one seals, each one opens
   Micros clock{};       // its clock is off by so much
@@ -35,7 +35,7 @@
 };
 
 enum class Verb {
-  start, kill, stop, go_on, term, restart,             // of conductors; restart of devices too
+  start, kill, stop, go_on, term, restart,             // of routers; restart of devices too
   crash, drain, list, flush,                           // of devices
   cut, slow, lose, repeat, reorder, corrupt, heal,     // of links
   load, ask, flood, wait, expect, hold
@@ -46,7 +46,7 @@
 enum class Compare { equal, at_least, at_most };
 struct Fact {
   FactKind kind = FactKind::rules;
-  Names at;                                    // conductors that are asked
+  Names at;                                    // routers that are asked
   std::map<std::string, std::string> wanted;   // sees: a standing and its count, or a peer and its standing
   std::string what;                            // value: a JSON pointer; owner: the pool; answers: how; reads: the opening
   Compare compare = Compare::equal;
@@ -77,14 +77,14 @@
   Micros period = std::chrono::milliseconds(100);  // of the protocol; waits and bounds are counted in it
   std::uint64_t seed = 1;
   bool relay_devices = false;      // links to devices can be cut and slowed too
-  std::vector<ConductorLine> conductors;
+  std::vector<RouterLine> routers;
   std::vector<DeviceLine> devices;
   std::vector<RegionLine> regions;
   std::map<std::string, std::string> settings;  // of [settings], as TOML
   std::vector<std::string> file;   // lines added to each operator's file
   std::vector<Step> steps;
 
-  const ConductorLine* conductor(const std::string& name) const;
+  const RouterLine* router(const std::string& name) const;
   const DeviceLine* device(const std::string& name) const;
 };
 
--- a/tests/fleet/scene/steps.cpp
+++ b/tests/fleet/scene/steps.cpp
@@ -16,13 +16,13 @@
 
 constexpr std::uint32_t most_periods = 10000;
 
-// A | B both ways, A > B one way. `rest`: all conductors that are not on the other side.
+// A | B both ways, A > B one way. `rest`: all routers that are not on the other side.
 void read_link(const Scene& scene, Line& line, Step& step) {
   step.names = read_names(scene, line, true);
   if (line.skip(">")) step.both_ways = false;
   else if (!line.skip("|")) line.fault("'|' or '>' is missing between the two sides");
   if (line.skip("rest")) {
-    for (const auto& one : scene.conductors)
+    for (const auto& one : scene.routers)
       if (std::find(step.names.begin(), step.names.end(), one.name) == step.names.end()) step.others.push_back(one.name);
     if (step.others.empty()) line.fault("nobody is left for the other side");
   } else {
@@ -38,7 +38,7 @@
 }
 
 void read_requests(const Scene& scene, Line& line, Step& step) {
-  if (!line.skip("on")) line.fault("'on' and conductors are missing");
+  if (!line.skip("on")) line.fault("'on' and routers are missing");
   step.names = read_names(scene, line, false);
   while (!line.empty()) {
     if (const auto n = line.option("openings")) step.openings = line.whole(*n, 0, 1000);
@@ -50,10 +50,10 @@
   if (scene.devices.empty()) line.fault("there is no device that could answer");
 }
 
-void conductors_only(const Scene& scene, const Line& line, const Names& names, bool conductors) {
+void routers_only(const Scene& scene, const Line& line, const Names& names, bool routers) {
   for (const auto& name : names)
-    if ((scene.conductor(name) != nullptr) != conductors)
-      line.fault("'" + name + (conductors ? "' is no conductor" : "' is no device"));
+    if ((scene.router(name) != nullptr) != routers)
+      line.fault("'" + name + (routers ? "' is no router" : "' is no device"));
 }
 
 std::uint32_t read_within(Line& line) {
@@ -74,15 +74,15 @@
       break;
     case Verb::restart:
       step.names = read_names(scene, line, true);
-      conductors_only(scene, line, step.names, scene.conductor(step.names.front()) != nullptr);
+      routers_only(scene, line, step.names, scene.router(step.names.front()) != nullptr);
       if (const auto state = line.option("state")) {
-        if (*state != "lost" || !scene.conductor(step.names.front())) line.fault("only state=lost is known, of conductors");
+        if (*state != "lost" || !scene.router(step.names.front())) line.fault("only state=lost is known, of routers");
         step.state_lost = true;
       }
       break;
     case Verb::crash: case Verb::drain: case Verb::list: case Verb::flush:
       step.names = read_names(scene, line, true);
-      conductors_only(scene, line, step.names, false);
+      routers_only(scene, line, step.names, false);
       break;
     case Verb::cut:
       read_link(scene, line, step);
--- a/tests/fleet/stand_ins/discovery.h
+++ b/tests/fleet/stand_ins/discovery.h
@@ -1,4 +1,4 @@
-// The agent that tells one conductor of devices: whole lists, and a watch that waits for changes. Each conductor has its
+// The agent that tells one router of devices: whole lists, and a watch that waits for changes. Each router has its
 // own, so that what each was told, and when, is known.
 #pragma once
 
@@ -20,7 +20,7 @@
 
 class Discovery {
  public:
-  using Told = std::function<void(const std::string& device, const Listing&)>;  // it has been written to the conductor
+  using Told = std::function<void(const std::string& device, const Listing&)>;  // it has been written to the router
   Discovery(net::Loop& loop, const std::string& host, Told told);
   ~Discovery();
   std::string address() const { return host_ + ":" + std::to_string(listener_->port()); }
--- a/tests/fleet/unit/facts_test.cpp
+++ b/tests/fleet/unit/facts_test.cpp
@@ -17,7 +17,7 @@
   Known known(const char* fleet) const { return {true, true, true, false, nlohmann::json::parse(fleet)}; }
 };
 TEST_P(Facts, AreJudged) {
-  const auto scene = parse_scene("s", "conductors c1..c5 site=a\nstart all\n");
+  const auto scene = parse_scene("s", "routers c1..c5 site=a\nstart all\n");
   AllKnown all;
   all["c1"] = known(R"({"known": 3, "minority_ms": null, "pools": {"pools": [{"name": "p", "owner": "north"}]}, "members": [
     {"name": "c1", "standing": "alive"}, {"name": "c2", "standing": "suspected"}, {"name": "c3", "standing": "gone", "unreachable_from_here": true}]})");
--- a/tests/fleet/unit/scene_test.cpp
+++ b/tests/fleet/unit/scene_test.cpp
@@ -6,7 +6,7 @@
 namespace lemonroute::rig {
 namespace {
 
-const std::string fleet = "period 50ms\nconductors c1..c3 site=a\nconductors d1 site=b\nreaders r1 site=a cell=2\n";
+const std::string fleet = "period 50ms\nrouters c1..c3 site=a\nrouters d1 site=b\nreaders r1 site=a cell=2\n";
 
 TEST(Scene, IsReadWhole) {
   const auto scene = parse_scene("s", fleet +
@@ -14,9 +14,9 @@
       "relay devices\nstart all   # every one\ncut site=a > rest\nlose c1 | r1 30%\nrestart c1 state=lost\n"
       "load 20/s on c1 c2 openings=2\nexpect c1 c2 sees alive=3 d1=gone within 40\nhold 5 d1 minority\n"
       "expect pool p owner north at all\nexpect c1 has /version >= 3\nheal\n");
-  EXPECT_EQ(scene.conductors.size(), 4u);
-  EXPECT_EQ(scene.conductor("c2")->keys, (Names{"new", "old"}));
-  EXPECT_EQ(scene.conductor("c3")->clock, std::chrono::milliseconds(-400));
+  EXPECT_EQ(scene.routers.size(), 4u);
+  EXPECT_EQ(scene.router("c2")->keys, (Names{"new", "old"}));
+  EXPECT_EQ(scene.router("c3")->clock, std::chrono::milliseconds(-400));
   EXPECT_EQ(scene.device("r1")->cell, 2);
   EXPECT_EQ(scene.regions[0].keepers, (Names{"c1", "c2"}));
   EXPECT_EQ(scene.settings.at("cold_for"), "\"2s\"");
@@ -50,9 +50,9 @@
 }
 INSTANTIATE_TEST_SUITE_P(Cases, BadScene, ::testing::Values(
     Bad{"Verb", "starts c1\n", "5: 'starts' is no verb"},
-    Bad{"Name", "start c9\n", "5: 'c9' is no conductor"},
+    Bad{"Name", "start c9\n", "5: 'c9' is no router"},
     Bad{"NoName", "start\n", "5: a name is missing"},
-    Bad{"Twice", "conductors c2 site=a\nstart c1\n", "5: 'c2' is there twice"},
+    Bad{"Twice", "routers c2 site=a\nstart c1\n", "5: 'c2' is there twice"},
     Bad{"Late", "start c1\nclock c1 4s\n", "6: 'clock' must come before the first step"},
     Bad{"Side", "cut c1 c2\n", "5: '|' or '>' is missing between the two sides"},
     Bad{"BothSides", "cut c1 | c1 c2\n", "5: 'c1' is on both sides"},
@@ -63,8 +63,8 @@
     Bad{"Fact", "expect c1 sleeps\n", "5: 'sleeps' can't be expected"},
     Bad{"Rate", "load 20 on c1\n", "5: '20' is no rate, as in 20/s"},
     Bad{"NoSteps", "seed 3\n", "5: no steps"},
-    Bad{"Keeper", "region n sites=a keepers=x\nstart c1\n", "5: 'x' is no conductor"},
-    Bad{"Mixed", "restart c1 r1\n", "5: 'r1' is no conductor"},
+    Bad{"Keeper", "region n sites=a keepers=x\nstart c1\n", "5: 'x' is no router"},
+    Bad{"Mixed", "restart c1 r1\n", "5: 'r1' is no router"},
     Bad{"Span", "slow c1 | c2 200\n", "5: '200' is no span, as in 200ms or 3s"}),
     [](auto& one) { return one.param.name; });
 
--- a/tests/fleet/watch/facts.h
+++ b/tests/fleet/watch/facts.h
@@ -14,7 +14,7 @@
   bool ended_well = false;                             // it has ended by itself, with 0
   nlohmann::json fleet;                                // GET /fleet; null where there was no answer
 };
-using AllKnown = std::map<std::string, Known>;  // by conductor
+using AllKnown = std::map<std::string, Known>;  // by router
 
 // Empty: it holds. Otherwise what is there instead, for whoever waits for it. Facts of the ledger are not judged here.
 std::string missing(const Fact& fact, const AllKnown& known);
--- a/tests/fleet/watch/ledger.cpp
+++ b/tests/fleet/watch/ledger.cpp
@@ -8,10 +8,10 @@
 
 }  // namespace
 
-void Ledger::told(Micros now, const std::string& conductor, const std::string& device, const std::string& lifecycle, Micros started) {
+void Ledger::told(Micros now, const std::string& router, const std::string& device, const std::string& lifecycle, Micros started) {
   const Phase phase = lifecycle == "active" ? Phase::ready : lifecycle == "leaving" ? Phase::draining : Phase::gone;
-  told_[conductor][device] = {phase, started};
-  monitor_.listed(now, device + "@" + conductor, phase, started);
+  told_[router][device] = {phase, started};
+  monitor_.listed(now, device + "@" + router, phase, started);
 }
 
 void Ledger::asked(Micros now, const std::string& request, const Asked& asked, Micros deadline) {
@@ -56,7 +56,7 @@
 void Ledger::holds(Micros now, const std::string& request, const std::string& device) {
   Entry& entry = requests_.at(request);
   entry.holders.insert(device);
-  if (running_(entry.asked.conductor, entry.asked.generation))
+  if (running_(entry.asked.router, entry.asked.generation))
     monitor_.held(now, watched(now, request, entry), node(device, entry));
 }
 
@@ -71,9 +71,9 @@
   if (!prompt.opening.empty() && cached == 0) read_[prompt.opening].insert(device);
 }
 
-void Ledger::away(Micros now, const std::string& conductor) {
+void Ledger::away(Micros now, const std::string& router) {
   for (auto& [request, entry] : requests_) {
-    if (entry.asked.conductor != conductor) continue;
+    if (entry.asked.router != router) continue;
     if (open_.count(request)) {
       left(now, request);
       entry.frozen = true;
@@ -85,13 +85,13 @@
   }
 }
 
-void Ledger::back(Micros now, const std::string& conductor) {
-  for (const auto& [device, told] : told_[conductor]) {
-    monitor_.listed(now, device + "@" + conductor, Phase::ready, told.started);
-    monitor_.listed(now, device + "@" + conductor, told.phase, told.started);
+void Ledger::back(Micros now, const std::string& router) {
+  for (const auto& [device, told] : told_[router]) {
+    monitor_.listed(now, device + "@" + router, Phase::ready, told.started);
+    monitor_.listed(now, device + "@" + router, told.phase, told.started);
   }
   for (auto& [request, entry] : requests_)
-    if (entry.asked.conductor == conductor && running_(conductor, entry.asked.generation))
+    if (entry.asked.router == router && running_(router, entry.asked.generation))
       for (const auto& device : entry.holders) monitor_.held(now, watched(now, request, entry), node(device, entry));
 }
 
@@ -107,7 +107,7 @@
 std::size_t Ledger::owed() const {
   std::size_t sum = 0;
   for (const auto& [request, entry] : requests_)
-    if (!entry.holders.empty() && running_(entry.asked.conductor, entry.asked.generation)) sum += entry.holders.size();
+    if (!entry.holders.empty() && running_(entry.asked.router, entry.asked.generation)) sum += entry.holders.size();
   return sum;
 }
 std::size_t Ledger::readers_of(const std::string& opening) const {
--- a/tests/fleet/watch/ledger.h
+++ b/tests/fleet/watch/ledger.h
@@ -1,5 +1,5 @@
 // Every request of a scene, and the monitor of the rules over all processes at once. Nodes are told to the monitor as
-// DEVICE@CONDUCTOR, since each conductor learns of a drain by itself.
+// DEVICE@ROUTER, since each router learns of a drain by itself.
 #pragma once
 
 #include <functional>
@@ -12,21 +12,21 @@
 
 namespace lemonroute::rig {
 
-// Where a request was put: one process of one conductor.
+// Where a request was put: one process of one router.
 struct Asked {
-  std::string conductor, region;
+  std::string router, region;
   unsigned generation = 0;
   Prompt prompt;
 };
 
 class Ledger {
  public:
-  // `running`: whether that process of the conductor is there and not frozen. What is asked of any other one is owed
+  // `running`: whether that process of the router is there and not frozen. What is asked of any other one is owed
   // nothing: its clients have gone.
-  using Running = std::function<bool(const std::string& conductor, unsigned generation)>;
+  using Running = std::function<bool(const std::string& router, unsigned generation)>;
   Ledger(const rules::Limits& limits, Running running) : monitor_(limits), running_(std::move(running)) {}
 
-  void told(Micros now, const std::string& conductor, const std::string& device, const std::string& lifecycle, Micros started);
+  void told(Micros now, const std::string& router, const std::string& device, const std::string& lifecycle, Micros started);
   void asked(Micros now, const std::string& request, const Asked& asked, Micros deadline);
   void first(Micros now, const std::string& request);
   void answered(Micros now, const std::string& request, const std::string& how);
@@ -37,9 +37,9 @@
   void freed(Micros now, const std::string& request, const std::string& device);
   void read(const std::string& device, const Prompt& prompt, std::uint32_t cached);
   // The process has ended or is frozen: its clients go, and what it holds is not its fault.
-  void away(Micros now, const std::string& conductor);
+  void away(Micros now, const std::string& router);
   // It goes on: drains that it was told of meanwhile count from now, and what it holds does too.
-  void back(Micros now, const std::string& conductor);
+  void back(Micros now, const std::string& router);
 
   void advance(Micros now) { monitor_.advance(now); }
   void finish(Micros now);  // nothing more will happen
@@ -59,7 +59,7 @@
   };
   // The name that the monitor knows it by; empty where the process is gone and nothing is watched any more.
   std::string watched(Micros now, const std::string& request, Entry& entry);
-  std::string node(const std::string& device, const Entry& entry) const { return device + "@" + entry.asked.conductor; }
+  std::string node(const std::string& device, const Entry& entry) const { return device + "@" + entry.asked.router; }
 
   rules::Monitor monitor_;
   Running running_;
@@ -71,7 +71,7 @@
     Phase phase;
     Micros started;
   };
-  std::map<std::string, std::map<std::string, Told>> told_;  // conductor, device
+  std::map<std::string, std::map<std::string, Told>> told_;  // router, device
 };
 
 }  // namespace lemonroute::rig
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// What one conductor of hundreds can know of a fleet: openings and homes.
+// What one router of hundreds can know of a fleet: openings and homes.
 #include "fleet/homes.h"
 #include "fleet/learned.h"
 #include "fleet/openings.h"
@@ -85,8 +85,8 @@
       {"a fifth of what a third of the traffic needs", {0, 300}, {2, 14, 14}, {10, 10, 10}, {200, 400, 400}},
       {"its writers have gone", {1, 300}, {5, 5, 5}, {8, 0, 8}, {500, 0, 500}},
       {"no reader here", {3, 300}, {5, 5, 0}, {5, 5, 5}, {500, 500, 0}},
-      {"one of two conductors has two thirds here", {1, 2}, {10, 10, 10}, {9, 9, 9}, {250, 500, 250}},
-      {"the only conductor", {0, 1}, {10, 10}, {10, 10}, {500, 500}},
+      {"one of two routers has two thirds here", {1, 2}, {10, 10, 10}, {9, 9, 9}, {250, 500, 250}},
+      {"the only router", {0, 1}, {10, 10}, {10, 10}, {500, 500}},
       {"the only zone", {0, 1}, {7}, {7}, {1000}},
       {"no writer anywhere", {0, 300}, {5, 5}, {0, 0}, {1000, 0}},
       {"a zone that is not told of", {9, 300}, {6, 6}, {6, 6}, {500, 500}},
@@ -108,7 +108,7 @@
   EXPECT_NEAR(here, 400, 60);  // 2.5 of 12.5 readers, for half of the traffic
 }
 
-// Conductors that count homes differently agree for most sessions; each opening's sessions spread evenly over its
+// Routers that count homes differently agree for most sessions; each opening's sessions spread evenly over its
 // homes; and as many homes as the opening would half fill are given.
 TEST(Homes, AgreeSpreadAndGrowWithThePart) {
   const auto all = members({16, 16}), writers = members({9, 9}, 1000);
--- a/tests/guide/config_test.cpp
+++ b/tests/guide/config_test.cpp
@@ -1,4 +1,4 @@
-// Faults in the operator's sections about conductors that know each other: each is one line with its place and reason.
+// Faults in the operator's sections about routers that know each other: each is one line with its place and reason.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -90,7 +90,7 @@
            Case{base + "[regions.r]\nsites = [\"a\"]\nkeepers = [\"x\", \"x\", \"y\"]\n",
                 "file.toml:7: regions.r.keepers: 'x' is there twice"},
            Case{"[regions.r]\nsites = [\"a\"]\n",
-                "file.toml:1: regions: are of use to conductors that know each other only, and there is no section [peers]"},
+                "file.toml:1: regions: are of use to routers that know each other only, and there is no section [peers]"},
        }) {
     const std::string all = faults(c.text);
     EXPECT_EQ(all.substr(0, c.line.size()), c.line);
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Conductors' peers on real sockets and threads, all on one serving loop. Waits are for facts, never for a time.
+// Routers' peers on real sockets and threads, all on one serving loop. Waits are for facts, never for a time.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -20,8 +20,8 @@
   return peers::seal::make_key(bytes);
 }
 
-struct Conductor {
-  Conductor(net::Loop& loop, const Clock& clock, const std::string& name, std::vector<std::string> seeds,
+struct Router {
+  Router(net::Loop& loop, const Clock& clock, const std::string& name, std::vector<std::string> seeds,
             std::vector<peers::seal::Key> keys, std::vector<Guest> guests = {}, std::string listen = "127.0.0.1:0",
             bool beside = false)
       : fleet(loop, clock, options(clock, name, std::move(seeds), std::move(keys), std::move(listen), beside),
@@ -66,8 +66,8 @@
 };
 
 TEST_F(World, three_join_by_one_seed_count_each_other_and_see_one_leave) {
-  Conductor one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
-  auto three = std::make_unique<Conductor>(loop, clock, "three", std::vector{one.fleet.address()}, keys);
+  Router one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
+  auto three = std::make_unique<Router>(loop, clock, "three", std::vector{one.fleet.address()}, keys);
   EXPECT_TRUE(comes([&] { return one.siblings == 3 && two.siblings == 3 && three->siblings == 3; }));
   EXPECT_TRUE(comes([&] { return two.there() == 3; }));
   three.reset();
@@ -77,9 +77,9 @@
 }
 
 TEST_F(World, keys_change_one_process_at_a_time_and_a_foreign_key_is_nobody) {
-  Conductor one(loop, clock, "one", {}, {key(1), key(2)});
+  Router one(loop, clock, "one", {}, {key(1), key(2)});
   const std::vector seeds{one.fleet.address()};
-  Conductor two(loop, clock, "two", seeds, {key(2), key(1)}), foreign(loop, clock, "x", seeds, {key(3)});
+  Router two(loop, clock, "two", seeds, {key(2), key(1)}), foreign(loop, clock, "x", seeds, {key(3)});
   EXPECT_TRUE(comes([&] { return one.there() == 2 && two.there() == 2; }));
   EXPECT_TRUE(comes([&] { return one.refused("unknown_key") > 3; }));
   EXPECT_EQ(foreign.there(), 1);
@@ -87,21 +87,21 @@
 }
 
 TEST_F(World, an_upgrade_takes_a_port_beside_the_old_process_and_the_address_after_it) {
-  auto before = std::make_unique<Conductor>(loop, clock, "one", std::vector<std::string>{}, keys);
+  auto before = std::make_unique<Router>(loop, clock, "one", std::vector<std::string>{}, keys);
   const auto address = before->fleet.address();
-  Conductor two(loop, clock, "two", {address}, keys);
-  EXPECT_THROW(Conductor(loop, clock, "one", {}, keys, {}, address, false), std::runtime_error);
-  Conductor after(loop, clock, "one", {two.fleet.address()}, keys, {}, address, true);
+  Router two(loop, clock, "two", {address}, keys);
+  EXPECT_THROW(Router(loop, clock, "one", {}, keys, {}, address, false), std::runtime_error);
+  Router after(loop, clock, "one", {two.fleet.address()}, keys, {}, address, true);
   EXPECT_NE(after.fleet.address(), address);
   EXPECT_TRUE(comes([&] { return after.there() == 2 && two.there() == 2; }));
   before.reset();
   // A newcomer that knows the old address only finds the others by it.
-  Conductor late(loop, clock, "late", {address}, keys);
+  Router late(loop, clock, "late", {address}, keys);
   EXPECT_TRUE(comes([&] { return late.there() == 3 && two.there() == 3 && after.there() == 3; }));
 }
 
 TEST_F(World, junk_and_copies_are_counted_and_cost_nothing_else) {
-  Conductor one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
+  Router one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
   ASSERT_TRUE(comes([&] { return one.there() == 2; }));
   peers::Udp stranger(loop, "127.0.0.1:0", 2000, [](auto&, auto) { return true; });
   peers::seal::Sealer sealer(key(1), {1, 1});
@@ -152,15 +152,15 @@
     return guests;
   };
   std::shared_ptr<const Guide> newest;
-  Fleet one(loop, clock, Conductor::options(clock, "one", {}, keys, "127.0.0.1:0", false), guest(), [](auto) {});
-  Fleet two(loop, clock, Conductor::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false), guest(),
+  Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), guest(), [](auto) {});
+  Fleet two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false), guest(),
             [&](auto newer) { newest = std::move(newer); });
   ASSERT_TRUE(comes([&] { return newest && newest->siblings() == 2; }));
   Node node;
   node.id = 4;
   EXPECT_FALSE(newest->lay(node).away);
-  one.witness().listed({node}, clock.now());
-  one.witness().lost(node, clock.now());
+  one.observer().listed({node}, clock.now());
+  one.observer().lost(node, clock.now());
   EXPECT_TRUE(comes([&] { return newest->lay(node).away; }));
 }
 
@@ -171,13 +171,13 @@
 TEST_F(World, a_fault_on_the_thread_of_the_peers_ends_them_and_not_what_serves) {
   std::vector<Guest> guests;
   guests.push_back(guest_of(std::make_unique<Broken>(), [](const Broken& at) { return at.guide; }));
-  Conductor one(loop, clock, "one", {}, keys, std::move(guests)), two(loop, clock, "two", {one.fleet.address()}, keys);
+  Router one(loop, clock, "one", {}, keys, std::move(guests)), two(loop, clock, "two", {one.fleet.address()}, keys);
   ASSERT_TRUE(comes([&] { return one.siblings == 2 && two.there() == 2; }));
   Node node;
-  one.fleet.witness().listed({node}, clock.now());
-  one.fleet.witness().lost(node, clock.now());
+  one.fleet.observer().listed({node}, clock.now());
+  one.fleet.observer().lost(node, clock.now());
   EXPECT_TRUE(comes([&] { return one.json().value("failed", false); }));
-  for (std::size_t i = 0; i < 2 * Notes::room; ++i) one.fleet.witness().kept(node, i, 0, 1, 0, clock.now());
+  for (std::size_t i = 0; i < 2 * Notes::room; ++i) one.fleet.observer().kept(node, i, 0, 1, 0, clock.now());
   EXPECT_EQ(one.siblings, 2u);  // what was known last
   EXPECT_TRUE(comes([&] { return two.there() == 1; }));
 }
--- a/tests/guide/notes_test.cpp
+++ b/tests/guide/notes_test.cpp
@@ -17,7 +17,7 @@
   return node;
 }
 
-struct Heard : Witness {
+struct Heard : NodeObserver {
   void kept(const Node& node, Key session, Key, double, double, Micros) override {
     text += " kept " + node.name + ":" + std::to_string(session);
     ++kepts;
--- a/tests/guide/siblings_test.cpp
+++ b/tests/guide/siblings_test.cpp
@@ -55,7 +55,7 @@
   EXPECT_EQ(Siblings({1, 3, 8, 30}).see(seconds(0), view(1, 1)), 3u);
 }
 
-// Rule 4 summed over all conductors: each sends a cold node one part in as many as it counts, of half of what the node
+// Rule 4 summed over all routers: each sends a cold node one part in as many as it counts, of half of what the node
 // bears. A sum over 2 would push it over; below 1 it is warmed slower than it could be.
 struct Fleet {
   static constexpr std::uint32_t n = 100;
@@ -79,7 +79,7 @@
   double sum = 0, worst = 0, least = 1e9;
 };
 
-TEST(Siblings, rule_4_holds_over_all_conductors_whatever_part_of_them_each_sees) {
+TEST(Siblings, rule_4_holds_over_all_routers_whatever_part_of_them_each_sees) {
   std::mt19937_64 random(5);
   for (const std::uint32_t stated : {1u, 30u, 100u, 300u})
     for (int parts = 1; parts <= 5; ++parts) {
@@ -123,7 +123,7 @@
   }
 }
 
-TEST(Siblings, a_release_that_restarts_each_conductor_in_turn_moves_nothing) {
+TEST(Siblings, a_release_that_restarts_each_router_in_turn_moves_nothing) {
   Siblings siblings({24, 1, 1000, 30});
   std::uint32_t least = 1000, most = 0;
   for (int at = 0; at < 600; ++at) {
--- a/tests/monitor_test.cpp
+++ b/tests/monitor_test.cpp
@@ -123,7 +123,7 @@
   m.sent(101s, "q", "r", 100);
   EXPECT_EQ(broken(), "2");
 }
-TEST_F(Watch, AConductorThatLearnsOfItLater) {
+TEST_F(Watch, ARouterThatLearnsOfItLater) {
   Limits l = limits();
   l.told_late = 1s;
   m.limit(l);
--- a/tests/net/core_bed.h
+++ b/tests/net/core_bed.h
@@ -5,7 +5,7 @@
 #include <cassert>
 #include <string>
 
-#include "core/conductor.h"
+#include "core/router.h"
 
 namespace lemonroute::test {
 
@@ -41,7 +41,7 @@
     return std::make_unique<NoteCall>([] {});
   }
   std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  std::unique_ptr<Call> adopt(const Node& node, const Passed&, Attempt& attempt) override {
+  std::unique_ptr<Call> adopt(const Node& node, const PassedConnection&, Attempt& attempt) override {
     begun.push_back({node.id, &attempt, true});
     return std::make_unique<NoteCall>([this, i = begun.size() - 1] { begun[i].open = false; });
   }
@@ -84,26 +84,26 @@
   TestClock clock;
   TestNodes nodes;
   TestClient client;
-  Conductor core;
+  Router core;
   RequestId id = 0;
   std::string next_id = "q";
 
-  static Conductor::Listed node(const std::string& name, Phase phase = Phase::ready) {
+  static Router::Listed node(const std::string& name, Phase phase = Phase::ready) {
     return {name, "127.0.0.1:1", "a", name.substr(0, 1), 0, phase, 1, Micros(0)};
   }
   explicit Bed(std::vector<std::string> names = {"r", "w"}, Settings limits = settings())
       : core(std::move(limits), {"a"}, {"r", "w"}, 1, clock, nodes) {
-    std::vector<Conductor::Listed> list;
+    std::vector<Router::Listed> list;
     for (const auto& name : names) list.push_back(node(name));
     core.update(ListKind::full, 1, list);
   }
   std::size_t unhealthy() const { return core.figures().unhealthy; }
   void take() {
-    Inquiry inquiry;
-    inquiry.prompt = {next_id, "/", std::make_shared<std::string>("{}")};
-    inquiry.kind = "k";
-    inquiry.prompt_tokens = 100;
-    assert(core.take(inquiry, client, id) == Conductor::Taken::yes);
+    ClientRequest client_request;
+    client_request.prompt = {next_id, "/", std::make_shared<std::string>("{}")};
+    client_request.kind = "k";
+    client_request.prompt_tokens = 100;
+    assert(core.take(client_request, client, id) == Router::Taken::yes);
   }
   void done(Outcome outcome, std::uint32_t kept = 0) {
     nodes.begun.back().attempt->done({outcome, kept, {}, {}});
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -146,20 +146,20 @@
   assert(adopted({Outcome::ok, 0, "active=4,x0=0.01", {}}) == usual);
   assert(adopted({Outcome::ok, 0, "nonsense", {}}) == usual);
   assert(adopted({Outcome::reset, 0, {}, {}}) != usual);
-  const auto told = [&](Heard heard) {
-    const Heard light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
-    return first_writer([&](Bed& bed, TestClient&) { bed.core.believe({{light, heard}, {}}); });
+  const auto told = [&](NodeReport heard) {
+    const NodeReport light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
+    return first_writer([&](Bed& bed, TestClient&) { bed.core.take_over({{light, heard}, {}}); });
   };
   assert(told({usual, "active=40,x0=0.8", 400ms, false}) != usual);
   assert(told({usual, {}, 0ms, true}) != usual);
-  for (const Heard& useless : {Heard{usual, "active=40,x0=0.8", 4s, false}, Heard{usual, "active=40,x0=0.8", -400ms, false},
-                               Heard{"unlisted", "active=40,x0=0.8", 0ms, true}})
+  for (const NodeReport& useless : {NodeReport{usual, "active=40,x0=0.8", 4s, false}, NodeReport{usual, "active=40,x0=0.8", -400ms, false},
+                               NodeReport{"unlisted", "active=40,x0=0.8", 0ms, true}})
     assert(told(useless) == usual);
 }
 
 void tells_the_other_process() {
   Bed bed;
-  assert(bed.core.news().nodes.empty() && bed.core.news().read_rates.empty());
+  assert(bed.core.handover_state().nodes.empty() && bed.core.handover_state().read_rates.empty());
   bed.take();
   bed.pass(20ms);
   bed.done(Outcome::read);
@@ -167,13 +167,13 @@
   bed.nodes.begun.back().attempt->done({Outcome::ok, 0, "active=2,x0=0.3", {}});
   bed.pass(1s);
   const auto of = [&](const std::string& name) {
-    for (const auto& one : bed.core.news().nodes)
+    for (const auto& one : bed.core.handover_state().nodes)
       if (one.node == name) return one;
-    return Heard{};
+    return NodeReport{};
   };
   assert(of("w").load == "active=2,x0=0.3" && of("w").age == 1s && of("w").sent > 0);
   assert(of("r").load.empty() && of("r").sent > 0);
-  const auto rates = bed.core.news().read_rates;
+  const auto rates = bed.core.handover_state().read_rates;
   assert(rates.size() == 1 && rates[0].first == Role::read && rates[0].second > 0);
   // Neither an old report nor one of a node that is out, or has started anew since.
   bed.core.update(ListKind::delta, 2, {Bed::node("w", Phase::draining)});
@@ -197,7 +197,7 @@
     s.report_columns = {"active", "x0", "x1"};
     s.report_x1_is_unread = true;
     Bed bed({"r", "w", "w2"}, s);
-    if (told) bed.core.believe({{}, {{Role::read, 50}}});
+    if (told) bed.core.take_over({{}, {{Role::read, 50}}});
     bed.take();
     bed.pass(2s);
     bed.nodes.begun.back().attempt->done({Outcome::read, 0, "active=1,x0=0.1,x1=0", {}});
@@ -208,11 +208,11 @@
     int count = 0;
     for (int i = 0; i < 3; ++i) {
       RequestId id = 0;
-      Inquiry inquiry;
-      inquiry.prompt = {"q" + std::to_string(i), "/", std::make_shared<std::string>("{}")};
-      inquiry.kind = "k";
-      inquiry.prompt_tokens = 1000;
-      assert(bed.core.take(inquiry, clients[i], id) == Conductor::Taken::yes);
+      ClientRequest client_request;
+      client_request.prompt = {"q" + std::to_string(i), "/", std::make_shared<std::string>("{}")};
+      client_request.kind = "k";
+      client_request.prompt_tokens = 1000;
+      assert(bed.core.take(client_request, clients[i], id) == Router::Taken::yes);
       count += clients[i].seen == "|refused";
     }
     return count;
@@ -221,8 +221,8 @@
   assert(refused(true) == 0);
   // What has been learned here counts more, and what is no rate counts for nothing.
   Bed bed;
-  bed.core.believe({{}, {{Role::read, 0}, {Role::read, -1}, {Role::read, std::nan("")}}});
-  assert(bed.core.news().read_rates.empty());
+  bed.core.take_over({{}, {{Role::read, 0}, {Role::read, -1}, {Role::read, std::nan("")}}});
+  assert(bed.core.handover_state().read_rates.empty());
 }
 
 // Nodes that have gone are forgotten, though an attempt is still out at one of them.
@@ -282,7 +282,7 @@
 void bans_are_shared() {
   const std::string path = "core_test.bans";
   std::remove(path.c_str());
-  using Ordered = Conductor::Ordered;
+  using Ordered = Router::Ordered;
   {
     LockFile old_lock("core_test.lock"), new_lock("core_test.lock");
     Bed old_one({"r", "w", "w2"}), new_one({"r", "w", "w2"});
@@ -380,13 +380,13 @@
 void unknown_and_duplicate() {
   Bed bed;
   bed.take();
-  Inquiry inquiry;
-  inquiry.prompt.id = "q";
-  inquiry.kind = "k";
+  ClientRequest client_request;
+  client_request.prompt.id = "q";
+  client_request.kind = "k";
   RequestId id = 0;
-  assert(bed.core.take(inquiry, bed.client, id) == Conductor::Taken::duplicate);
-  inquiry.kind = "other";
-  assert(bed.core.take(inquiry, bed.client, id) == Conductor::Taken::unknown_kind);
+  assert(bed.core.take(client_request, bed.client, id) == Router::Taken::duplicate);
+  client_request.kind = "other";
+  assert(bed.core.take(client_request, bed.client, id) == Router::Taken::unknown_kind);
   assert(bed.core.open() == 1);
 }
 
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -1,5 +1,5 @@
 // grpc_faults [STREAMS] [CALLS] [SEED] [strict]: that many calls open at once over gRPC, to nodes that decline, fail, stall, drop
-// their connections and die by a seeded plan. The monitor of the rules watches the conductor's edges; at the end every
+// their connections and die by a seeded plan. The monitor of the rules watches the router's edges; at the end every
 // call has had one status, and memory and descriptors have come back.
 #undef NDEBUG
 #include <cassert>
@@ -12,7 +12,7 @@
 #include <set>
 
 #include "base/log.h"
-#include "core/conductor.h"
+#include "core/router.h"
 #include "grpc/front.h"
 #include "grpc/node_client.h"
 #include "grpc/server.h"
@@ -145,7 +145,7 @@
   std::vector<std::unique_ptr<grpc::Server>> old_;
 };
 
-// The node client, with the monitor at its edge: what counts is when the conductor begins and lets go.
+// The node client, with the monitor at its edge: what counts is when the router begins and lets go.
 class Watched : public Nodes {
  public:
   Watched(World& world, Nodes& to) : world_(world), to_(to) {}
@@ -303,8 +303,8 @@
   for (const char* name : {"r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"}) nodes.push_back(std::make_unique<FaultyNode>(world, name));
   grpc::NodeClient client(world.loop, grpc::Session::Limits{});
   Watched watched(world, client);
-  Conductor core(settings(), {"a"}, {"r", "w"}, 1, world.clock, watched);
-  std::vector<Conductor::Listed> list;
+  Router core(settings(), {"a"}, {"r", "w"}, 1, world.clock, watched);
+  std::vector<Router::Listed> list;
   for (const auto& node : nodes) list.push_back({node->name(), node->address(), "a", node->name().substr(0, 1), 0, Phase::ready, 1, Micros(0)});
   core.update(ListKind::full, 1, list);
   net::Timer due(world.loop, [&] { core.run_due(); });
--- a/tests/net/guide_test.cpp
+++ b/tests/net/guide_test.cpp
@@ -1,4 +1,4 @@
-// What conductors know together, as the core uses it: pools laid over the list, hints, losses, and what it tells.
+// What routers know together, as the core uses it: pools laid over the list, hints, losses, and what it tells.
 #include <cassert>
 #include <iostream>
 #include <map>
@@ -70,7 +70,7 @@
   }
 }
 
-struct Notes : Witness {
+struct Notes : NodeObserver {
   int kept_ = 0, lists = 0, demands = 0;
   double tokens = 0;
   Demand last;
@@ -83,10 +83,10 @@
   void demand(const Demand& demand, Micros) override { ++demands, last = demand; }
 };
 
-void witnessed() {
+void tell_observer() {
   Notes notes;
   Bed bed({"r", "w"});
-  bed.core.witness(&notes);
+  bed.core.observer(&notes);
   assert(notes.lists == 1 && notes.demands == 1 && notes.last.writers == 1);
   bed.take();
   bed.done(Outcome::read);
@@ -97,7 +97,7 @@
   bed.done(Outcome::ok);
   bed.pass(1s);
   assert(notes.demands == 3 && notes.last.own == 0 && notes.kept_ == 1);
-  bed.core.witness(nullptr);
+  bed.core.observer(nullptr);
   bed.pass(1s);
   assert(notes.demands == 3);
 }
@@ -108,6 +108,6 @@
   lent_away();
   run_out();
   taken_over();
-  witnessed();
+  tell_observer();
   std::cout << "guide: all checks passed\n";
 }
--- a/tests/net/scenario.cpp
+++ b/tests/net/scenario.cpp
@@ -423,7 +423,7 @@
   static Micros span(const string& text) { return Micros(std::llround(std::stod(text) * 1e6)); }
 
   void declare(const Words& names) {
-    std::vector<Conductor::Listed> list;
+    std::vector<Router::Listed> list;
     for (const auto& name : names) {
       if (name == "d") {
         auto node = std::make_unique<HttpNode>(loop_);
@@ -439,7 +439,7 @@
       };
       if (grpc_nodes_) add(std::make_unique<GrpcNode>(loop_));
       else add(std::make_unique<HttpNode>(loop_));
-      Conductor::Listed listed;
+      Router::Listed listed;
       listed.name = name;
       listed.address = addresses_[name] = local(port);
       listed.zone = "a";
@@ -469,7 +469,7 @@
       grpc_server_->stop_accepting();
     } else if (verb == "pass") {
       settle();
-      core_->pass_streams([](const Passing& stream) { return ops::Handover::send(handover_path(), stream); });
+      core_->pass_streams([](const PassedStream& stream) { return ops::Handover::send(handover_path(), stream); });
     } else if (verb == "handover") {
       settle();
       front_->hand_over();
@@ -572,20 +572,20 @@
     return std::make_unique<http::NodeClient>(loop_, http::ClientLimits{});
   }
   std::unique_ptr<Nodes> nodes_ = make_nodes();
-  std::unique_ptr<Conductor> core_ = std::make_unique<Conductor>(
+  std::unique_ptr<Router> core_ = std::make_unique<Router>(
       settings(), Words{"a"}, Words{"lettura", "scrittura"}, 1, clock_, *nodes_);
   ops::Status status_{*core_};
   ops::Management management_{loop_, "127.0.0.1:0", *core_, status_, [] { return ops::Reloads{}; }};
   static string handover_path() { return "scenario." + std::to_string(getpid()) + ".streams"; }
   std::unique_ptr<http::Front> front_;
-  ops::Handover handover_{loop_, handover_path(), [this](const Passing& stream) { front_->adopt(stream); },
-                           [this](const News& news) { core_->believe(news); }};
+  ops::Handover handover_{loop_, handover_path(), [this](const PassedStream& stream) { front_->adopt(stream); },
+                           [this](const HandoverState& handover_state) { core_->take_over(handover_state); }};
   std::unique_ptr<grpc::Front> grpc_front_;
   std::unique_ptr<grpc::Server> grpc_server_;
   std::unique_ptr<discovery::Watch> watch_;
   std::map<string, std::unique_ptr<Peer>> peers_;
   std::map<string, string> addresses_;
-  std::map<string, Conductor::Listed> listed_;
+  std::map<string, Router::Listed> listed_;
 };
 
 }  // namespace
--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -405,13 +405,13 @@
   assert(call(new_door, "GET /ready").find(" 200 ") != string::npos);
   assert(call(new_door, "GET /metrics").find("\"cluster_unhealthy\":1,") != string::npos);
   assert(call(new_door, "POST /instances/enable?name=w1").find(" 200 ") != string::npos);
-  assert(old_one.logged("at the other process of this conductor"));
+  assert(old_one.logged("at the other process of this router"));
   assert(call(old_door, "GET /metrics").find("\"cluster_unhealthy\":0,") != string::npos);
   kill(new_one.pid, SIGHUP);  // in the middle of it
   kill(old_one.pid, SIGTERM);
   assert(old_one.ended() == 0);
   assert(old_one.log.find("another process takes the clients") != string::npos);
-  assert(new_one.logged("no other process of this conductor runs"));
+  assert(new_one.logged("no other process of this router runs"));
   assert(fcntl(clients.fd, F_GETFD) == flags);
   for (int i = 0; i < 3; ++i) assert(call(clients.address, "GET /healthz").find(" 200 ") != string::npos);
   assert(call(old_door, "GET /ready").empty());
@@ -533,7 +533,7 @@
   net::Loop loop;
   SystemClock clock;
   NoNodes nodes;
-  Conductor core{[] {
+  Router core{[] {
                    Settings s;
                    s.kind_role = {Role::read};
                    return s;
@@ -638,15 +638,15 @@
 void told_of_nodes() {
   const string path = (std::filesystem::temp_directory_path() / ("told-" + std::to_string(getpid()))).string();
   net::Loop loop;
-  std::vector<Heard> got;
+  std::vector<NodeReport> got;
   std::size_t messages = 0, streams = 0;
   const std::vector<std::pair<Role, double>> rates{{Role::read, 51.25}, {Role::both, 80}};
-  ops::Handover end(loop, path, [&](const Passing&) { ++streams; }, [&](const News& news) {
+  ops::Handover end(loop, path, [&](const PassedStream&) { ++streams; }, [&](const HandoverState& handover_state) {
     ++messages;
-    assert(news.read_rates == rates);
-    got.insert(got.end(), news.nodes.begin(), news.nodes.end());
+    assert(handover_state.read_rates == rates);
+    got.insert(got.end(), handover_state.nodes.begin(), handover_state.nodes.end());
   });
-  std::vector<Heard> sent;
+  std::vector<NodeReport> sent;
   for (int i = 0; i < 120; ++i)
     sent.push_back({"s-" + std::to_string(i), "inflight=7,queue=2,x0=0.61,x1=" + string(i % 7, '1'), Micros(i), i % 5 == 0, i / 4.0});
   ops::Handover::tell(path, {sent, rates});
--- a/tests/peers/schedule.cpp
+++ b/tests/peers/schedule.cpp
@@ -103,7 +103,7 @@
   }
 }
 
-// Answers are to be counted apart from what a conductor does of its own: one for each ping, question and
+// Answers are to be counted apart from what a router does of its own: one for each ping, question and
 // exchange.
 std::size_t most_datagrams(std::size_t members) { return 64 + 36 + 6 * members + 512; }
 
--- a/tests/peers/world.h
+++ b/tests/peers/world.h
@@ -1,4 +1,4 @@
-// Many conductors in one deterministic world: its own clock, an event queue, and a net between them that does
+// Many routers in one deterministic world: its own clock, an event queue, and a net between them that does
 // what it is told to, all from one seed. Decisions are the real ones (peers::Agent). The same seed and calls
 // give the same run.
 #pragma once
--- a/tests/peers/world_test.cpp
+++ b/tests/peers/world_test.cpp
@@ -6,7 +6,7 @@
 namespace lemonroute::peers {
 namespace {
 
-TEST(World, conductors_find_each_other_by_one_seed_and_see_one_that_ends) {
+TEST(World, routers_find_each_other_by_one_seed_and_see_one_that_ends) {
   for (const std::size_t count : {2u, 3u, 24u, 100u}) {
     World world({.seed = count, .seeds = 1});
     world.add_many(count, 3);
--- a/tests/pools/config_test.cpp
+++ b/tests/pools/config_test.cpp
@@ -82,7 +82,7 @@
   in.platform.kinds = {"reader", "writer"};
   in.platform.settings.kind_role = {Role::read, Role::write};
   for (const auto& [kind, cell] : {std::pair("writer", 1), std::pair("reader", 2)}) {
-    Conductor::Listed node;
+    Router::Listed node;
     node.name = kind;
     node.zone = "a";
     node.kind = kind;
--- a/tests/pools/parts_test.cpp
+++ b/tests/pools/parts_test.cpp
@@ -13,7 +13,7 @@
 
 // Whatever one of n reports says, the sum is at most 1 + c / (n - 1) times what the others say, and never less than without
 // it; where those are alike, they count whole beside any lie.
-TEST(Demand, OneConductorMovesTheSumByAStatedShareOnly) {
+TEST(Demand, OneRouterMovesTheSumByAStatedShareOnly) {
   for (std::uint32_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937 rng(seed);
     const double influence = 2 + rng() % 4;
@@ -39,7 +39,7 @@
   EXPECT_EQ(bounded_sum({}, 2), 0);
 }
 
-TEST(Demand, AgesOutAndNeedsHalfOfTheConductors) {
+TEST(Demand, AgesOutAndNeedsHalfOfTheRouters) {
   using std::chrono::seconds;
   Sum sum(2);
   sum.heard(0, "a", {5, 4, 0}, seconds(100));
--- a/tests/pools/rider_test.cpp
+++ b/tests/pools/rider_test.cpp
@@ -21,7 +21,7 @@
   for (auto& one : world.processes) {
     if (!one->pools) continue;
     const double writers = (one->site == "n" ? north : south) / 3 * world.settings.fill;
-    Witness::Demand demand;
+    NodeObserver::Demand demand;
     demand.own = writers / 4;
     demand.writers = 4;
     demand.taken = 10;
@@ -55,7 +55,7 @@
   EXPECT_EQ(world.senders(lent), (Senders{{"south", 3}}));
   EXPECT_EQ(world.senders(stays), (Senders{{"north", 3}}));
   EXPECT_EQ(world.senders({"n", 0}), (Senders{{"north", 3}}));
-  // It started once, at one time for all of the region's conductors but for what a question takes.
+  // It started once, at one time for all of the region's routers but for what a question takes.
   std::vector<Micros> started;
   for (auto& one : world.processes)
     if (one->site == "s") started.push_back(one->pools->rights()->lay(test::node("n", 1, 0)).started - one->skew);
@@ -113,7 +113,7 @@
                                          Trouble::all_restart, Trouble::cut, Trouble::cut_one_way, Trouble::loss));
 
 // Trouble for 10 s, begun at every 400 ms from before the plan until the pool serves: never two regions, and within eight
-// leases of the end of it one region has the pool, on all of its conductors.
+// leases of the end of it one region has the pool, on all of its routers.
 TEST_P(Interrupted, EndsOrIsUndone) {
   const Trouble trouble = GetParam();
   std::set<std::string> begun_in;
@@ -189,7 +189,7 @@
   const auto counts = one.pools->describe(one.local())["counts"];
   EXPECT_EQ(counts["other_settings"], 1);
   EXPECT_EQ(counts["unreadable"], 1);
-  // Nor does a conductor get anywhere that asks for a region it does not stand in, or proposes another region's pool.
+  // Nor does a router get anywhere that asks for a region it does not stand in, or proposes another region's pool.
   const auto mark = world.settings.mark();
   one.pools->receive(one.local(), "south0", wire::write(wire::Ask{1, 0, {{{"n", 1}, {}, false, false}}}, mark, one.local())[0], one);
   one.pools->receive(one.local(), "south0", wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}, mark, one.local())[0], one);
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -1,4 +1,4 @@
-// Several conductors' pools on a seeded net in one thread: clocks of their own, cuts, crashes, freezes. Views follow what
+// Several routers' pools on a seeded net in one thread: clocks of their own, cuts, crashes, freezes. Views follow what
 // can be reached after two seconds, as membership would have it.
 #pragma once
 
@@ -26,7 +26,7 @@
   return one;
 }
 
-// Regions "north" (site n) and "south" (site s), three conductors each, all keepers; three pools of four writers each,
+// Regions "north" (site n) and "south" (site s), three routers each, all keepers; three pools of four writers each,
 // the first one reserved. Hours are UTC.
 inline Settings two_regions() {
   Settings s;
@@ -61,9 +61,9 @@
     void send(peers::Topic, std::string_view to, std::string bytes) override { world->carry(*this, to, std::move(bytes)); }
   };
 
-  World(Settings with, std::uint64_t seed, int conductors_each = 3) : settings(std::move(with)), rng(seed) {
+  World(Settings with, std::uint64_t seed, int routers_each = 3) : settings(std::move(with)), rng(seed) {
     for (const auto& [name, region] : settings.regions)
-      for (int c = 0; c < conductors_each; ++c) {
+      for (int c = 0; c < routers_each; ++c) {
         auto one = std::make_unique<Process>();
         one->world = this;
         one->index = processes.size();
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -39,7 +39,7 @@
   EXPECT_GE(at_cold, 1) << "it must be let warm up";
 }
 
-// Seen on days that lose a zone: two of three requests were read and written in another zone than their conductor's,
+// Seen on days that lose a zone: two of three requests were read and written in another zone than their router's,
 // so a stream broke when either zone went, and each zone read every beginning anew.
 TEST(ManyInstances, StayInTheirZoneAndReadABeginningOnceInIt) {
   std::vector<ListEntry> hosts;
--- a/tests/tiers/map_test.cpp
+++ b/tests/tiers/map_test.cpp
@@ -1,4 +1,4 @@
-// The map among many conductors, on a net that loses, repeats, reorders and cuts.
+// The map among many routers, on a net that loses, repeats, reorders and cuts.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -29,10 +29,10 @@
 
 class OnNets : public testing::TestWithParam<int> {
  protected:
-  // 12 conductors in two sites of one region, unless a case says otherwise; datagrams are lost, repeated, reordered.
+  // 12 routers in two sites of one region, unless a case says otherwise; datagrams are lost, repeated, reordered.
   NetOptions options() const {
     NetOptions options;
-    options.conductors = 12;
+    options.routers = 12;
     options.sites = 2;
     options.lose = 0.1 * (GetParam() % 4);
     options.repeat = 0.2;
@@ -131,7 +131,7 @@
 
 TEST_P(OnNets, AHotOpeningHasFewHoldersAndTheSameOnes) {
   auto with = options();
-  with.conductors = 24;
+  with.routers = 24;
   with.sites = 1;
   with.devices = 40;
   Net net(with);
@@ -154,10 +154,10 @@
   EXPECT_LE(first.size(), holders_bound + 1);  // one may be about to change
 }
 
-// A conductor with the right key says that everything is at one device. Each other one is misled by it three times at
+// A router with the right key says that everything is at one device. Each other one is misled by it three times at
 // the most before it is not believed, and once more where a keeper took a hint back while it was being followed. A count
 // of one key corrects that key at once.
-TEST_P(OnNets, ALiarMisleadsEachConductorThreeTimesAtTheMost) {
+TEST_P(OnNets, ALiarMisleadsEachRouterThreeTimesAtTheMost) {
   Net net(options());
   net.run(seconds(3));
   for (Key key = 1; key <= 40; ++key) see(net, 2, 9, key, 1e6);  // the liar is 2
@@ -185,7 +185,7 @@
 TEST_P(OnNets, ALiarsLossesLetCreditFallSeldomAndNotAtAllOnceDisproved) {
   Net net(options());
   net.run(seconds(6));
-  // Conductor 8 has seen texts at devices 0 and 1 itself; the liar, 2, tells of a loss of every device, on and on.
+  // Router 8 has seen texts at devices 0 and 1 itself; the liar, 2, tells of a loss of every device, on and on.
   see(net, 8, 0, 500);
   see(net, 8, 1, 501);
   Names names(4711);
@@ -232,7 +232,7 @@
 
 TEST(Strangers, WhatCannotBeReadOrComesFromOutsideIsCountedAndDropped) {
   NetOptions options;
-  options.conductors = 6;
+  options.routers = 6;
   options.sites = 2;
   Net net(options);
   net.run(seconds(1));
--- a/tests/tiers/model.cpp
+++ b/tests/tiers/model.cpp
@@ -17,77 +17,77 @@
 namespace {
 double in_ms(Micros span) { return std::chrono::duration<double, std::milli>(span).count(); }
 
-void size_of(std::size_t conductors, std::size_t sites, std::size_t regions, double lose, std::size_t keys_a_second) {
+void size_of(std::size_t routers, std::size_t sites, std::size_t regions, double lose, std::size_t keys_a_second) {
   NetOptions options;
-  options.conductors = conductors;
+  options.routers = routers;
   options.sites = sites;
   options.regions = regions;
-  options.devices = std::max<std::size_t>(12, conductors / 4);
+  options.devices = std::max<std::size_t>(12, routers / 4);
   options.lose = lose;
-  options.seed = conductors;
+  options.seed = routers;
   Net net(options);
-  std::mt19937_64 random(conductors);
+  std::mt19937_64 random(routers);
   Key next = 1;
   const auto load = [&](Micros span) {
-    // New conversations and later turns of the last thousand, one opening for each; spread over all conductors.
+    // New conversations and later turns of the last thousand, one opening for each; spread over all routers.
     for (Micros done{}; done < span; done += milliseconds(100)) {
       for (std::size_t n = 0; n < std::max<std::size_t>(1, keys_a_second / 10); ++n) {
         const Key session = random() % 2 ? next++ : next - std::min<Key>(next, 1 + random() % 1000);
-        const auto conductor = random() % conductors;
+        const auto router = random() % routers;
         std::size_t device = session * 7919 % options.devices;
         const double tokens = 1000 + static_cast<double>(session % 7) * 1000;
-        net.at(conductor).kept(net.device(device), session + 100000, 1 + session % 20, tokens, 800, net.now());
+        net.at(router).kept(net.device(device), session + 100000, 1 + session % 20, tokens, 800, net.now());
       }
       net.run(milliseconds(100));
     }
   };
   load(seconds(20));
   std::vector<std::uint64_t> out, in;
-  for (std::size_t i = 0; i < conductors; ++i) out.push_back(net.bytes_out(i)), in.push_back(net.bytes_in(i));
+  for (std::size_t i = 0; i < routers; ++i) out.push_back(net.bytes_out(i)), in.push_back(net.bytes_in(i));
   load(seconds(10));
   double mean = 0, most = 0, most_in = 0;
-  for (std::size_t i = 0; i < conductors; ++i) {
+  for (std::size_t i = 0; i < routers; ++i) {
     const auto bytes = static_cast<double>(net.bytes_out(i) - out[i]) / 10;
-    mean += bytes / static_cast<double>(conductors);
+    mean += bytes / static_cast<double>(routers);
     most = std::max(most, bytes);
     most_in = std::max(most_in, static_cast<double>(net.bytes_in(i) - in[i]) / 10);
   }
-  // A key seen at one conductor, until it is a hint at all others of the site.
+  // A key seen at one router, until it is a hint at all others of the site.
   std::vector<Micros> times;
   for (int k = 0; k < 5; ++k) {
     const Key fresh = 1u << 30 | static_cast<unsigned>(k);
-    const auto from = random() % conductors;
+    const auto from = random() % routers;
     net.at(from).kept(net.device(0), fresh, 0, 8000, 0, net.now());
     times.push_back(net.until([&] {
-      for (std::size_t i = from % sites; i < conductors; i += sites)
+      for (std::size_t i = from % sites; i < routers; i += sites)
         if (net.at(i).map()->kept(fresh, 0).empty()) return false;
       return true;
     }, seconds(60)));
   }
   std::sort(times.begin(), times.end());
-  // A loss of kept text, until no conductor's map credits the device and each has told its core.
+  // A loss of kept text, until no router's map credits the device and each has told its core.
   const auto lossy = net.now();
-  const std::size_t noticing = 1 % conductors;
+  const std::size_t noticing = 1 % routers;
   net.at(noticing).lost(net.device(0), net.now());
   const auto voided = net.until([&] {
-    for (std::size_t i = 0; i < conductors; ++i)
+    for (std::size_t i = 0; i < routers; ++i)
       if (i != noticing && net.at(i).map()->lost(net.device(0)) < lossy) return false;
     return true;
   }, seconds(60));
   const auto told = net.at(0).describe(net.now());
-  std::printf("%5zu %5zu %7zu %5.0f%% %6zu %9.1f %9.1f %9.1f %8zu %8zu %8zu %8.0f %8.0f %8.0f\n", conductors, sites, regions,
+  std::printf("%5zu %5zu %7zu %5.0f%% %6zu %9.1f %9.1f %9.1f %8zu %8zu %8zu %8.0f %8.0f %8.0f\n", routers, sites, regions,
               100 * lose, keys_a_second, mean / 1000, most / 1000, most_in / 1000, told["site"]["keys_told"].get<std::size_t>(),
               told["site"]["keys_kept"].get<std::size_t>(), told["region"]["keys_told"].get<std::size_t>(), in_ms(times[2]), in_ms(times[4]), in_ms(voided));
   std::fflush(stdout);
 }
 
-// Reads of one opening over 24 conductors of a site and 40 devices, 60 s, 20 arrivals a second. Each device is busy with a
-// chance of 0.3. A conductor takes what it knows itself, then what the map says, else a device at random: homes by hash,
-// by which conductors agree without talking, are not in this model. A read is whole where the opening is not kept; kept
+// Reads of one opening over 24 routers of a site and 40 devices, 60 s, 20 arrivals a second. Each device is busy with a
+// chance of 0.3. A router takes what it knows itself, then what the map says, else a device at random: homes by hash,
+// by which routers agree without talking, are not in this model. A read is whole where the opening is not kept; kept
 // texts are pushed out after 8 s unused.
 void hot(const char* what, bool with_map, int liars, bool stale, std::uint64_t seed) {
   NetOptions options;
-  options.conductors = 24;
+  options.routers = 24;
   options.devices = 40;
   options.seed = seed;
   Net net(options);
@@ -151,7 +151,7 @@
     return 0;
   }
   if (count > 1 && std::strcmp(arguments[1], "size")) {
-    std::fprintf(stderr, "usage: tiers_model [hot | size [CONDUCTORS SITES REGIONS LOSS_PERCENT KEYS_A_SECOND]]\n");
+    std::fprintf(stderr, "usage: tiers_model [hot | size [ROUTERS SITES REGIONS LOSS_PERCENT KEYS_A_SECOND]]\n");
     return 2;
   }
   std::printf("conds sites regions  loss keys/s KB/s mean  KB/s out   KB/s in told/sit kept/sit told/reg hint ms  slowest  void ms\n");
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -5,7 +5,7 @@
 namespace lemonroute::tiers {
 
 Net::Net(NetOptions options) : options_(options), random_(options.seed) {
-  const auto count = options_.conductors;
+  const auto count = options_.routers;
   part_.assign(count, 0);
   dead_.assign(count, false);
   begins_.assign(count, now_);
--- a/tests/tiers/net.h
+++ b/tests/tiers/net.h
@@ -15,7 +15,7 @@
 inline std::string numbered(const char* letter, std::size_t number) { return std::string(letter).append(std::to_string(number)); }
 
 struct NetOptions {
-  std::size_t conductors = 3, sites = 1, regions = 1, devices = 10;  // in all, by turns of the sites
+  std::size_t routers = 3, sites = 1, regions = 1, devices = 10;  // in all, by turns of the sites
   double lose = 0, repeat = 0;
   Micros least_delay = std::chrono::milliseconds(1), most_delay = std::chrono::milliseconds(20);
   Limits limits{};
@@ -38,7 +38,7 @@
     while (!holds() && now_ - from < most) run(std::chrono::milliseconds(20));
     return now_ - from;
   }
-  void cut(std::vector<int> parts);  // a part for each conductor; views follow at once
+  void cut(std::vector<int> parts);  // a part for each router; views follow at once
   void heal() { cut(std::vector<int>(size(), 0)); }
   void kill(std::size_t i);     // and the views notice
   void restart(std::size_t i);  // knows nothing
@@ -74,7 +74,7 @@
   std::vector<Micros> begins_;  // processes tick out of step
   std::vector<std::uint64_t> start_, bytes_out_, bytes_in_;
   std::vector<Node> devices_;
-  std::vector<std::vector<Node>> lists_;  // of each conductor
+  std::vector<std::vector<Node>> lists_;  // of each router
   std::priority_queue<Post> posts_;
   std::uint64_t order_ = 0;
 };
