--- a/bench/grpc_streams.cpp
+++ b/bench/grpc_streams.cpp
@@ -1,5 +1,5 @@
-// grpc_streams [STREAMS]: memory and descriptors of the serving side with that many calls open and waiting, from clients
-// in a process of their own. Prints one line; compare lines of one machine.
+// grpc_streams [STREAMS]: memory and descriptors of the serving side with that many calls open and waiting,
+// from clients in a process of their own. Prints one line; compare lines of one machine.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -21,14 +21,19 @@
 std::size_t memory_kib() {
   std::ifstream status("/proc/self/status");
   for (std::string line; std::getline(status, line);)
-    if (line.starts_with("VmRSS:")) return std::stoul(line.substr(6));
+    if (line.starts_with("VmRSS:"))
+      return std::stoul(line.substr(6));
   return 0;
 }
 
 // Nodes that never answer: every call waits.
 struct Silent : Nodes {
-  std::unique_ptr<Call> begin(const Node&, const Prompt&, Micros, Attempt&) override { return std::make_unique<Call>(); }
-  std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)>) override { return std::make_unique<Call>(); }
+  std::unique_ptr<Call> begin(const Node&, const Prompt&, Micros, Attempt&) override {
+    return std::make_unique<Call>();
+  }
+  std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)>) override {
+    return std::make_unique<Call>();
+  }
   std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
   void hang_up(const Node&) override {}
   void limit(const Limits&) override {}
@@ -60,14 +65,21 @@
   std::vector<std::unique_ptr<grpc::Session>> sessions;
   const std::string address = "127.0.0.1:" + std::to_string(port);
   for (std::size_t i = 0; i < streams; ++i) {
-    if (i % 128 == 0) sessions.push_back(std::make_unique<grpc::Session>(loop, address, owner, grpc::Session::Limits{}));
+    if (i % 128 == 0)
+      sessions.push_back(std::make_unique<grpc::Session>(loop, address, owner, grpc::Session::Limits{}));
     v1::GenerateRequest request;
     request.set_id("q" + std::to_string(i));
     request.set_kind("k");
     request.set_prompt_tokens(1);
     request.set_body("{}");
-    sessions.back()->request({{":method", "POST"}, {":scheme", "http"}, {":path", "/lemonroute.v1.Drafting/Generate"}, {":authority", "x"},
-                              {"content-type", "application/grpc"}, {"te", "trailers"}, {"grpc-timeout", "600S"}}, grpc::frame(request), mute);
+    sessions.back()->request({{":method", "POST"},
+                              {":scheme", "http"},
+                              {":path", "/lemonroute.v1.Drafting/Generate"},
+                              {":authority", "x"},
+                              {"content-type", "application/grpc"},
+                              {"te", "trailers"},
+                              {"grpc-timeout", "600S"}},
+                             grpc::frame(request), mute);
   }
   loop.run();
   return 0;
@@ -84,25 +96,30 @@
   Silent nodes;
   Router core(settings(), {"a"}, {"r", "w"}, 1, clock, nodes);
   std::vector<Router::Listed> list;
-  for (const char* name : {"r1", "r2", "w1"}) list.push_back({name, "127.0.0.1:1", "a", std::string(name).substr(0, 1), 0, Phase::ready, 1, Micros(0)});
+  for (const char* name : {"r1", "r2", "w1"})
+    list.push_back({name, "127.0.0.1:1", "a", std::string(name).substr(0, 1), 0, Phase::ready, 1, Micros(0)});
   core.update(ListKind::full, 1, list);
   grpc::Front front(core);
   grpc::Server server(loop, "127.0.0.1:0", streams / 128 + 16);
   server.add(front);
   const std::size_t before = memory_kib();
   const pid_t child = fork();
-  if (child == 0) std::_Exit(client(server.port(), streams));
+  if (child == 0)
+    std::_Exit(client(server.port(), streams));
   net::Timer hang(loop, [&] { loop.stop(); });
   hang.start(std::chrono::seconds(60));
   net::Timer look(loop, [&] {
-    if (core.open() >= streams) loop.stop();
-    else look.start(std::chrono::milliseconds(20));
+    if (core.open() >= streams)
+      loop.stop();
+    else
+      look.start(std::chrono::milliseconds(20));
   });
   look.start(std::chrono::milliseconds(20));
   loop.run();
   const std::size_t held = memory_kib() - before;
   kill(child, SIGKILL);
   waitpid(child, nullptr, 0);
-  std::cout << core.open() << " calls open: " << held << " KiB more, " << held * 1024 / std::max<std::size_t>(1, core.open()) << " bytes a call" << std::endl;
+  std::cout << core.open() << " calls open: " << held << " KiB more, "
+            << held * 1024 / std::max<std::size_t>(1, core.open()) << " bytes a call" << std::endl;
   return core.open() == streams ? 0 : 1;
 }
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -21,7 +21,8 @@
     actions.clear();
     scheduler.handle(now, event, actions);
     for (const auto& action : actions)
-      if (const auto* send = std::get_if<lemonroute::Send>(&action)) return send->host;
+      if (const auto* send = std::get_if<lemonroute::Send>(&action))
+        return send->host;
     return 0;
   };
 
--- a/fuzz/fuzz_messages.cpp
+++ b/fuzz/fuzz_messages.cpp
@@ -1,6 +1,6 @@
-// The reader of gRPC messages: however the bytes are cut, the same messages come out and the same fault, each message
-// within its limit. Without libFuzzer (LEMONROUTE_FUZZ_MAIN) it plays the files that it is given, as CI does with the
-// short corpus beside it.
+// The reader of gRPC messages: however the bytes are cut, the same messages come out and the same fault, each
+// message within its limit. Without libFuzzer (LEMONROUTE_FUZZ_MAIN) it plays the files that it is given, as
+// CI does with the short corpus beside it.
 #include <cstdint>
 #include <cstdlib>
 #include <fstream>
@@ -26,7 +26,8 @@
   reader.encoding(encoding);
   for (std::size_t at = 0; at < bytes.size() && !all.fault; at += piece)
     all.fault = reader.feed(bytes.substr(at, piece), [&](std::string_view message) {
-      if (message.size() > most_message) abort();
+      if (message.size() > most_message)
+        abort();
       all.messages.emplace_back(message);
     });
   return all;
@@ -35,20 +36,25 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  if (size < 2) return 0;
+  if (size < 2)
+    return 0;
   const auto encoding = static_cast<Encoding>(data[0] % 3);
   const std::size_t piece = 1 + data[1] % 61;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 2, size - 2);
   const Read whole = read(bytes, encoding, bytes.size() + 1), cut = read(bytes, encoding, piece);
   // A fault in the middle of a piece hides no message that stood whole before it.
-  if (whole.fault != cut.fault || whole.messages != cut.messages) abort();
+  if (whole.fault != cut.fault || whole.messages != cut.messages)
+    abort();
   for (const auto& message : whole.messages) {
-    if (message.size() > 4096) continue;
+    if (message.size() > 4096)
+      continue;
     const Read again = read(frame(message, encoding), encoding, piece);
-    if (again.fault || again.messages != std::vector<std::string>{message}) abort();
+    if (again.fault || again.messages != std::vector<std::string>{message})
+      abort();
   }
   const std::string_view text = bytes.substr(0, 32);
-  if (const auto span = parse_timeout(text); span && span->count() < 0) abort();
+  if (const auto span = parse_timeout(text); span && span->count() < 0)
+    abort();
   best_of(text);
   return 0;
 }
@@ -57,7 +63,8 @@
 int main(int argc, char** argv) {
   for (int i = 1; i < argc; ++i) {
     std::ifstream file(argv[i], std::ios::binary);
-    if (!file) return 1;
+    if (!file)
+      return 1;
     const std::string bytes(std::istreambuf_iterator<char>(file), {});
     LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   }
--- a/include/lemonroute/scheduler.h
+++ b/include/lemonroute/scheduler.h
@@ -85,7 +85,8 @@
   std::uint32_t version = 0;
   std::vector<ListEntry> hosts;
 };
-// What others say is kept of a request's prompt at a host. Never depended on: the host's own counts correct it.
+// What others say is kept of a request's prompt at a host. Never depended on: the host's own counts correct
+// it.
 struct KeptHint {
   HostId host = 0;
   double tokens = 0;      // of the prompt, from its beginning
@@ -98,7 +99,7 @@
   Micros budget{}, expected{};
   Key shared = 0;
   float prompt = 0, shared_prefix = 0, max_output = 0;
-  std::uint8_t flags = 0;  // 1 expected is valid, 2 a repeat, 16 resumed after a break
+  std::uint8_t flags = 0;         // 1 expected is valid, 2 a repeat, 16 resumed after a break
   std::vector<KeptHint> hints{};  // a few; empty where routers share nothing
 };
 struct First {
@@ -144,8 +145,8 @@
 struct Void {
   HostId host = 0;
 };
-using Event = std::variant<HostList, Request, First, PlaceNote, Completed, Abandoned, Alarm, HealthResult, PeerMessage,
-                           Void>;
+using Event = std::variant<HostList, Request, First, PlaceNote, Completed, Abandoned, Alarm, HealthResult,
+                           PeerMessage, Void>;
 
 // ---- Actions ----
 struct Send {
@@ -203,14 +204,15 @@
 struct Candidate {
   HostId host = 0;
   const char* left_out = nullptr;  // why it could not be chosen; null: it could
-  double match = 0, credit = 0;    // tokens of the prompt kept there: as recorded, and as counted (guessed at a home)
-  double rate = 0;                 // microseconds a token
-  double unread = 0;               // tokens waiting there
-  double load = 0, slowness = 1;   // as a writer: share of memory, latency against the usual
-  double failing = 0;              // share of recent attempts that failed, 0 to 1
-  Micros wait{}, read{};           // the estimate for this request, at a reader
-  int near = 0;                    // to the reader that holds the state: 1 in its zone, 2 in its cell
-  double score = 0;                // the lowest wins (of writers, the nearest of those near it)
+  double match = 0,
+         credit = 0;  // tokens of the prompt kept there: as recorded, and as counted (guessed at a home)
+  double rate = 0;    // microseconds a token
+  double unread = 0;  // tokens waiting there
+  double load = 0, slowness = 1;  // as a writer: share of memory, latency against the usual
+  double failing = 0;             // share of recent attempts that failed, 0 to 1
+  Micros wait{}, read{};          // the estimate for this request, at a reader
+  int near = 0;                   // to the reader that holds the state: 1 in its zone, 2 in its cell
+  double score = 0;               // the lowest wins (of writers, the nearest of those near it)
 };
 // One choice, as it was made. `refused`: the request was turned away before any read, for the figures given.
 struct Choice {
@@ -238,11 +240,14 @@
   Scheduler(Scheduler&&) noexcept;
   Scheduler& operator=(Scheduler&&) noexcept;
   void handle(Micros now, const Event& event, std::vector<Action>& actions);  // appends to actions
-  void retune(Settings settings);  // what was learned stays; requests under way keep the terms they began with
+  void retune(
+      Settings settings);  // what was learned stays; requests under way keep the terms they began with
   // From now on `to` hears of each choice, before the action that comes of it. An empty one ends that.
   void explain(std::function<void(const Choice&)> to);
   LearnedRates learned_rates(Micros now) const;
-  void take_over(Micros now, const LearnedRates& learned_rates);  // of another dispatcher; what was learned here counts more
+  void take_over(
+      Micros now,
+      const LearnedRates& learned_rates);         // of another dispatcher; what was learned here counts more
   std::vector<HostId> avoided(Micros now) const;  // listed hosts that are left out by choice
 
  private:
--- a/src/base/lock_file.cpp
+++ b/src/base/lock_file.cpp
@@ -25,19 +25,27 @@
 
 LockFile::LockFile(const std::string& path)
     : fd_(open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, 0600)) {
-  if (fd_ < 0) logging::warn() << path << ": " << std::strerror(errno);
+  if (fd_ < 0)
+    logging::warn() << path << ": " << std::strerror(errno);
 }
 LockFile::~LockFile() {
-  if (fd_ >= 0) close(fd_);
+  if (fd_ >= 0)
+    close(fd_);
 }
 
 bool LockFile::set(int byte, short type) {
   struct flock lock = lock_on(byte, type);
   return fd_ >= 0 && fcntl(fd_, F_OFD_SETLK, &lock) == 0;
 }
-bool LockFile::take(int byte) { return set(byte, F_WRLCK); }
-bool LockFile::share(int byte) { return set(byte, F_RDLCK); }
-void LockFile::drop(int byte) { set(byte, F_UNLCK); }
+bool LockFile::take(int byte) {
+  return set(byte, F_WRLCK);
+}
+bool LockFile::share(int byte) {
+  return set(byte, F_RDLCK);
+}
+void LockFile::drop(int byte) {
+  set(byte, F_UNLCK);
+}
 
 bool LockFile::others(int byte) const {
   struct flock lock = lock_on(byte, F_WRLCK);
--- a/src/base/lock_file.h
+++ b/src/base/lock_file.h
@@ -1,4 +1,5 @@
-// Locks on single bytes of a file, between processes. The kernel lets go of them when a process ends, however.
+// Locks on single bytes of a file, between processes. The kernel lets go of them when a process ends,
+// however.
 #pragma once
 
 #include <string>
@@ -14,10 +15,10 @@
   LockFile& operator=(const LockFile&) = delete;
 
   bool usable() const { return fd_ >= 0; }
-  bool take(int byte);           // alone; does not wait
-  bool share(int byte);          // with others that share it
+  bool take(int byte);   // alone; does not wait
+  bool share(int byte);  // with others that share it
   void drop(int byte);
-  bool others(int byte) const;   // whether somebody else holds it, either way
+  bool others(int byte) const;  // whether somebody else holds it, either way
 
  private:
   bool set(int byte, short type);
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -13,8 +13,12 @@
 
 }  // namespace
 
-void set_level(Level level) { threshold = level; }
-bool enabled(Level level) { return level >= threshold; }
+void set_level(Level level) {
+  threshold = level;
+}
+bool enabled(Level level) {
+  return level >= threshold;
+}
 
 bool parse_level(std::string_view word, Level& level) {
   for (std::size_t i = 0; i < names.size(); ++i)
@@ -26,7 +30,8 @@
 }
 
 Line::~Line() {
-  if (!on_) return;
+  if (!on_)
+    return;
   using namespace std::chrono;
   const auto since = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
   std::ostringstream whole;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -21,7 +21,8 @@
   Line& operator=(const Line&) = delete;
   template <class T>
   Line& operator<<(const T& value) {
-    if (on_) text_ << value;
+    if (on_)
+      text_ << value;
     return *this;
   }
 
@@ -31,9 +32,17 @@
   std::ostringstream text_;
 };
 
-inline Line debug() { return Line(Level::debug); }
-inline Line info() { return Line(Level::info); }
-inline Line warn() { return Line(Level::warn); }
-inline Line error() { return Line(Level::error); }
+inline Line debug() {
+  return Line(Level::debug);
+}
+inline Line info() {
+  return Line(Level::info);
+}
+inline Line warn() {
+  return Line(Level::warn);
+}
+inline Line error() {
+  return Line(Level::error);
+}
 
 }  // namespace lemonroute::logging
--- a/src/base/span_text.h
+++ b/src/base/span_text.h
@@ -8,7 +8,8 @@
 
 namespace lemonroute {
 
-// Units: us, ms, s, m, h. Nothing for a number without a unit, or beyond 1,000 hours either way. "0" needs no unit.
+// Units: us, ms, s, m, h. Nothing for a number without a unit, or beyond 1,000 hours either way. "0" needs no
+// unit.
 std::optional<std::chrono::microseconds> parse_span(std::string_view text);
 // The shortest form that parse_span reads back as the same span.
 std::string span_text(std::chrono::microseconds span);
--- a/src/cli/arguments.h
+++ b/src/cli/arguments.h
@@ -22,8 +22,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// One sub-command: how it is called, what it does, its options. `places` names positional options in order; the last
-// one takes any number if `many`.
+// One sub-command: how it is called, what it does, its options. `places` names positional options in order;
+// the last one takes any number if `many`.
 struct Usage {
   std::string call, about;
   po::options_description options{"Options"};
@@ -31,7 +31,7 @@
   bool many = false;
 };
 
-po::variables_map parse(const Arguments& arguments, Usage& usage);  // throws Misuse, HelpAsked or po::error
+po::variables_map parse(const Arguments& arguments, Usage& usage);    // throws Misuse, HelpAsked or po::error
 std::string known(const po::variables_map& values, const char* key);  // "" where it was not given
 
 }  // namespace lemonroute::cli
--- a/src/cli/expect_command.cpp
+++ b/src/cli/expect_command.cpp
@@ -22,11 +22,13 @@
 };
 
 int refuse(std::vector<Fault> faults, std::ostream& err) {
-  std::stable_sort(faults.begin(), faults.end(), [](auto& a, auto& b) { return std::tie(a.file, a.line) < std::tie(b.file, b.line); });
+  std::stable_sort(faults.begin(), faults.end(),
+                   [](auto& a, auto& b) { return std::tie(a.file, a.line) < std::tie(b.file, b.line); });
   std::string last;
   for (const auto& fault : faults) {
     const std::string text = fault.text();
-    if (text != last) err << text << '\n';  // two files may share a configuration that is not in order
+    if (text != last)
+      err << text << '\n';  // two files may share a configuration that is not in order
     last = text;
   }
   return misused;
@@ -42,10 +44,13 @@
 }
 
 // A file is read whole; nothing is played of any while one has a fault.
-std::vector<std::unique_ptr<expect::File>> read(const po::variables_map& values, const expect::Where& where, std::vector<Fault>& faults) {
+std::vector<std::unique_ptr<expect::File>> read(const po::variables_map& values, const expect::Where& where,
+                                                std::vector<Fault>& faults) {
   std::vector<std::unique_ptr<expect::File>> files;
-  for (const auto& path : values["file"].as<std::vector<std::string>>()) files.push_back(expect::read_file(path, where, faults));
-  if (faults.empty()) expect::find_conflicts(files, faults);
+  for (const auto& path : values["file"].as<std::vector<std::string>>())
+    files.push_back(expect::read_file(path, where, faults));
+  if (faults.empty())
+    expect::find_conflicts(files, faults);
   return files;
 }
 
@@ -53,7 +58,8 @@
   const auto format = values["format"].as<std::string>();
   std::string all;
   for (const char* word : words) {
-    if (format == word) return format;
+    if (format == word)
+      return format;
     all += (all.empty() ? "" : ", ") + std::string(word);
   }
   throw Misuse("--format: '" + format + "' is none of " + all);
@@ -69,8 +75,9 @@
 
 int expect_init_command(const Arguments& arguments, std::ostream& out, std::ostream& err) {
   Usage usage{"expect init [--output FILE] [--force]", "Writes a commented expectation file."};
-  usage.options.add_options()("output,o", po::value<std::string>(), "the file to write; otherwise standard output")(
-      "force,f", po::bool_switch(), "overwrite the file");
+  usage.options.add_options()("output,o", po::value<std::string>(),
+                              "the file to write; otherwise standard output")("force,f", po::bool_switch(),
+                                                                              "overwrite the file");
   const auto values = parse(arguments, usage);
   const std::string path = known(values, "output");
   if (path.empty()) {
@@ -85,11 +92,15 @@
 }
 
 int expect_check_command(const Arguments& arguments, std::ostream& out, std::ostream& err) {
-  Usage usage{"expect check FILE... [--config OPERATOR.toml] [--platform CONFIG.json] [--only NAME] [--format text|json|junit]",
-              "Plays the expectations of the files on the real core and module, on a clock of their own and without sockets.\n"
-              "Exit code 0: all hold; 1: one fails; 2: a file or the call is not in order, and nothing was played."};
+  Usage usage{
+      "expect check FILE... [--config OPERATOR.toml] [--platform CONFIG.json] [--only NAME] [--format "
+      "text|json|junit]",
+      "Plays the expectations of the files on the real core and module, on a clock of their own and without "
+      "sockets.\n"
+      "Exit code 0: all hold; 1: one fails; 2: a file or the call is not in order, and nothing was played."};
   add_files(usage);
-  usage.options.add_options()("config,c", po::value<std::string>(), "an operator's file; wins over the one that a file names")(
+  usage.options.add_options()("config,c", po::value<std::string>(),
+                              "an operator's file; wins over the one that a file names")(
       "platform,p", po::value<std::string>(), "a platform's file; wins over the operator's")(
       "only", po::value<std::string>(), "the one expectation of this name")(
       "explain", po::bool_switch(), "the module's account of every choice, not only of cases that fail");
@@ -99,13 +110,15 @@
   const Quiet quiet;
   std::vector<Fault> faults;
   const auto files = read(values, {known(values, "config"), known(values, "platform")}, faults);
-  if (!faults.empty()) return refuse(std::move(faults), err);
+  if (!faults.empty())
+    return refuse(std::move(faults), err);
   const bool explain_all = values["explain"].as<bool>();
   expect::Report report;
   bool any = false;
   for (const auto& file : files) {
     for (const auto& one : file->cases) {
-      if (!only.empty() && one.name != only) continue;
+      if (!only.empty() && one.name != only)
+        continue;
       any = true;
       auto verdict = expect::judge(one, file->setup, explain_all);
       if (!verdict.held() && !explain_all) {
@@ -116,21 +129,30 @@
       report.cases.push_back(std::move(verdict));
     }
     for (const auto& general : file->generals) {
-      if (!only.empty() && general.name != only) continue;
+      if (!only.empty() && general.name != only)
+        continue;
       any = true;
       report.generals.push_back(expect::check_general(general, *file, true, faults));
-      if (!faults.empty()) return refuse(std::move(faults), err);
+      if (!faults.empty())
+        return refuse(std::move(faults), err);
     }
   }
-  if (!any) throw Misuse("--only: no expectation is named '" + only + "'");
-  expect::write(out, report, format == "json" ? expect::Format::json : format == "junit" ? expect::Format::junit : expect::Format::text, explain_all);
+  if (!any)
+    throw Misuse("--only: no expectation is named '" + only + "'");
+  expect::write(out, report,
+                format == "json"    ? expect::Format::json
+                : format == "junit" ? expect::Format::junit
+                                    : expect::Format::text,
+                explain_all);
   return report.held() ? fine : faulty;
 }
 
 int expect_compare_command(const Arguments& arguments, std::ostream& out, std::ostream& err) {
   Usage usage{"expect compare --before A --after B FILE... [--format text|json]",
-              "Plays the cases of the files with two configurations (an operator's .toml or a platform's .json) and lists\n"
-              "what is decided differently. Exit code 0, whether anything differs or not; 2 if a file is not in order."};
+              "Plays the cases of the files with two configurations (an operator's .toml or a platform's "
+              ".json) and lists\n"
+              "what is decided differently. Exit code 0, whether anything differs or not; 2 if a file is not "
+              "in order."};
   add_files(usage);
   usage.options.add_options()("before", po::value<std::string>()->required(), "the one configuration")(
       "after", po::value<std::string>()->required(), "the other one");
@@ -139,8 +161,10 @@
   const std::string format = one_of(values, {"text", "json"});
   const Quiet quiet;
   std::vector<Fault> faults;
-  const auto before = setup_of(known(values, "before"), faults), after = setup_of(known(values, "after"), faults);
-  if (!faults.empty()) return refuse(std::move(faults), err);
+  const auto before = setup_of(known(values, "before"), faults),
+             after = setup_of(known(values, "after"), faults);
+  if (!faults.empty())
+    return refuse(std::move(faults), err);
   // The files must be in order with either of them.
   const auto where = [&](const char* key) {
     const std::string path = known(values, key);
@@ -149,30 +173,42 @@
   };
   read(values, where("after"), faults);
   const auto files = read(values, where("before"), faults);
-  if (!faults.empty()) return refuse(std::move(faults), err);
+  if (!faults.empty())
+    return refuse(std::move(faults), err);
   const auto all = expect::compare(files, before, after);
   if (format == "json") {
     json list = json::array();
     for (const auto& one : all)
-      list.push_back({{"case", one.name}, {"at", one.file}, {"request", one.request}, {"before", one.before}, {"after", one.after},
-                      {"held_before", one.held_before}, {"held_after", one.held_after}});
-    out << json{{"before", before.origin}, {"after", after.origin}, {"changed", std::move(list)}}.dump(2) << '\n';
+      list.push_back({{"case", one.name},
+                      {"at", one.file},
+                      {"request", one.request},
+                      {"before", one.before},
+                      {"after", one.after},
+                      {"held_before", one.held_before},
+                      {"held_after", one.held_after}});
+    out << json{{"before", before.origin}, {"after", after.origin}, {"changed", std::move(list)}}.dump(2)
+        << '\n';
     return fine;
   }
   const auto held = [](bool yes) { return yes ? "holds" : "FAILS"; };
   for (const auto& one : all)
-    out << one.file << ": " << one.name << ", request " << one.request << "\n  before  " << held(one.held_before) << "  " << one.before
-        << "\n  after   " << held(one.held_after) << "  " << one.after << '\n';
-  out << all.size() << " requests are decided differently with " << after.origin << " than with " << before.origin << '\n';
+    out << one.file << ": " << one.name << ", request " << one.request << "\n  before  "
+        << held(one.held_before) << "  " << one.before << "\n  after   " << held(one.held_after) << "  "
+        << one.after << '\n';
+  out << all.size() << " requests are decided differently with " << after.origin << " than with "
+      << before.origin << '\n';
   return fine;
 }
 
 int expect_audit_command(const Arguments& arguments, std::ostream& out, std::ostream& err) {
-  Usage usage{"expect audit FILE... [--config OPERATOR.toml] [--platform CONFIG.json] [--format text|json]",
-              "Changes each setting and class term in turn (halved, doubled, dropped, another word) and tells which changes\n"
-              "no expectation notices. Exit code 0; 1 if a case fails to begin with; 2 if a file is not in order."};
+  Usage usage{
+      "expect audit FILE... [--config OPERATOR.toml] [--platform CONFIG.json] [--format text|json]",
+      "Changes each setting and class term in turn (halved, doubled, dropped, another word) and tells which "
+      "changes\n"
+      "no expectation notices. Exit code 0; 1 if a case fails to begin with; 2 if a file is not in order."};
   add_files(usage);
-  usage.options.add_options()("config,c", po::value<std::string>(), "an operator's file; wins over the one that a file names")(
+  usage.options.add_options()("config,c", po::value<std::string>(),
+                              "an operator's file; wins over the one that a file names")(
       "platform,p", po::value<std::string>(), "a platform's file; wins over the operator's");
   add_format(usage, "text or json");
   const auto values = parse(arguments, usage);
@@ -180,7 +216,8 @@
   const Quiet quiet;
   std::vector<Fault> faults;
   const auto files = read(values, {known(values, "config"), known(values, "platform")}, faults);
-  if (!faults.empty()) return refuse(std::move(faults), err);
+  if (!faults.empty())
+    return refuse(std::move(faults), err);
   for (const auto& file : files)
     for (const auto& one : file->cases)
       if (!expect::judge(one, file->setup, false).held()) {
@@ -192,19 +229,37 @@
   if (format == "json") {
     json list = json::array();
     for (const auto& one : audit.changes)
-      list.push_back({{"key", one.key}, {"from", one.from}, {"to", one.to}, {"noticed", one.noticed}, {"matters", one.matters}, {"noticed_by", one.noticed_by}});
-    out << json{{"terms", audit.keys}, {"guarded", audit.guarded}, {"without_effect", audit.silent}, {"changes", std::move(list)}}.dump(2) << '\n';
+      list.push_back({{"key", one.key},
+                      {"from", one.from},
+                      {"to", one.to},
+                      {"noticed", one.noticed},
+                      {"matters", one.matters},
+                      {"noticed_by", one.noticed_by}});
+    out << json{{"terms", audit.keys},
+                {"guarded", audit.guarded},
+                {"without_effect", audit.silent},
+                {"changes", std::move(list)}}
+               .dump(2)
+        << '\n';
     return fine;
   }
   for (const auto& one : audit.changes)
-    out << std::left << std::setw(9) << (one.noticed ? "noticed" : one.matters ? "MISSED" : "no effect") << ' ' << std::setw(38) << one.key << ' '
-        << std::setw(20) << (one.from + " -> " + one.to) << (one.noticed ? " " + one.noticed_by : "") << '\n';
-  const auto missed = std::count_if(audit.changes.begin(), audit.changes.end(), [](auto& one) { return one.matters && !one.noticed; });
-  const auto noticed = std::count_if(audit.changes.begin(), audit.changes.end(), [](auto& one) { return one.noticed; });
-  out << audit.keys << " settings and class terms, " << audit.changes.size() << " changes: " << noticed << " noticed, " << missed
-      << " missed, " << audit.changes.size() - static_cast<std::size_t>(noticed + missed) << " without effect on any case\n"
-      << "guarded: " << audit.guarded << " of " << audit.keys << " terms (" << (audit.keys ? 100 * audit.guarded / audit.keys : 0) << " %); of the "
-      << matter << " that change something in a case, " << audit.guarded << '\n';
+    out << std::left << std::setw(9)
+        << (one.noticed   ? "noticed"
+            : one.matters ? "MISSED"
+                          : "no effect")
+        << ' ' << std::setw(38) << one.key << ' ' << std::setw(20) << (one.from + " -> " + one.to)
+        << (one.noticed ? " " + one.noticed_by : "") << '\n';
+  const auto missed = std::count_if(audit.changes.begin(), audit.changes.end(),
+                                    [](auto& one) { return one.matters && !one.noticed; });
+  const auto noticed =
+      std::count_if(audit.changes.begin(), audit.changes.end(), [](auto& one) { return one.noticed; });
+  out << audit.keys << " settings and class terms, " << audit.changes.size() << " changes: " << noticed
+      << " noticed, " << missed << " missed, "
+      << audit.changes.size() - static_cast<std::size_t>(noticed + missed) << " without effect on any case\n"
+      << "guarded: " << audit.guarded << " of " << audit.keys << " terms ("
+      << (audit.keys ? 100 * audit.guarded / audit.keys : 0) << " %); of the " << matter
+      << " that change something in a case, " << audit.guarded << '\n';
   return fine;
 }
 
--- a/src/cli/limits.cpp
+++ b/src/cli/limits.cpp
@@ -14,11 +14,15 @@
 std::size_t shared_descriptors(const config::Platform& platform) {
   return platform.sockets - std::min(own_descriptors, platform.sockets / 2);
 }
-std::size_t idle_nodes(const config::Platform& platform) { return shared_descriptors(platform) / 8; }
+std::size_t idle_nodes(const config::Platform& platform) {
+  return shared_descriptors(platform) / 8;
+}
 
 }  // namespace
 
-std::size_t front_places(const config::Platform& platform) { return shared_descriptors(platform) * 2 / 5; }
+std::size_t front_places(const config::Platform& platform) {
+  return shared_descriptors(platform) * 2 / 5;
+}
 
 // Nodes close what has been idle for the platform's time; a request written to it then is lost.
 Nodes::Limits node_limits(const config::Platform& platform, std::size_t parts) {
@@ -26,7 +30,8 @@
 }
 
 std::unique_ptr<Nodes> make_nodes(net::Loop& loop, const config::Platform& platform, bool grpc) {
-  if (grpc) return std::make_unique<grpc::NodeClient>(loop, grpc::Session::Limits{platform.settings.connect_timeout});
+  if (grpc)
+    return std::make_unique<grpc::NodeClient>(loop, grpc::Session::Limits{platform.settings.connect_timeout});
   const Nodes::Limits limits = node_limits(platform, 1);
   return std::make_unique<http::NodeClient>(
       loop, http::ClientLimits{limits.connect_timeout, limits.idle, limits.idle_most});
@@ -39,7 +44,8 @@
   return options;
 }
 
-guide::Fleet::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers, Micros now) {
+guide::Fleet::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
+                                    Micros now) {
   guide::Fleet::Options options;
   auto& service = options.service;
   service.agent.name = platform.name;
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -22,24 +22,29 @@
 // After SIGTERM new connections keep arriving for up to 0.4 s, and may find their first bytes late.
 constexpr milliseconds arrival_window{600};
 constexpr milliseconds end_poll{20};
-// It is killed no sooner than 0.7 s after the longest deadline from SIGTERM on, of which 3 s are counted at the most.
-// What waits for its first event by then is answered half a second before that, and what is held for it let go.
+// It is killed no sooner than 0.7 s after the longest deadline from SIGTERM on, of which 3 s are counted at
+// the most. What waits for its first event by then is answered half a second before that, and what is held
+// for it let go.
 constexpr milliseconds longest_counted{3000}, waits_after{200};
 constexpr milliseconds pass_again{10};
 // A node taken out at the other process must get nothing from here half a second after the yes.
 constexpr milliseconds look_again{100};
 
-// Why a choice came to nothing. The module builds this for each choice, so it is asked for only where it is logged.
+// Why a choice came to nothing. The module builds this for each choice, so it is asked for only where it is
+// logged.
 void log_empty_choice(const Router& router, const Choice& choice) {
-  if (choice.chosen != 0) return;
+  if (choice.chosen != 0)
+    return;
   logging::Line line = logging::debug();
-  line << "choice of a " << (choice.stage == Role::read ? "reader" : "writer") << " for request " << choice.id;
+  line << "choice of a " << (choice.stage == Role::read ? "reader" : "writer") << " for request "
+       << choice.id;
   if (choice.refused)
-    line << ": wait " << choice.wait.count() / 1000 << " of " << choice.most_wait.count() / 1000 << " ms, load "
-         << choice.load << " of " << choice.most_load;
+    line << ": wait " << choice.wait.count() / 1000 << " of " << choice.most_wait.count() / 1000
+         << " ms, load " << choice.load << " of " << choice.most_load;
   else
     for (const auto& candidate : choice.candidates)
-      if (candidate.left_out) line << "; " << router.name_of(candidate.host) << ' ' << candidate.left_out;
+      if (candidate.left_out)
+        line << "; " << router.name_of(candidate.host) << ' ' << candidate.left_out;
 }
 
 }  // namespace
@@ -76,9 +81,9 @@
       logging::info() << "agent-check on " << settings.agent_check_listen;
     }
     if (settings.peers) {
-      fleet_ = std::make_unique<guide::Fleet>(loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()),
-                                              std::vector<guide::Guest>{},
-                                              [this](auto newer) { router_.guide(std::move(newer)); });
+      fleet_ = std::make_unique<guide::Fleet>(
+          loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()), std::vector<guide::Guest>{},
+          [this](auto newer) { router_.guide(std::move(newer)); });
       router_.observer(&fleet_->observer());
       logging::info() << "peers on " << fleet_->address();
     }
@@ -86,9 +91,10 @@
         settings.management_listen.empty() ? platform.management : settings.management_listen;
     if (!management.empty()) {
       ops::Management::Fleet fleet;
-      if (fleet_) fleet = [this] { return fleet_->text(); };
-      management_ = std::make_unique<ops::Management>(loop_, management, router_, status_,
-                                                      [this] { return reloads_; }, std::move(fleet));
+      if (fleet_)
+        fleet = [this] { return fleet_->text(); };
+      management_ = std::make_unique<ops::Management>(
+          loop_, management, router_, status_, [this] { return reloads_; }, std::move(fleet));
       logging::info() << "management on " << management;
     }
     router_.on_change = [this] { changed(); };
@@ -98,9 +104,9 @@
     changed();
     look();
     if (platform.socket)
-      handover_ = std::make_unique<ops::Handover>(loop_, processes_.file(".streams"),
-                                                  [this](const PassedStream& stream) { front_.adopt(stream); },
-                                                  [this](const HandoverState& handover_state) { router_.take_over(handover_state); });
+      handover_ = std::make_unique<ops::Handover>(
+          loop_, processes_.file(".streams"), [this](const PassedStream& stream) { front_.adopt(stream); },
+          [this](const HandoverState& handover_state) { router_.take_over(handover_state); });
     processes_.serves(true);
     held_.reset();  // the handlers are there
   }
@@ -131,21 +137,26 @@
 
   void changed() {
     status_.check();
-    if (const auto due = router_.next_due()) due_.start(*due - clock_.now());
-    else due_.stop();
+    if (const auto due = router_.next_due())
+      due_.start(*due - clock_.now());
+    else
+      due_.stop();
   }
 
   // Connections already on their way are still taken; what was taken is answered before the program ends.
   void drain(const char* signal) {
-    if (draining_) return;
+    if (draining_)
+      return;
     draining_ = true;
     processes_.serves(false);
     handover_.reset();
     const bool successor = processes_.another_serves();
     logging::info() << signal << ": draining, " << router_.open() << " requests open"
                     << (successor ? ", another process takes the clients" : "");
-    if (successor) hand_over();
-    else front_.drain();
+    if (successor)
+      hand_over();
+    else
+      front_.drain();
     // Clients send on every connection that stays open, and who asks late may wait longer than there is time.
     router_.end_waits(clock_.now() + last_wait());
     status_.drain();
@@ -154,14 +165,16 @@
   // Whoever asks about this address from now on asks the other process, which is well.
   void hand_over() {
     front_.hand_over();
-    if (grpc_) grpc_->server.stop_accepting();
+    if (grpc_)
+      grpc_->server.stop_accepting();
     agent_.reset();
     ops::Handover::tell(processes_.file(".streams"), router_.handover_state());
     pass_streams();
   }
   Micros last_wait() const {
     Micros longest{};
-    for (const auto& one : platform_.settings.classes) longest = std::max(longest, one.deadline);
+    for (const auto& one : platform_.settings.classes)
+      longest = std::max(longest, one.deadline);
     return std::min<Micros>(longest, longest_counted) + waits_after;
   }
   // A stream may outlast this process's time; each is given away once it stands between two events.
@@ -182,14 +195,15 @@
       const std::size_t parts = this->parts();
       front_.limit(std::max<std::size_t>(2, front_places(platform_) / parts));
       nodes_->limit(node_limits(platform_, parts));
-      if (grpc_) grpc_->server.limit(std::max<std::size_t>(2, grpc_->places / parts));
+      if (grpc_)
+        grpc_->server.limit(std::max<std::size_t>(2, grpc_->places / parts));
     }
     look_.start(look_again);
   }
   std::size_t parts() const { return shares_ ? 2 : 1; }
-  // Takes discovery, settings and classes of the replaced file together; its name, addresses and descriptors hold
-  // from the next start on. With a file that is not in order the program goes on as it was: a slip there must not
-  // end what serves.
+  // Takes discovery, settings and classes of the replaced file together; its name, addresses and descriptors
+  // hold from the next start on. With a file that is not in order the program goes on as it was: a slip there
+  // must not end what serves.
   void reload() {
     try {
       const auto platform = read_again_();
@@ -203,8 +217,10 @@
       platform_.connection_idle = platform.connection_idle;
       nodes_->limit(node_limits(platform_, parts()));
       router_.retune(platform.settings, platform.zones, platform.kinds);
-      if (!watch_) router_.update(ListKind::full, ++platform_.known.version, platform.known.nodes);
-      else watch_->retune(lists_of(platform.settings), platform.settings.drain_grace);
+      if (!watch_)
+        router_.update(ListKind::full, ++platform_.known.version, platform.known.nodes);
+      else
+        watch_->retune(lists_of(platform.settings), platform.settings.drain_grace);
       if (watch_ && std::exchange(platform_.discovery, platform.discovery) != platform.discovery)
         watch_->move(platform.discovery);
       ++reloads_.loaded;
@@ -215,7 +231,8 @@
   }
   void stop_accepting() {
     front_.stop_accepting();
-    if (grpc_) grpc_->server.stop_accepting();
+    if (grpc_)
+      grpc_->server.stop_accepting();
     poll_end();
   }
   void poll_end() {
@@ -249,11 +266,18 @@
   bool draining_ = false, shares_ = false;
 };
 
-Program::Program(net::Loop& loop, const config::Platform& platform, const config::Operator& settings, Reload reload)
+Program::Program(net::Loop& loop, const config::Platform& platform, const config::Operator& settings,
+                 Reload reload)
     : parts_(std::make_unique<Parts>(loop, platform, settings, std::move(reload))) {}
 Program::~Program() = default;
-void Program::drain() { parts_->drain("an order"); }
-std::uint16_t Program::port() const { return parts_->front_.port(); }
-std::uint16_t Program::grpc_port() const { return parts_->grpc_ ? parts_->grpc_->server.port() : 0; }
+void Program::drain() {
+  parts_->drain("an order");
+}
+std::uint16_t Program::port() const {
+  return parts_->front_.port();
+}
+std::uint16_t Program::grpc_port() const {
+  return parts_->grpc_ ? parts_->grpc_->server.port() : 0;
+}
 
 }  // namespace lemonroute::cli
--- a/src/cli/program.h
+++ b/src/cli/program.h
@@ -23,7 +23,7 @@
   Program& operator=(const Program&) = delete;
 
   // Once it has drained it stops the loop.
-  void drain();  // as SIGTERM does
+  void drain();                     // as SIGTERM does
   std::uint16_t port() const;       // of the first HTTP address
   std::uint16_t grpc_port() const;  // 0: gRPC is off
 
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -15,8 +15,8 @@
   getrlimit(RLIMIT_NOFILE, &limit);
   net::Loop loop;
   Program program(loop, platform, settings, std::move(reload));
-  logging::info() << settings.application << ' ' << platform.name << " serves on " << platform.listen
-                  << ", " << platform.nodes_from() << ", " << limit.rlim_cur << " descriptors";
+  logging::info() << settings.application << ' ' << platform.name << " serves on " << platform.listen << ", "
+                  << platform.nodes_from() << ", " << limit.rlim_cur << " descriptors";
   loop.run();
   return 0;
 }
--- a/src/cli/start.cpp
+++ b/src/cli/start.cpp
@@ -5,13 +5,14 @@
 namespace lemonroute::cli {
 namespace {
 
-// While discovery is down there is no list to be had, and routers that were all killed are to be ready soon: two
-// calls at the least are made in this time, and then the last list that the platform knows of has to do.
+// While discovery is down there is no list to be had, and routers that were all killed are to be ready soon:
+// two calls at the least are made in this time, and then the last list that the platform knows of has to do.
 constexpr std::chrono::milliseconds first_list_within{500};
 
 std::string joined(const std::vector<std::string>& keys) {
   std::string text;
-  for (const auto& key : keys) text += (text.empty() ? "" : ", ") + key;
+  for (const auto& key : keys)
+    text += (text.empty() ? "" : ", ") + key;
   return text;
 }
 
@@ -20,18 +21,23 @@
 SignalsHeld::SignalsHeld() {
   sigset_t orders;
   sigemptyset(&orders);
-  for (const int one : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&orders, one);
+  for (const int one : {SIGTERM, SIGINT, SIGHUP})
+    sigaddset(&orders, one);
   pthread_sigmask(SIG_BLOCK, &orders, &before_);
 }
-SignalsHeld::~SignalsHeld() { pthread_sigmask(SIG_SETMASK, &before_, nullptr); }
+SignalsHeld::~SignalsHeld() {
+  pthread_sigmask(SIG_SETMASK, &before_, nullptr);
+}
 
 discovery::Lists lists_of(const Settings& settings) {
   return settings.discovery_on_request ? discovery::Lists::asked : discovery::Lists::pushed;
 }
 
-std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform, Router& router) {
+std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform,
+                                             Router& router) {
   router.update(ListKind::cached, platform.known.version, platform.known.nodes);
-  if (platform.discovery.empty()) return nullptr;
+  if (platform.discovery.empty())
+    return nullptr;
   // Copies of one program may be started with one seed, or with none.
   const std::uint64_t seed = platform.seed ^ hash_of(platform.name);
   auto watch = std::make_unique<discovery::Watch>(
@@ -41,8 +47,10 @@
   net::Timer bound(loop, [&over] { over = true; });
   bound.start(first_list_within);
   watch->start();
-  while (!over && !watch->heard()) loop.run_once();
-  if (!watch->heard()) logging::warn() << "no list from discovery yet: serving from the one that was known";
+  while (!over && !watch->heard())
+    loop.run_once();
+  if (!watch->heard())
+    logging::warn() << "no list from discovery yet: serving from the one that was known";
   return watch;
 }
 
@@ -51,8 +59,10 @@
   for (const auto& [what, keys] : {std::pair{"allowed by the settings and not used here: ", &platform.unused},
                                    std::pair{"stated and not used: ", &platform.not_read},
                                    std::pair{"not known, and left out: ", &platform.unknown}})
-    if (!keys->empty()) line += (line.empty() ? "" : "; ") + std::string(what) + joined(*keys);
-  if (!line.empty()) logging::info() << line;
+    if (!keys->empty())
+      line += (line.empty() ? "" : "; ") + std::string(what) + joined(*keys);
+  if (!line.empty())
+    logging::info() << line;
 }
 
 }  // namespace lemonroute::cli
--- a/src/cli/start.h
+++ b/src/cli/start.h
@@ -9,7 +9,8 @@
 
 namespace lemonroute::cli {
 
-// From here on until it is let go of, orders by signal wait: before their handlers are there they would end the program.
+// From here on until it is let go of, orders by signal wait: before their handlers are there they would end
+// the program.
 class SignalsHeld {
  public:
   SignalsHeld();
@@ -21,10 +22,11 @@
   sigset_t before_;
 };
 
-// The list that the router serves from. What the agent has counts as told from the first moment of a process, so
-// `known` alone would have it send to nodes that have long been draining: no client is taken before the first list has
-// come, or half a second has passed without one. None where the nodes are fixed.
-std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform, Router& router);
+// The list that the router serves from. What the agent has counts as told from the first moment of a process,
+// so `known` alone would have it send to nodes that have long been draining: no client is taken before the
+// first list has come, or half a second has passed without one. None where the nodes are fixed.
+std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform,
+                                             Router& router);
 
 discovery::Lists lists_of(const Settings& settings);
 void say_unused(const config::Platform& platform);  // one line of the log
--- a/src/config/installation.cpp
+++ b/src/config/installation.cpp
@@ -28,10 +28,14 @@
 void read_settings(Section in, Platform& to) {
   Settings& s = to.settings;
   std::int64_t attempts = s.max_attempts, siblings = s.siblings, me = s.me;
-  if (in.whole("max_attempts", attempts, 1, most_attempts)) s.max_attempts = static_cast<std::uint32_t>(attempts);
-  if (in.whole("siblings", siblings, 1, 100000)) s.siblings = static_cast<std::uint32_t>(siblings);
-  if (in.whole("me", me, 0, 99999)) s.me = static_cast<std::uint32_t>(me);
-  if (s.me >= s.siblings) in.fault("me", "must be below siblings, " + std::to_string(s.siblings));
+  if (in.whole("max_attempts", attempts, 1, most_attempts))
+    s.max_attempts = static_cast<std::uint32_t>(attempts);
+  if (in.whole("siblings", siblings, 1, 100000))
+    s.siblings = static_cast<std::uint32_t>(siblings);
+  if (in.whole("me", me, 0, 99999))
+    s.me = static_cast<std::uint32_t>(me);
+  if (s.me >= s.siblings)
+    in.fault("me", "must be below siblings, " + std::to_string(s.siblings));
   in.flag("cancel", s.may_cancel);
   in.flag("retry_after", s.retry_after);
   if (in.flag("second_copies", s.second_copies) && s.second_copies)
@@ -50,8 +54,10 @@
   in.texts("report_columns", s.report_columns);
   std::string column;
   const auto takes = [&](std::string_view key, const char* name) {
-    if (!in.text(key, column)) return false;
-    if (column != name) in.fault(key, std::string("the module reads it from the column '") + name + "' only");
+    if (!in.text(key, column))
+      return false;
+    if (column != name)
+      in.fault(key, std::string("the module reads it from the column '") + name + "' only");
     else if (std::find(s.report_columns.begin(), s.report_columns.end(), column) == s.report_columns.end())
       in.fault(key, "'" + column + "' is not among report_columns");
     return true;
@@ -65,15 +71,19 @@
   ClassSettings c;
   c.name = name;
   c.effect = Effect::safe;
-  in.choice("effect", c.effect, {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}});
-  const bool grouped = in.choice("group", c.group, {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
+  in.choice("effect", c.effect,
+            {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}});
+  const bool grouped =
+      in.choice("group", c.group, {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
   const bool window = in.span("window", c.window, milliseconds(1), hours(1));
   if (c.effect == Effect::keyed && (!grouped || !window))
     in.missing(grouped ? "window" : "group");
   if (c.effect != Effect::keyed && (grouped || window))
     in.fault(grouped ? "group" : "window", "says nothing of a class whose effect is not keyed");
-  if (!in.span("aim", c.aim, milliseconds(1), hours(1)) && !in.has("aim")) in.missing("aim");
-  if (!in.span("deadline", c.deadline, milliseconds(1), hours(1)) && !in.has("deadline")) in.missing("deadline");
+  if (!in.span("aim", c.aim, milliseconds(1), hours(1)) && !in.has("aim"))
+    in.missing("aim");
+  if (!in.span("deadline", c.deadline, milliseconds(1), hours(1)) && !in.has("deadline"))
+    in.missing("deadline");
   if (c.aim > Micros(0) && c.deadline > Micros(0) && c.aim > c.deadline)
     in.fault("aim", span_text(c.aim) + " is longer than the deadline, after which the client has given up");
   in.span("aim_per_1000_tokens", c.aim_per_1000_tokens, Micros(0), hours(1));
@@ -94,23 +104,30 @@
   auto& to = node.listed;
   to.zone = zones.empty() ? "a" : zones.front();
   if (!in.text("name", to.name)) {
-    if (!in.has("name")) in.missing("name");
+    if (!in.has("name"))
+      in.missing("name");
   }
-  if (in.text("address", to.address)) check_address(in, "address", to.address);
+  if (in.text("address", to.address))
+    check_address(in, "address", to.address);
   if (!in.text("kind", to.kind)) {
-    if (!in.has("kind")) in.missing("kind");
+    if (!in.has("kind"))
+      in.missing("kind");
   } else if (std::find(kinds.begin(), kinds.end(), to.kind) == kinds.end()) {
     in.fault("kind", "'" + to.kind + "' is not a known kind");
   }
   in.text("zone", to.zone);
   if (std::find(zones.begin(), zones.end(), to.zone) == zones.end()) {
-    if (zones.size() >= 255) in.fault("zone", "there are more than 255 zones");
-    else zones.push_back(to.zone);
+    if (zones.size() >= 255)
+      in.fault("zone", "there are more than 255 zones");
+    else
+      zones.push_back(to.zone);
   }
   std::int64_t cell = 0;
-  if (in.whole("cell", cell, 0, 65535)) to.cell = static_cast<std::uint16_t>(cell);
+  if (in.whole("cell", cell, 0, 65535))
+    to.cell = static_cast<std::uint16_t>(cell);
   double weight = 1;
-  if (in.number("weight", weight, 0, 1000)) to.weight = static_cast<float>(weight);
+  if (in.number("weight", weight, 0, 1000))
+    to.weight = static_cast<float>(weight);
   in.choice("phase", to.phase, {{"active", Phase::ready}, {"leaving", Phase::draining}});
   return node;
 }
@@ -135,19 +152,25 @@
   s.tick = milliseconds(4);
   to.connection_idle = seconds(8);
 
-  for (const char* key : {"serve", "settings", "kinds", "classes", "fleet"}) result.stated |= file.has(key);
+  for (const char* key : {"serve", "settings", "kinds", "classes", "fleet"})
+    result.stated |= file.has(key);
   if (auto in = file.table("serve")) {
     in->text("name", to.name);
-    if (in->text("listen", to.listen)) check_address(*in, "listen", to.listen);
-    if (in->text("discovery", to.discovery)) check_address(*in, "discovery", to.discovery);
+    if (in->text("listen", to.listen))
+      check_address(*in, "listen", to.listen);
+    if (in->text("discovery", to.discovery))
+      check_address(*in, "discovery", to.discovery);
     std::int64_t sockets = 1024;
-    if (in->whole("sockets", sockets, 64, 1000000)) to.sockets = static_cast<std::size_t>(sockets);
+    if (in->whole("sockets", sockets, 64, 1000000))
+      to.sockets = static_cast<std::size_t>(sockets);
     in->end();
   }
-  if (auto in = file.table("settings")) read_settings(*in, to);
+  if (auto in = file.table("settings"))
+    read_settings(*in, to);
   for (auto& [name, in] : file.tables("kinds")) {
     Role role = Role::both;
-    if (!in.choice("role", role, {{"read", Role::read}, {"write", Role::write}, {"both", Role::both}}) && !in.has("role"))
+    if (!in.choice("role", role, {{"read", Role::read}, {"write", Role::write}, {"both", Role::both}}) &&
+        !in.has("role"))
       in.missing("role");
     double tokens = 0;
     in.number("tokens", tokens, 1, 1e9);
@@ -156,7 +179,8 @@
     s.kind_role.push_back(role);
     s.kind_memory.push_back(tokens);
   }
-  if (to.kinds.size() > 255) file.fault("kinds", "there are more than 255");
+  if (to.kinds.size() > 255)
+    file.fault("kinds", "there are more than 255");
   for (auto& [name, in] : file.tables("classes")) {
     result.classes.push_back({name, in.line()});
     s.classes.push_back(read_class(name, in));
@@ -167,7 +191,8 @@
     auto node = read_node(in, to.kinds, to.zones);
     if (!node.listed.name.empty() && !names.insert(node.listed.name).second)
       in.fault("name", "'" + node.listed.name + "' is there twice");
-    if (!in.has("address")) in.missing("address");
+    if (!in.has("address"))
+      in.missing("address");
     else if (!node.listed.address.empty() && !addresses.insert(node.listed.address).second)
       in.fault("address", "'" + node.listed.address + "' is another node's");
     in.end();
@@ -177,7 +202,8 @@
   to.known.whole = true;
   if (result.fixed && !to.discovery.empty())
     file.fault("fleet", "the nodes come from here or from serve.discovery, not from both");
-  if (to.zones.empty()) to.zones.push_back("a");
+  if (to.zones.empty())
+    to.zones.push_back("a");
   return result;
 }
 
--- a/src/config/known_settings.h
+++ b/src/config/known_settings.h
@@ -7,10 +7,11 @@
 
 namespace lemonroute::config {
 
-// Paths as the settings' own page writes them: `lanes[].name`, `limits.cancel`. Each is there once, however often the
-// configuration has it; of an unknown object only its own path. Those outside the settings begin with a slash.
+// Paths as the settings' own page writes them: `lanes[].name`, `limits.cancel`. Each is there once, however
+// often the configuration has it; of an unknown object only its own path. Those outside the settings begin
+// with a slash.
 struct Unread {
-  std::vector<std::string> unused;   // known, stated, and nothing here depends on it
+  std::vector<std::string> unused;  // known, stated, and nothing here depends on it
   std::vector<std::string> unknown;
 };
 Unread unread(const nlohmann::json& config);
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -26,7 +26,8 @@
     };
     const auto address = [this](std::string& field) -> Take {
       return [this, &field](auto& key, auto& node) {
-        if (text(key, node, field)) check_address(key, node, field);
+        if (text(key, node, field))
+          check_address(key, node, field);
       };
     };
     const std::map<std::string, Take> keys{
@@ -45,13 +46,16 @@
            const auto number = node.template value_exact<std::int64_t>();
            if (!number || *number < 1 || *number > most_connections)
              fault(node, key, "must be a whole number from 1 to " + std::to_string(most_connections));
-           else to.grpc_connections = *number;
+           else
+             to.grpc_connections = *number;
          }},
         {"nodes.protocol",
          [&](auto& key, auto& node) {
            std::string word;
-           if (!text(key, node, word)) return;
-           if (word != "http" && word != "grpc") fault(node, key, "'" + word + "' is not http or grpc");
+           if (!text(key, node, word))
+             return;
+           if (word != "http" && word != "grpc")
+             fault(node, key, "'" + word + "' is not http or grpc");
            to.grpc_nodes = word == "grpc";
          }},
         {"agent_check.listen", address(to.agent_check_listen)},
@@ -59,24 +63,30 @@
     };
     std::set<std::string> sections;
     for (const auto& [key, take] : keys)
-      if (const auto dot = key.find('.'); dot != std::string::npos) sections.insert(key.substr(0, dot));
+      if (const auto dot = key.find('.'); dot != std::string::npos)
+        sections.insert(key.substr(0, dot));
 
     // Read elsewhere: config/installation.cpp, config/fleet.cpp.
-    const std::set<std::string> elsewhere{"serve", "settings", "kinds", "classes", "fleet", "peers", "regions"};
+    const std::set<std::string> elsewhere{"serve", "settings", "kinds",  "classes",
+                                          "fleet", "peers",    "regions"};
     const auto one = [&](const std::string& key, const toml::node& node) {
       const auto found = keys.find(key);
-      if (found != keys.end()) found->second(key, node);
-      else fault(node, key, sections.count(key) ? "must be a section, [" + key + "]" : "is not a known key");
+      if (found != keys.end())
+        found->second(key, node);
+      else
+        fault(node, key, sections.count(key) ? "must be a section, [" + key + "]" : "is not a known key");
     };
     for (const auto& [name, node] : root) {
       const std::string key(name.str());
-      if (elsewhere.count(key)) continue;
+      if (elsewhere.count(key))
+        continue;
       const toml::table* section = node.as_table();
       if (!section || !sections.count(key)) {
         one(key, node);
         continue;
       }
-      for (const auto& [inner, value] : *section) one(key + "." + std::string(inner.str()), value);
+      for (const auto& [inner, value] : *section)
+        one(key + "." + std::string(inner.str()), value);
     }
   }
 
@@ -86,8 +96,10 @@
   }
   bool text(const std::string& key, const toml::node& node, std::string& field) {
     const auto value = node.value_exact<std::string>();
-    if (value && !value->empty()) field = *value;
-    else fault(node, key, "must be a text that is not empty");
+    if (value && !value->empty())
+      field = *value;
+    else
+      fault(node, key, "must be a text that is not empty");
     return value && !value->empty();
   }
   void check_address(const std::string& key, const toml::node& node, const std::string& address) {
@@ -101,10 +113,12 @@
   }
   void addresses(const std::string& key, const toml::node& node, std::vector<std::string>& field) {
     const toml::array* list = node.as_array();
-    if (!list) return fault(node, key, "must be a list of addresses");
+    if (!list)
+      return fault(node, key, "must be a list of addresses");
     for (const auto& item : *list) {
       std::string address;
-      if (!text(key, item, address)) continue;
+      if (!text(key, item, address))
+        continue;
       check_address(key, item, address);
       field.push_back(address);
     }
@@ -120,7 +134,8 @@
 Operator read_operator(const std::string& path, std::vector<Fault>& faults) {
   Operator result;
   const auto root = parse_toml(path, faults);
-  if (!root) return result;
+  if (!root)
+    return result;
   Reader(path, faults).read(*root, result);
   Section file(*root, path, "", faults);
   result.installation = read_installation(file);
@@ -133,9 +148,11 @@
                    std::vector<Fault>& faults) {
   for (const auto& [name, line] : settings.installation.classes) {
     const auto& known = platform.settings.classes;
-    if (std::any_of(known.begin(), known.end(), [&name = name](auto& one) { return one.name == name; })) continue;
+    if (std::any_of(known.begin(), known.end(), [&name = name](auto& one) { return one.name == name; }))
+      continue;
     std::string all;
-    for (const auto& one : known) all += (all.empty() ? "" : ", ") + one.name;
+    for (const auto& one : known)
+      all += (all.empty() ? "" : ", ") + one.name;
     faults.push_back({path, line, "classes." + name, "is no class of the platform's, which knows " + all});
   }
 }
@@ -143,7 +160,8 @@
 void check_alone(const Operator& settings, const std::string& path, std::vector<Fault>& faults) {
   const Installation& in = settings.installation;
   const auto need = [&](bool there, const char* key, const char* what) {
-    if (!there) faults.push_back({path, 0, key, what});
+    if (!there)
+      faults.push_back({path, 0, key, what});
   };
   need(!in.platform.listen.empty(), "serve.listen", "is missing, and no platform's file is given");
   need(!in.classes.empty(), "classes", "is missing, and no platform's file is given");
@@ -157,14 +175,16 @@
 std::string operator_template(const std::string& application) {
   std::string quoted;
   for (const char c : application) {
-    if (c == '"' || c == '\\') quoted += '\\';
+    if (c == '"' || c == '\\')
+      quoted += '\\';
     quoted += c;
   }
   return R"(# lemonroute's settings for one application. Check this file with: lemonroute config check FILE
 # Everything here is optional; a key that is left out, or commented out, has the value shown.
 
 # Whose sidecar this is; the log names it at the start.
-application = ")" + quoted + R"("
+application = ")" +
+         quoted + R"("
 
 [platform]
 # The file that the platform writes, instead of the one that BALANCER_CONFIG names.
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -22,7 +22,7 @@
   std::string management_listen;   // empty: where the platform says, if it does
   std::optional<PeersFile> peers;  // none: off
   Regions regions;
-  Installation installation;       // what holds where no platform's file speaks
+  Installation installation;  // what holds where no platform's file speaks
 };
 
 // All faults at once; the result is of use only if there are none.
--- a/src/config/platform.h
+++ b/src/config/platform.h
@@ -21,13 +21,14 @@
 
 struct Platform {
   std::string name, listen, discovery;
-  std::string management;  // empty: off
+  std::string management;     // empty: off
   std::optional<int> socket;  // the inherited one that listens on `listen` already
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
   Settings settings;                // without what `unused` names
   std::vector<std::string> unused;  // keys of what the platform allows and this router never does
-  std::vector<std::string> not_read, unknown;  // keys that are stated: known, and nothing depends on them; not known
+  std::vector<std::string> not_read,
+      unknown;  // keys that are stated: known, and nothing depends on them; not known
   std::vector<std::string> zones, kinds;
   Micros connection_idle{};
   discovery::NodeList known;
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -1,5 +1,5 @@
-// Strict reading of TOML tables: each key is asked for once, with its type and range; what was not asked for is a
-// fault, and so is whatever does not fit. All faults of a file are gathered, each with its line.
+// Strict reading of TOML tables: each key is asked for once, with its type and range; what was not asked for
+// is a fault, and so is whatever does not fit. All faults of a file are gathered, each with its line.
 #pragma once
 
 #include <toml++/toml.h>
@@ -33,7 +33,9 @@
   bool has(std::string_view key) const { return table_->contains(key); }
   std::size_t line() const;
   std::size_t line(std::string_view key) const;
-  std::string full(std::string_view key) const { return path_.empty() ? std::string(key) : path_ + "." + std::string(key); }
+  std::string full(std::string_view key) const {
+    return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
+  }
 
   // Each leaves the field alone, and returns false, where the key is absent or its value is a fault.
   bool text(std::string_view key, std::string& field);
@@ -45,7 +47,8 @@
   template <class T>
   bool choice(std::string_view key, T& field, std::initializer_list<std::pair<const char*, T>> words) {
     std::string word;
-    if (!text(key, word)) return false;
+    if (!text(key, word))
+      return false;
     std::string all;
     for (const auto& [name, value] : words) {
       if (word == name) {
@@ -57,15 +60,17 @@
     fault(key, "'" + word + "' is not " + all);
     return false;
   }
-  std::optional<Section> table(std::string_view key);      // a table of its own
+  std::optional<Section> table(std::string_view key);                         // a table of its own
   std::vector<std::pair<std::string, Section>> tables(std::string_view key);  // of tables by name, [key.NAME]
-  std::vector<Section> list(std::string_view key);         // an array of tables
-  const toml::node* any(std::string_view key);             // whatever is there, or null
+  std::vector<Section> list(std::string_view key);                            // an array of tables
+  const toml::node* any(std::string_view key);                                // whatever is there, or null
 
   void fault(std::string_view key, std::string what);
   void fault_here(std::string what);
   void missing(std::string_view key) { fault_at(line(), full(key), "is missing"); }
-  void fault_at(std::size_t line, std::string key, std::string what) { faults_->push_back({file_, line, std::move(key), std::move(what)}); }
+  void fault_at(std::size_t line, std::string key, std::string what) {
+    faults_->push_back({file_, line, std::move(key), std::move(what)});
+  }
   void end();  // names each key that was not asked for
   const std::string& file() const { return file_; }
   const toml::table& toml() const { return *table_; }
--- a/src/config/tiers.cpp
+++ b/src/config/tiers.cpp
@@ -7,13 +7,15 @@
 
 std::optional<TiersFile> read_tiers(Section& file) {
   auto section = file.table("tiers");
-  if (!section) return std::nullopt;
+  if (!section)
+    return std::nullopt;
   TiersFile tiers;
   tiers.line = section->line();
   auto& limits = tiers.limits;
   const auto count = [&](const char* key, std::size_t& field, std::int64_t least, std::int64_t most) {
     auto value = static_cast<std::int64_t>(field);
-    if (section->whole(key, value, least, most)) field = static_cast<std::size_t>(value);
+    if (section->whole(key, value, least, most))
+      field = static_cast<std::size_t>(value);
   };
   count("device_keys", limits.device_keys, 64, 16384);
   count("site_keys", limits.site_keys, 64, 65536);
@@ -26,7 +28,8 @@
   section->number("cross_least", limits.cross_least, 0, 1'000'000);
   section->end();
   // A hint that fades before it is said again would come and go with the repeats.
-  if (limits.fade < limits.repeat) section->fault("fade", "must not be shorter than repeat, " + span_text(limits.repeat));
+  if (limits.fade < limits.repeat)
+    section->fault("fade", "must not be shorter than repeat, " + span_text(limits.repeat));
   return tiers;
 }
 
--- a/src/core/bans.h
+++ b/src/core/bans.h
@@ -22,8 +22,9 @@
   // When it was put back; nothing if that is long ago.
   std::optional<Micros> back(const std::string& name) const;
 
-  bool change(const std::string& name, bool out, Micros now);  // false: it can't be stored, and nothing changes
-  bool refresh();                                              // whether another process has changed something
+  bool change(const std::string& name, bool out,
+              Micros now);  // false: it can't be stored, and nothing changes
+  bool refresh();           // whether another process has changed something
 
   static constexpr int lock_byte = 0;
 
--- a/src/core/demand.cpp
+++ b/src/core/demand.cpp
@@ -7,13 +7,15 @@
 namespace lemonroute {
 
 void DemandCount::reported(HostId writer, double held, Micros now) {
-  if (std::isfinite(held)) reports_[writer] = {std::clamp(held, 0.0, 1.0), now};
+  if (std::isfinite(held))
+    reports_[writer] = {std::clamp(held, 0.0, 1.0), now};
 }
 
 NodeObserver::Demand DemandCount::take(double own, double memory, std::uint32_t writers, Micros now) {
   std::erase_if(reports_, [&](const auto& one) { return now - one.second.at > fresh; });
   double held = 0;
-  for (const auto& [id, report] : reports_) held += report.held;
+  for (const auto& [id, report] : reports_)
+    held += report.held;
   NodeObserver::Demand demand;
   demand.own = memory > 0 ? std::clamp(own / memory, 0.0, 1.0) : 0;
   // Writers that were not heard lately count as the mean of those that were.
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -1,5 +1,5 @@
-// What this router's clients ask of the writers, as it can tell: its own streams, and what writers say they hold.
-// No I/O, no clock.
+// What this router's clients ask of the writers, as it can tell: its own streams, and what writers say they
+// hold. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,14 @@
 
 class DemandCount {
  public:
-  // A writer's report of the share of its memory that is held, 0 to 1. Only the newest of each counts, for a time.
+  // A writer's report of the share of its memory that is held, 0 to 1. Only the newest of each counts, for a
+  // time.
   void reported(HostId writer, double held, Micros now);
   void taken() { ++taken_; }
   void refused() { ++refused_; }
 
-  // Of the time since the last call. `own`: tokens that streams of this router hold at writers; `memory`: what the
-  // `writers` have in all, in tokens.
+  // Of the time since the last call. `own`: tokens that streams of this router hold at writers; `memory`:
+  // what the `writers` have in all, in tokens.
   NodeObserver::Demand take(double own, double memory, std::uint32_t writers, Micros now);
 
   static constexpr Micros fresh = std::chrono::seconds(10);  // an older report says nothing any more
--- a/src/core/figures.h
+++ b/src/core/figures.h
@@ -26,17 +26,18 @@
   std::size_t unhealthy = 0;  // of them, those avoided: by hand, or by the module's choice
 };
 
-// The counts by class. A request holds on to the counts of the class that it was taken with, whatever becomes of
-// that class meanwhile.
+// The counts by class. A request holds on to the counts of the class that it was taken with, whatever becomes
+// of that class meanwhile.
 class CountsByClass {
  public:
   std::shared_ptr<Counts> of(const std::string& name) {
     auto& counts = counts_[name];
-    if (!counts) counts = std::make_shared<Counts>();
+    if (!counts)
+      counts = std::make_shared<Counts>();
     return counts;
   }
-  // Guards against a sidecar that is retuned for years under ever new names: of the classes that have vanished,
-  // only the last ones keep their counts.
+  // Guards against a sidecar that is retuned for years under ever new names: of the classes that have
+  // vanished, only the last ones keep their counts.
   void keep(const std::vector<ClassSettings>& classes) {
     for (const auto& one : classes) {
       of(one.name);
@@ -48,11 +49,13 @@
           std::none_of(vanished_.begin(), vanished_.end(), is))
         vanished_.push_back(name);
     }
-    for (; vanished_.size() > most_vanished; vanished_.pop_front()) counts_.erase(vanished_.front());
+    for (; vanished_.size() > most_vanished; vanished_.pop_front())
+      counts_.erase(vanished_.front());
   }
   std::map<std::string, Counts> all() const {
     std::map<std::string, Counts> copy;
-    for (const auto& [name, counts] : counts_) copy[name] = *counts;
+    for (const auto& [name, counts] : counts_)
+      copy[name] = *counts;
     return copy;
   }
 
--- a/src/core/guide.h
+++ b/src/core/guide.h
@@ -1,5 +1,6 @@
-// What routers know together, as one of them uses it while it serves, and what it tells the others of what it sees.
-// Both are met on the serving loop only: a guide never changes once it is made, and a observer neither waits nor fails.
+// What routers know together, as one of them uses it while it serves, and what it tells the others of what it
+// sees. Both are met on the serving loop only: a guide never changes once it is made, and a observer neither
+// waits nor fails.
 #pragma once
 
 #include <limits>
@@ -24,16 +25,19 @@
   // Routers that share the nodes, this one among them; 0: as the settings say.
   virtual std::uint32_t siblings() const { return 0; }
 
-  // Laid over what is listed of a node, as bans are: a node of a pool that is not ours drains, one of a pool that was
-  // taken over has just started. It holds until `until` at the most: with no newer guide by then, the node drains.
+  // Laid over what is listed of a node, as bans are: a node of a pool that is not ours drains, one of a pool
+  // that was taken over has just started. It holds until `until` at the most: with no newer guide by then,
+  // the node drains.
   struct Laid {
     bool away = false;
-    Micros started{};                    // 0: as listed
-    Micros until = Micros::max();        // on the core's clock
+    Micros started{};              // 0: as listed
+    Micros until = Micros::max();  // on the core's clock
   };
   virtual Laid lay(const Node&) const { return {}; }
 
-  virtual std::vector<KeptAt> kept(Key /*session*/, Key /*shared*/) const { return {}; }  // a few, the best first
+  virtual std::vector<KeptAt> kept(Key /*session*/, Key /*shared*/) const {
+    return {};
+  }  // a few, the best first
 
   // The last loss of kept text that was told of a node, on the core's clock; 0: none. Grows with each.
   virtual Micros lost(const Node&) const { return {}; }
@@ -44,13 +48,17 @@
  public:
   virtual ~NodeObserver() = default;
   // A read has ended well at that node: so much of the prompt is kept there now.
-  virtual void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) = 0;
+  virtual void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+                    Micros now) = 0;
   // A node's own count of what it found kept of a prompt when it read it: it proves hints right or wrong.
-  virtual void found(const Node& /*node*/, Key /*session*/, Key /*shared*/, double /*tokens*/, Micros /*now*/) {}
+  virtual void found(const Node& /*node*/, Key /*session*/, Key /*shared*/, double /*tokens*/,
+                     Micros /*now*/) {}
   virtual void lost(const Node& node, Micros now) = 0;  // its kept texts are gone, it did not say so
-  virtual void listed(const std::vector<Node>& nodes, Micros now) = 0;  // all that are known, after each change
-  // What this router's writers did since the last call: the share of their memory that its own streams hold and that
-  // was reported in all (0 to 1, weighed by writers), requests taken, and those refused for want of writers.
+  virtual void listed(const std::vector<Node>& nodes,
+                      Micros now) = 0;  // all that are known, after each change
+  // What this router's writers did since the last call: the share of their memory that its own streams hold
+  // and that was reported in all (0 to 1, weighed by writers), requests taken, and those refused for want of
+  // writers.
   struct Demand {
     double own = 0, reported = 0;
     std::uint64_t taken = 0, refused = 0;
--- a/src/core/load_report.cpp
+++ b/src/core/load_report.cpp
@@ -18,9 +18,11 @@
                                                                              {"eps", "err_rps"}}};
 
 bool same_column(std::string_view said, std::string_view column) {
-  if (said == column) return true;
+  if (said == column)
+    return true;
   for (const auto& [one, other] : also)
-    if ((said == one && column == other) || (said == other && column == one)) return true;
+    if ((said == one && column == other) || (said == other && column == one))
+      return true;
   return false;
 }
 
@@ -29,7 +31,8 @@
 
 std::string_view trim(std::string_view text) {
   const auto first = text.find_first_not_of(" \t");
-  if (first == std::string_view::npos) return {};
+  if (first == std::string_view::npos)
+    return {};
   return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
@@ -44,18 +47,21 @@
     const std::string_view item = report.substr(0, comma);
     report.remove_prefix(comma == std::string_view::npos ? report.size() : comma + 1);
     const auto equals = item.find('=');
-    if (equals == std::string_view::npos) return {};
+    if (equals == std::string_view::npos)
+      return {};
     const auto name = trim(item.substr(0, equals)), text = trim(item.substr(equals + 1));
     float value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= most_value)) return {};
+    if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= most_value))
+      return {};
     for (std::size_t i = 0; i < columns.size(); ++i)
       if (same_column(name, columns[i])) {
         values[i] = value;
         any = true;
       }
   }
-  if (!any) values.clear();
+  if (!any)
+    values.clear();
   return values;
 }
 
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -21,7 +21,7 @@
 class Router {
  public:
   Router(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
-            std::uint64_t seed, const Clock& clock, Nodes& nodes);
+         std::uint64_t seed, const Clock& clock, Nodes& nodes);
   ~Router();
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
@@ -40,7 +40,8 @@
   // From now on. Requests that were taken keep their class and their most attempts.
   void retune(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds);
   enum class Ordered { done, never_listed, not_stored };
-  Ordered take_out(const std::string& node);  // no new work to it, whatever discovery lists, until it is put back
+  Ordered take_out(
+      const std::string& node);  // no new work to it, whatever discovery lists, until it is put back
   Ordered put_back(const std::string& node);
   void keep_bans(std::string path, LockFile& lock);  // takes those that are there
   void refresh_bans();                               // takes what another process of this router has changed
@@ -51,7 +52,8 @@
 
   // ---- for what routers know together ----
   void guide(std::shared_ptr<const Guide> guide);  // from now on; none: what discovery and operators say
-  void observer(NodeObserver* observer);  // hears what is seen of nodes; outlives this, or is taken back with null
+  void observer(
+      NodeObserver* observer);  // hears what is seen of nodes; outlives this, or is taken back with null
 
   // ---- for fronts ----
   enum class Taken { yes, unknown_kind, duplicate };
@@ -64,9 +66,10 @@
   // Gives away streams that stand between two events, each once `give` has sent it; the others stay.
   void pass_streams(const std::function<bool(const PassedStream&)>& give);
   bool adopt(const PassedStream& stream, Client& client, RequestId& id);  // goes on with one that was given
-  HandoverState handover_state() const;                // of ready nodes, where there is something to tell
+  HandoverState handover_state() const;                 // of ready nodes, where there is something to tell
   void take_over(const HandoverState& handover_state);  // what another process told
-  // The process is ended soon after `at`: no request waits for its first event longer, one taken later included.
+  // The process is ended soon after `at`: no request waits for its first event longer, one taken later
+  // included.
   void end_waits(Micros at);
 
   // ---- for the loop ----
@@ -96,7 +99,7 @@
   void act(const HangUp& hang_up);
   void act(const Log& log);
   void act(const Release& release);
-  void act(const Evict&) {}      // the module never asks for these, whatever the settings allow
+  void act(const Evict&) {}  // the module never asks for these, whatever the settings allow
   void act(const SetAside&) {}
   void act(const Tell&) {}
   void act(const Subscribe&) {}  // the watch is always on here
@@ -104,7 +107,8 @@
 
   void event(AttemptState& attempt, std::string_view data);
   void done(AttemptState& attempt, Result result);
-  void tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node, const Completed& completed);
+  void tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node,
+                     const Completed& completed);
   void watch_silence(AttemptState& attempt);
   void begin_by(AttemptState& attempt, Micros at, Result or_else);
   void hurry_to_leaving();
@@ -145,7 +149,7 @@
   NodeObserver* observer_ = nullptr;
   DemandCount demand_;
   std::unordered_map<std::string, HostId> ids_;  // of the known ones, by name
-  std::deque<std::string> left_;  // names of nodes that have gone, the last one at the back
+  std::deque<std::string> left_;                 // names of nodes that have gone, the last one at the back
   std::unordered_map<RequestId, std::unique_ptr<RequestState>> requests_;
   std::unordered_map<std::string, RequestId> by_name_;
   std::list<PendingRelease> releases_;
--- a/src/core/router/actions.cpp
+++ b/src/core/router/actions.cpp
@@ -2,8 +2,8 @@
 #include <utility>
 
 #include "base/log.h"
-#include "core/router/parts.h"
 #include "core/load_report.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
@@ -13,18 +13,22 @@
   const Micros now = clock_.now();
   const auto number = entry ? entry->attempts++ : std::uint16_t(0);
   const auto answer = [&](Outcome outcome) {
-    events_.emplace_back(std::in_place_type<Completed>,
-                         Completed{send.id, outcome, !entry || !entry->client, Micros(0), send.host, 0, number, {}});
+    events_.emplace_back(
+        std::in_place_type<Completed>,
+        Completed{send.id, outcome, !entry || !entry->client, Micros(0), send.host, 0, number, {}});
   };
   // The module keeps these rules itself; a slip there must not reach a node.
   if (!entry || !entry->client || entry->out || now >= entry->deadline || number >= entry->most_attempts)
     return answer(Outcome::moot);
-  // Danger: doing twice what must be done once. A replaced configuration may call the node a reader by now; what
-  // counts is what it was when the attempt went out.
-  if (entry->once && entry->ran) return answer(Outcome::moot);
+  // Danger: doing twice what must be done once. A replaced configuration may call the node a reader by now;
+  // what counts is what it was when the attempt went out.
+  if (entry->once && entry->ran)
+    return answer(Outcome::moot);
   const bool repeats = entry->ran && role(send.host) != Role::read;
-  if (repeats && now >= entry->repeats_until) return answer(Outcome::moot);
-  if (node == known_.end() || !node->second.ready()) return answer(Outcome::connect_failed);
+  if (repeats && now >= entry->repeats_until)
+    return answer(Outcome::moot);
+  if (node == known_.end() || !node->second.ready())
+    return answer(Outcome::connect_failed);
   const Micros left = entry->deadline - now;
   const Micros within = send.within > Micros(0) ? std::min(send.within, left) : left;
   entry->out = std::make_unique<AttemptState>(*this, send.id, number, node->second, role(send.host), now);
@@ -33,18 +37,24 @@
   attempt.timer = timers_.add(now + within, [this, &attempt] { timed_out(attempt); });
   attempt.call = nodes_.begin(node->second, entry->prompt, within, attempt);
   if (repeats && entry->repeats_until < now + within)
-    begin_by(attempt, entry->repeats_until, {Outcome::connect_failed, 0, {}, "its class allows no repeat any more"});
+    begin_by(attempt, entry->repeats_until,
+             {Outcome::connect_failed, 0, {}, "its class allows no repeat any more"});
   // Told that its state is lost the module lets go of it, and has the prompt read again if there is time.
   if (entry->state_waits && settings_.release_within > Micros(0)) {
-    const Result or_else{entry->holds ? Outcome::full : Outcome::connect_failed, entry->holds ? 1u : 0u, {}, "a state has waited too long"};
+    const Result or_else{entry->holds ? Outcome::full : Outcome::connect_failed,
+                         entry->holds ? 1u : 0u,
+                         {},
+                         "a state has waited too long"};
     begin_by(attempt, *entry->state_waits + settings_.release_within / 2, or_else);
   }
 }
 
 void Router::act(const Refuse& refuse) {
   RequestState* entry = find(refuse.id);
-  if (!entry || !entry->client) return;
-  if (entry->once && entry->ran) return act(Fail{refuse.id});  // a refusal says that trying again is harmless
+  if (!entry || !entry->client)
+    return;
+  if (entry->once && entry->ran)
+    return act(Fail{refuse.id});  // a refusal says that trying again is harmless
   Client& client = *entry->client;
   end(*entry);
   ++entry->counts->deferred;
@@ -56,7 +66,8 @@
 
 void Router::act(const Fail& fail) {
   RequestState* entry = find(fail.id);
-  if (!entry || !entry->client) return;
+  if (!entry || !entry->client)
+    return;
   Client& client = *entry->client;
   end(*entry);
   ++entry->counts->errored;
@@ -67,7 +78,8 @@
 
 void Router::act(const Cancel& cancel) {
   RequestState* entry = find(cancel.id);
-  if (!entry || !entry->out || entry->out->number != cancel.attempt || entry->out->started) return;
+  if (!entry || !entry->out || entry->out->number != cancel.attempt || entry->out->started)
+    return;
   done(*entry->out, {Outcome::cancelled, 0, {}, "called off"});
 }
 
@@ -77,7 +89,8 @@
 
 void Router::act(const Probe& probe) {
   const auto node = known_.find(probe.host);
-  if (node == known_.end()) return;
+  if (node == known_.end())
+    return;
   const auto number = next_probe_++;
   const Micros sent = clock_.now();
   auto call = nodes_.probe(node->second, [this, number, sent, host = probe.host](const Result& result) {
@@ -90,14 +103,18 @@
 
 void Router::act(const HangUp& hang_up) {
   const auto node = known_.find(hang_up.host);
-  if (node != known_.end()) nodes_.hang_up(node->second);
+  if (node != known_.end())
+    nodes_.hang_up(node->second);
 }
 
-void Router::act(const Log& log) { logging::info() << "module: " << log.line; }
+void Router::act(const Log& log) {
+  logging::info() << "module: " << log.line;
+}
 
 void Router::act(const Release& release) {
   RequestState* entry = find(release.id);
-  if (!entry) return;
+  if (!entry)
+    return;
   entry->leftover.reset();
   entry->state_waits.reset();
   entry->holds = false;
--- a/src/core/router/attempts.cpp
+++ b/src/core/router/attempts.cpp
@@ -2,8 +2,8 @@
 #include <utility>
 
 #include "base/log.h"
-#include "core/router/parts.h"
 #include "core/load_report.h"
+#include "core/router/parts.h"
 
 namespace lemonroute {
 
@@ -16,15 +16,24 @@
 
 const char* word(Outcome outcome) {
   switch (outcome) {
-    case Outcome::ok: return "served";
-    case Outcome::read: return "read";
-    case Outcome::timeout: return "timed out";
-    case Outcome::moot: return "moot";
-    case Outcome::full: return "turned away";
-    case Outcome::cancelled: return "cancelled";
-    case Outcome::error: return "error";
-    case Outcome::reset: return "reset";
-    case Outcome::connect_failed: return "could not connect";
+    case Outcome::ok:
+      return "served";
+    case Outcome::read:
+      return "read";
+    case Outcome::timeout:
+      return "timed out";
+    case Outcome::moot:
+      return "moot";
+    case Outcome::full:
+      return "turned away";
+    case Outcome::cancelled:
+      return "cancelled";
+    case Outcome::error:
+      return "error";
+    case Outcome::reset:
+      return "reset";
+    case Outcome::connect_failed:
+      return "could not connect";
   }
   return "?";
 }
@@ -36,7 +45,8 @@
   watch_silence(attempt);
   if (!std::exchange(attempt.started, true)) {
     entry.leftover.reset();
-    logging::debug() << entry.prompt.id << " attempt " << attempt.number << " at " << attempt.node << ": streams";
+    logging::debug() << entry.prompt.id << " attempt " << attempt.number << " at " << attempt.node
+                     << ": streams";
     put(First{attempt.request, attempt.host, attempt.number, clock_.now() - attempt.sent});
   }
   // It began as its client left, where attempts may not be called off: a stream that nobody reads ends.
@@ -45,10 +55,12 @@
     attempt.timer = timers_.add(clock_.now(), [this, &attempt] {
       done(attempt, {Outcome::cancelled, 0, {}, "its client has gone"});
     });
-    if (on_change) on_change();
+    if (on_change)
+      on_change();
     return;
   }
-  if (entry.client->event(data)) return;
+  if (entry.client->event(data))
+    return;
   // Guards a slow client's stream: while it is held back the node's silence is of our own making.
   timers_.drop(attempt.timer);
   attempt.call->hold_back(true);
@@ -59,17 +71,21 @@
   attempt.timer = timers_.add(clock_.now() + stream_silence, [this, &attempt] { stalled(attempt); });
 }
 
-// Danger: a send that was right when it was decided and is wrong by the time its connection comes up, or a place on one
-// is free: to a node that drains by then, of a repeat that its class allows no more, or while a state waits at a reader
-// for which nothing is out. So it is taken back.
+// Danger: a send that was right when it was decided and is wrong by the time its connection comes up, or a
+// place on one is free: to a node that drains by then, of a repeat that its class allows no more, or while a
+// state waits at a reader for which nothing is out. So it is taken back.
 void Router::begin_by(AttemptState& attempt, Micros at, Result or_else) {
-  if (!attempt.unsent() || (attempt.begin_timer && attempt.begin_timer->first <= at)) return;
-  if (attempt.begin_timer) timers_.drop(*attempt.begin_timer);
+  if (!attempt.unsent() || (attempt.begin_timer && attempt.begin_timer->first <= at))
+    return;
+  if (attempt.begin_timer)
+    timers_.drop(*attempt.begin_timer);
   attempt.begin_timer = timers_.add(at, [this, &attempt, or_else = std::move(or_else)] {
     attempt.begin_timer.reset();
-    if (!attempt.unsent()) return;
+    if (!attempt.unsent())
+      return;
     // Nothing is out, so what a cut read may have left is let go of before another attempt is made.
-    if (RequestState& entry = *find(attempt.request); entry.leftover) let_go_leftover(entry);
+    if (RequestState& entry = *find(attempt.request); entry.leftover)
+      let_go_leftover(entry);
     done(attempt, or_else);
   });
 }
@@ -80,56 +96,73 @@
   timers_.drop(attempt.timer);
   // Guards the nodes' good name, and the others' time: what one node can't use no node can. The fault is the
   // client's, who is told at once.
-  if (result.unfit) result.outcome = Outcome::moot;
+  if (result.unfit)
+    result.outcome = Outcome::moot;
   const std::unique_ptr<AttemptState> ended = std::move(entry.out);
   logging::debug() << entry.prompt.id << " attempt " << attempt.number << " at " << attempt.node << ": "
                    << word(result.outcome) << (result.detail.empty() ? "" : ", ") << result.detail;
   if (result.unfit)
     logging::info() << "node " << attempt.node << " can't use " << entry.prompt.id << ", " << result.detail;
   if (result.outcome == Outcome::error || result.outcome == Outcome::reset)
-    logging::info() << "node " << attempt.node << ": attempt " << word(result.outcome) << ", " << result.detail;
+    logging::info() << "node " << attempt.node << ": attempt " << word(result.outcome) << ", "
+                    << result.detail;
   if (const auto node = known_.find(attempt.host); node != known_.end() && !result.load.empty()) {
     node->second.load = result.load;
     node->second.load_at = clock_.now();
   }
   const bool tells = entry.adopted && result.outcome != Outcome::cancelled;
-  // One that was called off, or ran out of time, before anything of it had left: nothing is held for it either.
+  // One that was called off, or ran out of time, before anything of it had left: nothing is held for it
+  // either.
   const bool given_up = result.outcome == Outcome::cancelled || result.outcome == Outcome::timeout;
   const bool never_ran = result.outcome == Outcome::full || result.outcome == Outcome::connect_failed ||
                          result.outcome == Outcome::moot || (given_up && ended->unsent());
-  const bool may_have_run = attempt.started || (!never_ran && result.outcome != Outcome::read && attempt.role != Role::read);
+  const bool may_have_run =
+      attempt.started || (!never_ran && result.outcome != Outcome::read && attempt.role != Role::read);
   if (may_have_run && !std::exchange(entry.ran, true) && entry.repeats_for < Micros::max())
     entry.repeats_until = attempt.sent + entry.repeats_for;
   const bool lost = result.outcome == Outcome::full && result.kept == 1;
   entry.holds = result.outcome == Outcome::read || (entry.holds && !lost && !attempt.started);
-  if (result.outcome == Outcome::read) entry.held_at = attempt.host;
+  if (result.outcome == Outcome::read)
+    entry.held_at = attempt.host;
   else if (!never_ran && attempt.role != Role::write && !attempt.started)
     entry.leftover = attempt.host;
-  if (attempt.started || (lost && !entry.leftover)) entry.state_waits.reset();
-  else if (result.outcome == Outcome::read || (!never_ran && (entry.state_waits || entry.leftover))) entry.state_waits = clock_.now();
+  if (attempt.started || (lost && !entry.leftover))
+    entry.state_waits.reset();
+  else if (result.outcome == Outcome::read || (!never_ran && (entry.state_waits || entry.leftover)))
+    entry.state_waits = clock_.now();
   Client* client = entry.client;
   const bool finished = !client || result.outcome == Outcome::ok || attempt.started || result.unfit;
   if (client && finished) {
     end(entry);
     ++(result.outcome == Outcome::ok ? entry.counts->answered : entry.counts->errored);
   }
-  Completed completed{attempt.request, result.outcome, finished, clock_.now() - attempt.sent, attempt.host,
-                      result.kept,     attempt.number, parse_load(result.load, settings_.report_columns)};
-  if (const auto node = known_.find(attempt.host); node != known_.end()) tell_observer(entry, *ended, node->second, completed);
+  Completed completed{
+      attempt.request, result.outcome, finished,       clock_.now() - attempt.sent,
+      attempt.host,    result.kept,    attempt.number, parse_load(result.load, settings_.report_columns)};
+  if (const auto node = known_.find(attempt.host); node != known_.end())
+    tell_observer(entry, *ended, node->second, completed);
   ended->call.reset();
-  if (client && result.outcome == Outcome::ok) client->finish();
-  else if (client && result.unfit) client->fail(Failure::unfit);
-  else if (client && finished) client->cut();
-  // The module never heard of a stream that another process began. What its end tells of the node counts all the same:
-  // a process that has just started hears of a writer's load by nothing else until its own first streams end.
-  HealthResult health{completed.host, completed.outcome, Micros(0), tells ? completed.load : std::vector<float>{}};
+  if (client && result.outcome == Outcome::ok)
+    client->finish();
+  else if (client && result.unfit)
+    client->fail(Failure::unfit);
+  else if (client && finished)
+    client->cut();
+  // The module never heard of a stream that another process began. What its end tells of the node counts all
+  // the same: a process that has just started hears of a writer's load by nothing else until its own first
+  // streams end.
+  HealthResult health{completed.host, completed.outcome, Micros(0),
+                      tells ? completed.load : std::vector<float>{}};
   put(std::move(completed));
-  if (tells) put(std::move(health));
+  if (tells)
+    put(std::move(health));
 }
 
 // What an attempt that ended says of its node, for this router's peers.
-void Router::tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node, const Completed& completed) {
-  if (!observer_) return;
+void Router::tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node,
+                           const Completed& completed) {
+  if (!observer_)
+    return;
   const Micros now = clock_.now();
   const bool has_read = completed.outcome == Outcome::read || completed.outcome == Outcome::ok;
   if (ended.role != Role::write && has_read) {
@@ -144,7 +177,11 @@
     demand_.reported(ended.host, completed.load[at], now);
 }
 
-void Router::stalled(AttemptState& attempt) { done(attempt, {Outcome::reset, 0, {}, "the stream fell silent"}); }
-void Router::timed_out(AttemptState& attempt) { done(attempt, {Outcome::timeout, 0, {}, "no answer in time"}); }
+void Router::stalled(AttemptState& attempt) {
+  done(attempt, {Outcome::reset, 0, {}, "the stream fell silent"});
+}
+void Router::timed_out(AttemptState& attempt) {
+  done(attempt, {Outcome::timeout, 0, {}, "no answer in time"});
+}
 
 }  // namespace lemonroute
--- a/src/core/router/parts.h
+++ b/src/core/router/parts.h
@@ -1,4 +1,5 @@
-// What the core's files share: one request, its attempt under way, and a state that is being let go. Private to core.
+// What the core's files share: one request, its attempt under way, and a state that is being let go. Private
+// to core.
 #pragma once
 
 #include <memory>
@@ -14,7 +15,8 @@
   AttemptState(Router& owner, RequestId of, std::uint16_t number, const Node& at, Role role, Micros now)
       : router(owner), request(of), number(number), host(at.id), node(at.name), role(role), sent(now) {}
   ~AttemptState() override {
-    if (begin_timer) router.timers_.drop(*begin_timer);
+    if (begin_timer)
+      router.timers_.drop(*begin_timer);
   }
   void written() override { ++router.sends_; }
   void event(std::string_view data) override { router.event(*this, data); }
@@ -29,7 +31,7 @@
   Micros sent;
   bool started = false;
   std::unique_ptr<Call> call;
-  Timers::Id timer;  // its time-out, and once it streams the watch for silence
+  Timers::Id timer;                       // its time-out, and once it streams the watch for silence
   std::optional<Timers::Id> begin_timer;  // until then it has to have begun, or it does not begin any more
   // Certainly no node has heard of it, and none will once it is let go of.
   bool unsent() const { return call && call->unsent(); }
@@ -45,14 +47,14 @@
   std::string kind;
   Key session = 0, shared = 0;
   double tokens = 0, shared_tokens = 0;  // of its prompt
-  std::shared_ptr<Counts> counts;  // of the class that it was taken with
-  bool once = false;  // its class must never run twice,
-  bool ran = false;   // and an attempt that would have answered may have run
+  std::shared_ptr<Counts> counts;        // of the class that it was taken with
+  bool once = false;                     // its class must never run twice,
+  bool ran = false;                      // and an attempt that would have answered may have run
   Micros repeats_for = Micros::max();    // how long after its sending the class may be repeated,
   Micros repeats_until = Micros::max();  // and, once one may have run, until when
-  std::unique_ptr<AttemptState> out;  // at most one
-  HostId held_at = 0;        // the node of the last read that ended well,
-  bool holds = false;        // and whether it holds the state
+  std::unique_ptr<AttemptState> out;     // at most one
+  HostId held_at = 0;                    // the node of the last read that ended well,
+  bool holds = false;                    // and whether it holds the state
   std::optional<Micros> state_waits;  // since when a state is or may be there with nothing out that has begun
   // A node where a read was cut. It may have ended well in that very moment and hold a state that nobody
   // told of, so it is asked to let go as soon as no attempt is out.
--- a/src/core/types.cpp
+++ b/src/core/types.cpp
@@ -8,14 +8,16 @@
 // FNV-1a with its bits mixed once more.
 std::uint64_t hash_of(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ull;
-  for (const unsigned char c : text) h = (h ^ c) * 0x100000001b3ull;
+  for (const unsigned char c : text)
+    h = (h ^ c) * 0x100000001b3ull;
   h ^= h >> 32;
   h *= 0xd6e8feb86659fd93ull;
   return h ^ (h >> 32);
 }
 
 Key key_of(std::string_view text) {
-  if (text.empty()) return 0;
+  if (text.empty())
+    return 0;
   Key key = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key, 16);
   return error == std::errc() && end == text.data() + text.size() ? key : hash_of(text);
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -30,8 +30,7 @@
                                                    std::chrono::steady_clock::now().time_since_epoch()) +
                 wrong_by) {}
   Micros now() const override {
-    return offset_ +
-           std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
+    return offset_ + std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
   }
 
  private:
@@ -57,9 +56,9 @@
 };
 
 enum class Failure {
-  timed_out,   // nothing came before the client's deadline
-  gave_up,     // the module ended the request
-  unfit,       // a node can't use the request as the client put it
+  timed_out,  // nothing came before the client's deadline
+  gave_up,    // the module ended the request
+  unfit,      // a node can't use the request as the client put it
 };
 
 // A key as a number: hexadecimal digits as they are, any other text by its hash. 0 = none.
@@ -83,8 +82,8 @@
 // What one process of the router believes of a node, for another that has just started.
 struct NodeReport {
   std::string node;
-  std::string load;  // its last report, as the node worded it
-  Micros age{};      // of that report
+  std::string load;      // its last report, as the node worded it
+  Micros age{};          // of that report
   bool avoided = false;  // left out by choice, since attempts fail there
   double sent = 0;       // tokens a microsecond that are sent there, 0 = unknown
 };
@@ -113,7 +112,7 @@
   ListEntry entry;  // as the Scheduler sees it: with what was said by hand laid over what is listed
   Phase listed = Phase::ready;
   Micros listed_start{};
-  Micros lost{};  // the last loss of kept text that peers told of; 0: none
+  Micros lost{};     // the last loss of kept text that peers told of; 0: none
   std::string load;  // the last report that came along, and when
   Micros load_at{};
   bool ready() const { return entry.phase == Phase::ready; }
@@ -131,7 +130,7 @@
 class Attempt {
  public:
   virtual ~Attempt() = default;
-  virtual void written() = 0;  // the last byte of the request has gone to the kernel
+  virtual void written() = 0;                     // the last byte of the request has gone to the kernel
   virtual void event(std::string_view data) = 0;  // the call may be let go of by the time it returns
   virtual void done(Result result) = 0;  // once, and never from within begin; the call is gone after it
 };
@@ -141,7 +140,8 @@
  public:
   virtual ~Call() = default;
   virtual void hold_back(bool) {}  // backpressure of a stream
-  // Nothing of the request has left, and nothing will if the call is let go of. False where that is not certain.
+  // Nothing of the request has left, and nothing will if the call is let go of. False where that is not
+  // certain.
   virtual bool unsent() const { return false; }
   virtual std::optional<PassedConnection> passable() { return std::nullopt; }
   virtual void passed() {}
@@ -156,7 +156,8 @@
   virtual std::unique_ptr<Call> release(const Node& node, const std::string& id,
                                         std::function<void(bool)> done) = 0;
   virtual std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) = 0;
-  // Goes on with a stream that another process began; nothing if that can't be done, and the descriptor is open still.
+  // Goes on with a stream that another process began; nothing if that can't be done, and the descriptor is
+  // open still.
   virtual std::unique_ptr<Call> adopt(const Node&, const PassedConnection&, Attempt&) { return nullptr; }
   virtual void hang_up(const Node& node) = 0;  // closes the idle connections
   struct Limits {
--- a/src/demo/stand_ins.cpp
+++ b/src/demo/stand_ins.cpp
@@ -15,7 +15,8 @@
 
 using nlohmann::json;
 
-const std::vector<std::string> words{"Si ", "certifica ", "che ", "quanto ", "segue ", "è ", "conforme ", "agli ", "atti."};
+const std::vector<std::string> words{"Si ", "certifica ", "che ",  "quanto ", "segue ",
+                                     "è ",  "conforme ",  "agli ", "atti."};
 
 std::string chunk(const std::string& bytes) {
   std::ostringstream out;
@@ -40,10 +41,12 @@
   void on_readable() override {
     evbuffer* input = connection.input();
     const auto scan = http::scan_head(input, http::Kind::request, scanned_);
-    if (scan.state != http::Scan::head) return;
+    if (scan.state != http::Scan::head)
+      return;
     const auto length = scan.head.field("Content-Length");
     const std::size_t size = scan.length + (length.empty() ? 0 : std::stoul(std::string(length)));
-    if (evbuffer_get_length(input) < size) return;
+    if (evbuffer_get_length(input) < size)
+      return;
     method = scan.head.method;
     target = scan.head.target;
     id = scan.head.field("Req-Id");
@@ -62,14 +65,16 @@
 template <class T>
 void erase(net::Loop& loop, std::vector<std::unique_ptr<T>>& from, T& one) {
   const auto at = std::find_if(from.begin(), from.end(), [&](auto& other) { return other.get() == &one; });
-  if (at == from.end()) return;
+  if (at == from.end())
+    return;
   loop.dispose(std::move(*at));
   from.erase(at);
 }
 
 }  // namespace
 
-// ---- Nodes --------------------------------------------------------------------------------------------------
+// ---- Nodes
+// --------------------------------------------------------------------------------------------------
 
 struct Node::Visit : Server {
   Visit(Node& of, evutil_socket_t fd) : Server(of.loop_, fd), node(of), timer(of.loop_, [this] { next(); }) {}
@@ -80,7 +85,8 @@
   }
   void end() {  // of the attempt, if one is out here
     timer.stop();
-    if (!open) return;
+    if (!open)
+      return;
     open = false;
     node.fleet_.over(id, node.name_);
   }
@@ -96,7 +102,8 @@
         node.fleet_.freed(id, held->second);  // fetched from there
         node.fleet_.held.erase(held);
       }
-      connection.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
+      connection.write(
+          "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
     if (word < words.size()) {
       const json event{{"choices", json::array({{{"index", 0}, {"delta", {{"content", words[word++]}}}}})}};
@@ -107,7 +114,8 @@
     end();
   }
   void answer(const std::string& status, const std::string& body, const std::string& fields = "") {
-    connection.write("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    connection.write("HTTP/1.1 " + status + "\r\n" + fields +
+                     "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
   Node& node;
   bool open = false;
@@ -116,14 +124,22 @@
 };
 
 Node::Node(net::Loop& loop, Fleet& fleet, std::string name, bool reader)
-    : loop_(loop), fleet_(fleet), name_(std::move(name)), reader_(reader),
-      listener_(std::make_unique<net::Listener>(loop, "127.0.0.1:0", [this](evutil_socket_t fd) { accept(fd); })) {
+    : loop_(loop),
+      fleet_(fleet),
+      name_(std::move(name)),
+      reader_(reader),
+      listener_(
+          std::make_unique<net::Listener>(loop, "127.0.0.1:0", [this](evutil_socket_t fd) { accept(fd); })) {
   port_ = listener_->port();
 }
 Node::~Node() = default;
 
-void Node::accept(evutil_socket_t fd) { visits_.push_back(std::make_unique<Visit>(*this, fd)); }
-void Node::drop(Visit& visit) { erase(loop_, visits_, visit); }
+void Node::accept(evutil_socket_t fd) {
+  visits_.push_back(std::make_unique<Visit>(*this, fd));
+}
+void Node::drop(Visit& visit) {
+  erase(loop_, visits_, visit);
+}
 
 void Node::request(Visit& visit) {
   if (visit.method == "DELETE") {
@@ -135,7 +151,8 @@
     visit.connection.write("HTTP/1.1 204 No Content\r\n\r\n");
     return;
   }
-  if (visit.method != "POST") return visit.answer("404 Not Found", "");
+  if (visit.method != "POST")
+    return visit.answer("404 Not Found", "");
   fleet_.begun(visit.id, name_);
   visit.open = true;
   visit.word = 0;
@@ -164,10 +181,12 @@
   }
 }
 
-// ---- Discovery ----------------------------------------------------------------------------------------------
+// ---- Discovery
+// ----------------------------------------------------------------------------------------------
 
 struct Discovery::Visit : Server {
-  Visit(Discovery& of, evutil_socket_t fd) : Server(of.loop_, fd), agent(of), timer(of.loop_, [this] { agent.answer(*this); }) {}
+  Visit(Discovery& of, evutil_socket_t fd)
+      : Server(of.loop_, fd), agent(of), timer(of.loop_, [this] { agent.answer(*this); }) {}
   void whole() override {
     const auto index = http::query_value(target, "index"), wait = http::query_value(target, "wait");
     known = index ? static_cast<std::uint32_t>(std::stoul(*index)) : 0;
@@ -190,14 +209,23 @@
         visits_.push_back(std::make_unique<Visit>(*this, fd));
       })) {}
 Discovery::~Discovery() = default;
-std::string Discovery::address() const { return "127.0.0.1:" + std::to_string(listener_->port()); }
+std::string Discovery::address() const {
+  return "127.0.0.1:" + std::to_string(listener_->port());
+}
 
 void Discovery::tell(const Node& node, const char* lifecycle) {
-  const json entry{{"instanceId", node.name()}, {"hostPort", node.address()}, {"zone", "a"}, {"cell", 1}, {"weight", 1.0},
-                   {"machineType", node.reader() ? "reader" : "writer"}, {"lifecycle", lifecycle}, {"startedAtMs", 0}};
+  const json entry{{"instanceId", node.name()},
+                   {"hostPort", node.address()},
+                   {"zone", "a"},
+                   {"cell", 1},
+                   {"weight", 1.0},
+                   {"machineType", node.reader() ? "reader" : "writer"},
+                   {"lifecycle", lifecycle},
+                   {"startedAtMs", 0}};
   entries_[node.name()] = {entry.dump(), std::string(lifecycle) == "left", ++generation_};
   for (auto& visit : visits_)
-    if (visit->waits) answer(*visit);
+    if (visit->waits)
+      answer(*visit);
 }
 
 void Discovery::answer(Visit& visit) {
@@ -205,13 +233,17 @@
   visit.waits = false;
   std::string list;
   for (const auto& [name, entry] : entries_)
-    if (visit.known ? entry.since > visit.known : !entry.left) list += (list.empty() ? "" : ",") + entry.json;
-  const std::string body = "{\"generation\":" + std::to_string(generation_) + ",\"reset\":" + (visit.known ? "false" : "true") +
-                           ",\"instances\":[" + list + "]}";
-  visit.connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    if (visit.known ? entry.since > visit.known : !entry.left)
+      list += (list.empty() ? "" : ",") + entry.json;
+  const std::string body = "{\"generation\":" + std::to_string(generation_) +
+                           ",\"reset\":" + (visit.known ? "false" : "true") + ",\"instances\":[" + list +
+                           "]}";
+  visit.connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                         body);
 }
 
-// ---- Clients ------------------------------------------------------------------------------------------------
+// ---- Clients
+// ------------------------------------------------------------------------------------------------
 
 namespace {
 
@@ -221,41 +253,54 @@
   return text.str();
 }
 std::string body_of(const Question& question) {
-  return json{{"model", question.kind}, {"stream", true}, {"messages", json::array({{{"role", "user"}, {"content", question.session}}})}}.dump();
+  return json{{"model", question.kind},
+              {"stream", true},
+              {"messages", json::array({{{"role", "user"}, {"content", question.session}}})}}
+      .dump();
 }
 // The text within one event of a chat completion's stream; empty for any other.
 std::string text_of(std::string_view data) {
   const auto event = json::parse(data, nullptr, false);
-  if (!event.is_object() || !event.contains("choices") || event["choices"].empty()) return {};
+  if (!event.is_object() || !event.contains("choices") || event["choices"].empty())
+    return {};
   return event["choices"][0].value("/delta/content"_json_pointer, "");
 }
 
 class HttpClient : public Client, http::Listener {
  public:
-  HttpClient(http::Client& pool, const std::string& address, const Question& question, Heard heard) : heard_(std::move(heard)) {
+  HttpClient(http::Client& pool, const std::string& address, const Question& question, Heard heard)
+      : heard_(std::move(heard)) {
     stream_.on_event = [this](std::string_view data) {
-      if (data == "[DONE]") done_ = true;
-      else if (const auto text = text_of(data); !text.empty()) heard_.event(text);
+      if (data == "[DONE]")
+        done_ = true;
+      else if (const auto text = text_of(data); !text.empty())
+        heard_.event(text);
       return true;
     };
     auto body = std::make_shared<const std::string>(body_of(question));
     std::string extra = "prompt_len=" + std::to_string(question.tokens) + ",max_out=40";
-    if (!question.opening.empty()) extra += ",prefix=" + question.opening + ",prefix_len=" + std::to_string(question.shared);
-    exchange_ = pool.start(address,
-                           "POST /v1/chat/completions HTTP/1.1\r\nHost: " + address + "\r\nReq-Id: " + question.id + "\r\nReq-Kind: " +
-                               question.kind + "\r\nReq-Key: " + question.session + "\r\nReq-Deadline: " + seconds_text(question.patience) +
-                               "\r\nReq-Extra: " + extra + "\r\nContent-Length: " + std::to_string(body->size()) + "\r\n\r\n",
-                           body, *this);
+    if (!question.opening.empty())
+      extra += ",prefix=" + question.opening + ",prefix_len=" + std::to_string(question.shared);
+    exchange_ =
+        pool.start(address,
+                   "POST /v1/chat/completions HTTP/1.1\r\nHost: " + address + "\r\nReq-Id: " + question.id +
+                       "\r\nReq-Kind: " + question.kind + "\r\nReq-Key: " + question.session +
+                       "\r\nReq-Deadline: " + seconds_text(question.patience) + "\r\nReq-Extra: " + extra +
+                       "\r\nContent-Length: " + std::to_string(body->size()) + "\r\n\r\n",
+                   body, *this);
   }
 
  private:
   void head(const http::Head& head) override { status_ = head.status; }
   void body(std::string_view piece) override {
-    if (status_ == 200) stream_.feed(piece);
+    if (status_ == 200)
+      stream_.feed(piece);
   }
   void ended(http::Ending how) override {
     const bool whole = how == http::Ending::whole;
-    heard_.ended(status_ == 200 ? (whole && done_ ? "served" : "cut") : whole && (status_ == 429 || status_ == 503) ? "refused" : "failed");
+    heard_.ended(status_ == 200                                ? (whole && done_ ? "served" : "cut")
+                 : whole && (status_ == 429 || status_ == 503) ? "refused"
+                                                               : "failed");
   }
   Heard heard_;
   http::EventStream stream_;
@@ -266,7 +311,8 @@
 
 class GrpcClient : public Client, public grpc::SessionOwner, public grpc::StreamEvents {
  public:
-  GrpcClient(net::Loop& loop, const std::string& address, const Question& question, Heard heard) : loop_(loop), heard_(std::move(heard)) {
+  GrpcClient(net::Loop& loop, const std::string& address, const Question& question, Heard heard)
+      : loop_(loop), heard_(std::move(heard)) {
     session_ = std::make_unique<grpc::Session>(loop, address, *this, grpc::Session::Limits{});
     v1::GenerateRequest request;
     request.set_id(question.id);
@@ -289,17 +335,23 @@
 
  private:
   void headers(const grpc::Headers& headers) override {
-    if (const auto status = grpc::find(headers, "grpc-status"); !status.empty()) status_ = status;
+    if (const auto status = grpc::find(headers, "grpc-status"); !status.empty())
+      status_ = status;
   }
   void data(std::string_view piece) override {
     reader_.feed(piece, [this](std::string_view bytes) {
       v1::GenerateEvent event;
-      if (!event.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return;
-      if (const auto text = text_of(event.data()); !text.empty()) heard_.event(text);
+      if (!event.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+        return;
+      if (const auto text = text_of(event.data()); !text.empty())
+        heard_.event(text);
     });
   }
   void closed(std::uint32_t, bool) override {
-    heard_.ended(status_ == "0" ? "served" : status_ == "14" ? "refused" : status_ == "10" || status_.empty() ? "cut" : "failed");
+    heard_.ended(status_ == "0"                       ? "served"
+                 : status_ == "14"                    ? "refused"
+                 : status_ == "10" || status_.empty() ? "cut"
+                                                      : "failed");
   }
   void closed(grpc::Session&) override { loop_.dispose(std::move(session_)); }
   net::Loop& loop_;
@@ -311,10 +363,12 @@
 
 }  // namespace
 
-std::unique_ptr<Client> ask_http(net::Loop&, http::Client& pool, const std::string& address, const Question& question, Heard heard) {
+std::unique_ptr<Client> ask_http(net::Loop&, http::Client& pool, const std::string& address,
+                                 const Question& question, Heard heard) {
   return std::make_unique<HttpClient>(pool, address, question, std::move(heard));
 }
-std::unique_ptr<Client> ask_grpc(net::Loop& loop, const std::string& address, const Question& question, Heard heard) {
+std::unique_ptr<Client> ask_grpc(net::Loop& loop, const std::string& address, const Question& question,
+                                 Heard heard) {
   return std::make_unique<GrpcClient>(loop, address, question, std::move(heard));
 }
 
--- a/src/demo/stand_ins.h
+++ b/src/demo/stand_ins.h
@@ -1,5 +1,5 @@
-// Stand-ins on loopback for what surrounds a router: nodes, a discovery agent and clients of both fronts. They speak
-// the platform's protocol, keep state as real nodes do, and can be told to drain or to die.
+// Stand-ins on loopback for what surrounds a router: nodes, a discovery agent and clients of both fronts.
+// They speak the platform's protocol, keep state as real nodes do, and can be told to drain or to die.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
 // What the nodes of a fleet know of each other's states, and what an observer hears of them.
 struct Fleet {
   std::map<std::string, std::string> held;  // request: the reader that holds its state
-  std::function<void(const std::string& request, const std::string& node)> begun, over, holds, freed;
+  std::function<void(const std::string&request, const std::string&node)> begun, over, holds, freed;
 };
 
 // A reader or a writer: an HTTP/1.1 server.
@@ -77,8 +77,8 @@
   std::unique_ptr<net::Listener> listener_;
 };
 
-// One request, over HTTP or gRPC. `event` hears each piece of text, `ended` once how it ended: "served", "refused",
-// "failed", "cut".
+// One request, over HTTP or gRPC. `event` hears each piece of text, `ended` once how it ended: "served",
+// "refused", "failed", "cut".
 struct Question {
   std::string id, kind, session, opening;
   int tokens = 0, shared = 0;
@@ -92,7 +92,9 @@
  public:
   virtual ~Client() = default;
 };
-std::unique_ptr<Client> ask_http(net::Loop& loop, http::Client& pool, const std::string& address, const Question& question, Heard heard);
-std::unique_ptr<Client> ask_grpc(net::Loop& loop, const std::string& address, const Question& question, Heard heard);
+std::unique_ptr<Client> ask_http(net::Loop& loop, http::Client& pool, const std::string& address,
+                                 const Question& question, Heard heard);
+std::unique_ptr<Client> ask_grpc(net::Loop& loop, const std::string& address, const Question& question,
+                                 Heard heard);
 
 }  // namespace lemonroute::demo
--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -10,9 +10,12 @@
 using nlohmann::json;
 
 Phase parse_phase(const std::string& word) {
-  if (word == "active") return Phase::ready;
-  if (word == "leaving") return Phase::draining;
-  if (word == "left") return Phase::gone;
+  if (word == "active")
+    return Phase::ready;
+  if (word == "leaving")
+    return Phase::draining;
+  if (word == "left")
+    return Phase::gone;
   throw ListError("lifecycle '" + word + "' is not known");
 }
 
@@ -26,15 +29,18 @@
 Router::Listed parse_node(const json& item) {
   Router::Listed node;
   node.name = item.at("instanceId").get<std::string>();
-  if (node.name.empty()) throw ListError("an instanceId is empty");
+  if (node.name.empty())
+    throw ListError("an instanceId is empty");
   node.phase = parse_phase(item.at("lifecycle").get<std::string>());
   node.address = said<std::string>(item, "hostPort", "");
-  if (node.phase != Phase::gone || !node.address.empty()) net::Endpoint{node.address};  // throws if it is none
+  if (node.phase != Phase::gone || !node.address.empty())
+    net::Endpoint{node.address};  // throws if it is none
   node.zone = said<std::string>(item, "zone", "");
   node.kind = said<std::string>(item, "machineType", "");
   node.cell = said<std::uint16_t>(item, "cell", 0);
   node.weight = said(item, "weight", 1.0f);
-  if (!std::isfinite(node.weight)) throw ListError("a weight is no number");
+  if (!std::isfinite(node.weight))
+    throw ListError("a weight is no number");
   node.started = std::chrono::milliseconds(said<std::int64_t>(item, "startedAtMs", 0));
   return node;
 }
@@ -46,7 +52,8 @@
     NodeList list;
     list.version = json.at("generation").get<std::uint32_t>();
     list.whole = json.value("reset", false);
-    for (const auto& item : json.at("instances")) list.nodes.push_back(parse_node(item));
+    for (const auto& item : json.at("instances"))
+      list.nodes.push_back(parse_node(item));
     return list;
   } catch (const nlohmann::json::exception& error) {
     throw ListError(error.what());
@@ -57,7 +64,8 @@
 
 NodeList parse_list_text(std::string_view text) {
   const json parsed = json::parse(text, nullptr, false);
-  if (!parsed.is_object()) throw ListError("it is no JSON object");
+  if (!parsed.is_object())
+    throw ListError("it is no JSON object");
   return parse_list(parsed);
 }
 
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -18,8 +18,8 @@
       whole_(loop, [this] { broken("an answer without an end"); }),
       cadence_(std::move(cadence)) {}
 
-// What the old address knew may be numbered otherwise at the new one, so nothing of it is built on. A whole fleet is
-// told of the new address at once, and does not call there at once.
+// What the old address knew may be numbered otherwise at the new one, so nothing of it is built on. A whole
+// fleet is told of the new address at once, and does not call there at once.
 void Watch::move(std::string address) {
   overdue_.stop();
   whole_.stop();
@@ -36,21 +36,24 @@
   asked_ = std::chrono::steady_clock::now();
   overdue_.start(call.first);
   whole_.start(call.whole);
-  exchange_ =
-      client_.start(address_, "GET " + call.target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n", {}, *this);
+  exchange_ = client_.start(address_, "GET " + call.target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n",
+                            {}, *this);
 }
 
 void Watch::body(std::string_view piece) {
   overdue_.start(Cadence::pause);
-  if (text_.size() + piece.size() <= most_list) text_ += piece;
-  else status_ = 0;
+  if (text_.size() + piece.size() <= most_list)
+    text_ += piece;
+  else
+    status_ = 0;
 }
 
 void Watch::ended(http::Ending how) {
   overdue_.stop();
   whole_.stop();
   exchange_.reset();
-  if (how != http::Ending::whole) return failed("the connection failed", Cadence::Fault::no_answer);
+  if (how != http::Ending::whole)
+    return failed("the connection failed", Cadence::Fault::no_answer);
   try {
     take();
   } catch (const ListError& error) {
@@ -61,16 +64,21 @@
 void Watch::take() {
   const auto took = std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now() - asked_);
   const Cadence::Answer answer = cadence_.take(status_, text_, took);
-  if (!well_) logging::info() << "discovery answers again";
+  if (!well_)
+    logging::info() << "discovery answers again";
   well_ = heard_ = true;
-  if (answer.kind) router_.update(*answer.kind, answer.list.version, answer.list.nodes);
-  if (answer.rest > Micros(0)) again_.start(answer.rest);
-  else ask();
+  if (answer.kind)
+    router_.update(*answer.kind, answer.list.version, answer.list.nodes);
+  if (answer.rest > Micros(0))
+    again_.start(answer.rest);
+  else
+    ask();
 }
 
 // The last list stays in use.
 void Watch::failed(std::string_view why, Cadence::Fault fault) {
-  if (well_) logging::warn() << "discovery fails: " << why;
+  if (well_)
+    logging::warn() << "discovery fails: " << why;
   well_ = false;
   again_.start(cadence_.failed(fault));
 }
--- a/src/expect/case.h
+++ b/src/expect/case.h
@@ -1,5 +1,5 @@
-// One expectation case, read: a fleet of scripted nodes, what happens in which order, and what is expected of it.
-// Times count from the case's zero; what came before has negative ones.
+// One expectation case, read: a fleet of scripted nodes, what happens in which order, and what is expected of
+// it. Times count from the case's zero; what came before has negative ones.
 #pragma once
 
 #include <map>
@@ -30,10 +30,10 @@
   float weight = 1;
   std::optional<Micros> started;  // none: long ago
   Role role = Role::both;
-  Micros rate = std::chrono::microseconds(40);        // a prompt token, as a reader
-  Micros first = std::chrono::milliseconds(50);       // to the first event, as a writer
-  Micros token = std::chrono::milliseconds(20);       // an output token
-  std::int64_t slots = 0;                             // streams at once; 0: any number
+  Micros rate = std::chrono::microseconds(40);   // a prompt token, as a reader
+  Micros first = std::chrono::milliseconds(50);  // to the first event, as a writer
+  Micros token = std::chrono::milliseconds(20);  // an output token
+  std::int64_t slots = 0;                        // streams at once; 0: any number
   double capacity = 0;  // prompt tokens a second once warm, for the budget of a cold node
   std::size_t line = 0;
 };
@@ -47,35 +47,51 @@
   double tokens = 1000, shared = 0, output = 20;
   Micros budget{};  // 0: what its class allows
   bool repeat = false, resumed = false;
-  // of the past only: where it went, by the listing of that moment, how long the read took and what answers said
+  // of the past only: where it went, by the listing of that moment, how long the read took and what answers
+  // said
   std::string reader, writer, reader_load, writer_load;
   std::optional<Micros> took;
 };
 
 namespace step {
-struct Past { Ask ask; };
-struct Now { Ask ask; };
+struct Past {
+  Ask ask;
+};
+struct Now {
+  Ask ask;
+};
 struct List {
   std::string node;
   Phase phase = Phase::ready;
   std::optional<Micros> started;
 };
-struct Ban { std::string node; bool out = true; };
+struct Ban {
+  std::string node;
+  bool out = true;
+};
 struct Script {
   std::vector<std::string> nodes;
   Trouble how = Trouble::silent;
   Micros span{};  // 0: to the end
   double factor = 1;
 };
-struct Restart { std::string node; };  // the process: its memory and what it did are gone, and nobody is told
-struct Sighup { std::string file; };
-struct Leave { std::string request; };
+struct Restart {
+  std::string node;
+};  // the process: its memory and what it did are gone, and nobody is told
+struct Sighup {
+  std::string file;
+};
+struct Leave {
+  std::string request;
+};
 }  // namespace step
 
 struct Step {
   Micros at{};
   std::size_t line = 0;
-  std::variant<step::Past, step::Now, step::List, step::Ban, step::Script, step::Restart, step::Sighup, step::Leave> what;
+  std::variant<step::Past, step::Now, step::List, step::Ban, step::Script, step::Restart, step::Sighup,
+               step::Leave>
+      what;
 };
 
 enum class Answer { served, refused, failed, cut, none };
@@ -120,8 +136,8 @@
   std::string origin;  // the file they came from
 };
 
-// Reads a case and checks all that can be checked without playing it: names, classes, nodes, spans, and whether each
-// expectation can be reached at all. Where it adds faults, the case must not be played.
+// Reads a case and checks all that can be checked without playing it: names, classes, nodes, spans, and
+// whether each expectation can be reached at all. Where it adds faults, the case must not be played.
 Case read_case(Section table, const Setup& setup, const std::map<std::string, const toml::array*>& fleets);
 
 // Only the nodes of such a table.
--- a/src/expect/general.cpp
+++ b/src/expect/general.cpp
@@ -20,25 +20,31 @@
   return {buffer, end};
 }
 
-void read_variable(const std::string& name, const toml::node& node, Section& in, const std::vector<ScriptedNode>& nodes,
-                   General& to) {
+void read_variable(const std::string& name, const toml::node& node, Section& in,
+                   const std::vector<ScriptedNode>& nodes, General& to) {
   Variable variable;
   variable.name = name;
   variable.line = node.source().begin.line;
   const auto wrong = [&](const std::string& what) { in.fault(name, what); };
   if (const auto* list = node.as_array()) {
     for (const auto& item : *list) {
-      if (const auto whole = item.value_exact<std::int64_t>()) variable.values.emplace_back(*whole);
-      else if (const auto number = item.value_exact<double>()) variable.values.emplace_back(*number);
-      else if (const auto word = item.value_exact<std::string>()) variable.values.emplace_back(*word);
-      else return wrong("must be a list of numbers or of texts");
+      if (const auto whole = item.value_exact<std::int64_t>())
+        variable.values.emplace_back(*whole);
+      else if (const auto number = item.value_exact<double>())
+        variable.values.emplace_back(*number);
+      else if (const auto word = item.value_exact<std::string>())
+        variable.values.emplace_back(*word);
+      else
+        return wrong("must be a list of numbers or of texts");
     }
-    if (variable.values.empty()) return wrong("has no values");
+    if (variable.values.empty())
+      return wrong("has no values");
     to.variables.push_back(std::move(variable));
     return;
   }
   const auto* table = node.as_table();
-  if (!table) return wrong("must be a list of values, { from, to, count } or { nodes }");
+  if (!table)
+    return wrong("must be a list of values, { from, to, count } or { nodes }");
   Section range(*table, in.file(), in.full(name), in.faults());
   if (range.has("nodes")) {
     std::vector<std::string> words;
@@ -46,28 +52,35 @@
     range.end();
     for (const auto& word : words) {
       const auto names = names_by(word, nodes);
-      if (names.empty()) range.fault("nodes", "'" + word + "' names no node of this case");
-      for (const auto& one : names) variable.values.emplace_back(one);
+      if (names.empty())
+        range.fault("nodes", "'" + word + "' names no node of this case");
+      for (const auto& one : names)
+        variable.values.emplace_back(one);
     }
-    if (!variable.values.empty()) to.variables.push_back(std::move(variable));
+    if (!variable.values.empty())
+      to.variables.push_back(std::move(variable));
     return;
   }
   std::int64_t count = 5;
   range.whole("count", count, 2, static_cast<std::int64_t>(most_values));
   const auto *from = range.any("from"), *least = from, *last = range.any("to");
   range.end();
-  if (!from || !last) return range.missing(from ? "to" : "from");
+  if (!from || !last)
+    return range.missing(from ? "to" : "from");
   const auto spread = [&](double low, double high, const std::function<Value(double)>& make) {
-    if (low >= high) return range.fault("from", "must be below to");
+    if (low >= high)
+      return range.fault("from", "must be below to");
     for (std::int64_t i = 0; i < count; ++i) {
       Value value = make(low + (high - low) * static_cast<double>(i) / static_cast<double>(count - 1));
-      if (variable.values.empty() || variable.values.back() != value) variable.values.push_back(std::move(value));
+      if (variable.values.empty() || variable.values.back() != value)
+        variable.values.push_back(std::move(value));
     }
     to.variables.push_back(std::move(variable));
   };
   if (const auto a = least->value_exact<std::int64_t>(), b = last->value_exact<std::int64_t>(); a && b) {
     variable.kind = Variable::Kind::whole;
-    return spread(static_cast<double>(*a), static_cast<double>(*b), [](double v) { return Value(std::int64_t(std::llround(v))); });
+    return spread(static_cast<double>(*a), static_cast<double>(*b),
+                  [](double v) { return Value(std::int64_t(std::llround(v))); });
   }
   const auto a = least->value_exact<std::string>(), b = last->value_exact<std::string>();
   const auto low = a ? parse_span(*a) : std::nullopt, high = b ? parse_span(*b) : std::nullopt;
@@ -92,27 +105,36 @@
 
   void fill(toml::table& table) {
     const auto* noted = table.get(Section::line_note);
-    if (noted) line_ = static_cast<std::size_t>(noted->value_or<std::int64_t>(0));
+    if (noted)
+      line_ = static_cast<std::size_t>(noted->value_or<std::int64_t>(0));
     for (auto&& [key, node] : table) {
       key_ = std::string(key.str());
-      visit(node, [&, name = std::string(key.str())](auto value) { table.insert_or_assign(name, std::move(value)); });
+      visit(node, [&, name = std::string(key.str())](auto value) {
+        table.insert_or_assign(name, std::move(value));
+      });
     }
   }
   void fill(toml::array& array) {
     for (std::size_t i = 0; i < array.size(); ++i)
-      visit(*array.get(i), [&](auto value) { array.replace(array.cbegin() + static_cast<std::ptrdiff_t>(i), std::move(value)); });
+      visit(*array.get(i), [&](auto value) {
+        array.replace(array.cbegin() + static_cast<std::ptrdiff_t>(i), std::move(value));
+      });
   }
 
  private:
   template <class Put>
   void visit(toml::node& node, Put put) {
-    if (auto* table = node.as_table()) return fill(*table);
-    if (auto* array = node.as_array()) return fill(*array);
+    if (auto* table = node.as_table())
+      return fill(*table);
+    if (auto* array = node.as_array())
+      return fill(*array);
     const auto* word = node.as_string();
-    if (!word || word->get().find('$') == std::string::npos) return;
+    if (!word || word->get().find('$') == std::string::npos)
+      return;
     const std::string text = word->get();
     if (text.size() > 1 && text[0] == '$' && text[1] != '{') {
-      if (const Value* value = find(text.substr(1))) std::visit([&](const auto& one) { put(one); }, *value);
+      if (const Value* value = find(text.substr(1)))
+        std::visit([&](const auto& one) { put(one); }, *value);
       return;
     }
     std::string made;
@@ -122,15 +144,18 @@
         made += text[i];
         continue;
       }
-      if (const Value* value = find(text.substr(i + 2, end - i - 2))) made += expect::text(*value);
+      if (const Value* value = find(text.substr(i + 2, end - i - 2)))
+        made += expect::text(*value);
       i = end;
     }
     put(made);
   }
   const Value* find(const std::string& name) {
     for (std::size_t i = 0; i < general_.variables.size(); ++i)
-      if (general_.variables[i].name == name) return &values_[i];
-    faults_.push_back({general_.file, line_ ? line_ : general_.line, key_, "'$" + name + "' is no variable of over"});
+      if (general_.variables[i].name == name)
+        return &values_[i];
+    faults_.push_back(
+        {general_.file, line_ ? line_ : general_.line, key_, "'$" + name + "' is no variable of over"});
     return nullptr;
   }
 
@@ -148,11 +173,13 @@
 class Pairwise {
  public:
   Pairwise(const General& general, std::mt19937_64& random) : random_(random) {
-    for (const auto& variable : general.variables) sizes_.push_back(variable.values.size());
+    for (const auto& variable : general.variables)
+      sizes_.push_back(variable.values.size());
     for (std::size_t a = 0; a < sizes_.size(); ++a)
       for (std::size_t b = a + 1; b < sizes_.size(); ++b)
         for (std::size_t x = 0; x < sizes_[a]; ++x)
-          for (std::size_t y = 0; y < sizes_[b]; ++y) left_.insert({a, x, b, y});
+          for (std::size_t y = 0; y < sizes_[b]; ++y)
+            left_.insert({a, x, b, y});
   }
   Rows cover() {
     Rows all;
@@ -164,14 +191,16 @@
       row[a] = x;
       row[b] = y;
       for (std::size_t i = 0; i < row.size(); ++i) {
-        if (row[i] != open) continue;
+        if (row[i] != open)
+          continue;
         std::size_t best = 0, best_count = 0;
         const std::size_t begin = random_() % sizes_[i];
         for (std::size_t k = 0; k < sizes_[i]; ++k) {
           const std::size_t value = (begin + k) % sizes_[i];
           std::size_t count = 0;
           for (std::size_t j = 0; j < row.size(); ++j)
-            if (row[j] != open) count += left_.count(i < j ? Pair{i, value, j, row[j]} : Pair{j, row[j], i, value});
+            if (row[j] != open)
+              count += left_.count(i < j ? Pair{i, value, j, row[j]} : Pair{j, row[j], i, value});
           if (k == 0 || count > best_count) {
             best = value;
             best_count = count;
@@ -180,7 +209,8 @@
         row[i] = best;
       }
       for (std::size_t i = 0; i < row.size(); ++i)
-        for (std::size_t j = i + 1; j < row.size(); ++j) left_.erase({i, row[i], j, row[j]});
+        for (std::size_t j = i + 1; j < row.size(); ++j)
+          left_.erase({i, row[i], j, row[j]});
       all.push_back(std::move(row));
     }
     return all;
@@ -196,54 +226,69 @@
 // Guards memory and time: beyond it a general expectation is refused when it is read.
 double product(const General& general) {
   double all = 1;
-  for (const auto& variable : general.variables) all *= static_cast<double>(variable.values.size());
+  for (const auto& variable : general.variables)
+    all *= static_cast<double>(variable.values.size());
   return all;
 }
 
 }  // namespace
 
 std::string text(const Value& value) {
-  if (const auto* whole = std::get_if<std::int64_t>(&value)) return std::to_string(*whole);
-  if (const auto* number = std::get_if<double>(&value)) return plain(*number);
+  if (const auto* whole = std::get_if<std::int64_t>(&value))
+    return std::to_string(*whole);
+  if (const auto* number = std::get_if<double>(&value))
+    return plain(*number);
   return std::get<std::string>(value);
 }
 
 void note_lines(toml::table& table) {
-  if (const auto line = table.source().begin.line) table.insert_or_assign(Section::line_note, static_cast<std::int64_t>(line));
+  if (const auto line = table.source().begin.line)
+    table.insert_or_assign(Section::line_note, static_cast<std::int64_t>(line));
   const auto into = [](toml::node& node, const auto& self) -> void {
-    if (auto* inner = node.as_table()) note_lines(*inner);
+    if (auto* inner = node.as_table())
+      note_lines(*inner);
     if (auto* array = node.as_array())
-      for (auto& item : *array) self(item, self);
+      for (auto& item : *array)
+        self(item, self);
   };
-  for (auto&& [key, node] : table) into(node, into);
+  for (auto&& [key, node] : table)
+    into(node, into);
 }
 
 General read_general(Section table, const Setup& setup, const Fleets& fleets) {
   General general;
   general.file = table.file();
   general.line = table.line();
-  if (!table.text("name", general.name) && !table.has("name")) table.missing("name");
+  if (!table.text("name", general.name) && !table.has("name"))
+    table.missing("name");
   table.choice("strategy", general.strategy,
                {{"pairwise", Strategy::pairwise}, {"all", Strategy::all}, {"random", Strategy::random}});
   table.whole("seed", general.seed, 0, 1000000000);
   table.whole("extra", general.extra, 0, most_rows);
   table.whole("most", general.most, 1, most_rows);
   general.body = table.toml();
-  for (const char* key : {"over", "strategy", "seed", "extra", "most"}) general.body.erase(key);
+  for (const char* key : {"over", "strategy", "seed", "extra", "most"})
+    general.body.erase(key);
   const std::size_t before = table.faults().size();
   const auto nodes = read_nodes(table, setup, fleets);
-  if (table.faults().size() != before) return general;
+  if (table.faults().size() != before)
+    return general;
   auto over = table.table("over");
   if (!over) {
-    if (!table.has("over")) table.missing("over");
+    if (!table.has("over"))
+      table.missing("over");
     return general;
   }
   for (const auto& [key, node] : over->toml())
-    if (key.str() != Section::line_note) read_variable(std::string(key.str()), node, *over, nodes, general);
-  if (general.variables.empty() && table.faults().size() == before) table.fault("over", "names no variable");
+    if (key.str() != Section::line_note)
+      read_variable(std::string(key.str()), node, *over, nodes, general);
+  if (general.variables.empty() && table.faults().size() == before)
+    table.fault("over", "names no variable");
   if (general.strategy == Strategy::all && product(general) > static_cast<double>(general.most))
-    table.fault("strategy", "all makes " + plain(product(general)) + " combinations, and most is " + std::to_string(general.most));
-  if (general.strategy == Strategy::random && general.extra == 0) table.fault("extra", "says how many random combinations to play; it is missing");
+    table.fault("strategy", "all makes " + plain(product(general)) + " combinations, and most is " +
+                                std::to_string(general.most));
+  if (general.strategy == Strategy::random && general.extra == 0)
+    table.fault("extra", "says how many random combinations to play; it is missing");
   return general;
 }
 
@@ -251,21 +296,25 @@
   std::mt19937_64 random(static_cast<std::uint64_t>(general.seed));
   Rows all;
   const auto& variables = general.variables;
-  if (general.strategy == Strategy::all || (general.strategy == Strategy::pairwise && variables.size() == 1)) {
+  if (general.strategy == Strategy::all ||
+      (general.strategy == Strategy::pairwise && variables.size() == 1)) {
     std::vector<std::size_t> row(variables.size(), 0);
     for (std::size_t i = 0; i < variables.size();) {
       all.push_back(row);
-      for (i = 0; i < variables.size() && ++row[i] == variables[i].values.size(); ++i) row[i] = 0;
+      for (i = 0; i < variables.size() && ++row[i] == variables[i].values.size(); ++i)
+        row[i] = 0;
     }
   } else if (general.strategy == Strategy::pairwise) {
     all = Pairwise(general, random).cover();
   }
   for (std::int64_t i = 0; i < general.extra; ++i) {
     std::vector<std::size_t> row;
-    for (const auto& variable : variables) row.push_back(random() % variable.values.size());
+    for (const auto& variable : variables)
+      row.push_back(random() % variable.values.size());
     all.push_back(std::move(row));
   }
-  if (all.size() > static_cast<std::size_t>(general.most)) all.resize(static_cast<std::size_t>(general.most));
+  if (all.size() > static_cast<std::size_t>(general.most))
+    all.resize(static_cast<std::size_t>(general.most));
   return all;
 }
 
@@ -281,9 +330,12 @@
 
 // ---- Shrinking ----
 
-Shrunk shrink(const General& general, std::vector<Value> values, const std::function<bool(const toml::table&)>& fails) {
+Shrunk shrink(const General& general, std::vector<Value> values,
+              const std::function<bool(const toml::table&)>& fails) {
   Shrunk result;
-  const auto still = [&](const toml::table& table) { return result.tried < most_tries && (++result.tried, fails(table)); };
+  const auto still = [&](const toml::table& table) {
+    return result.tried < most_tries && (++result.tried, fails(table));
+  };
   const auto filled = [&](const std::vector<Value>& with) {
     std::vector<Fault> faults;
     return concrete(general, with, faults);
@@ -292,17 +344,22 @@
     const auto& variable = general.variables[i];
     auto tried = values;
     for (const auto& simpler : variable.values) {
-      if (simpler == values[i]) break;
+      if (simpler == values[i])
+        break;
       tried[i] = simpler;
-      if (!still(filled(tried))) continue;
+      if (!still(filled(tried)))
+        continue;
       values = tried;
       break;
     }
     // Between the simplest value, which passes, and this one lies the least that fails.
-    if (variable.kind == Variable::Kind::list || values[i] == variable.values.front()) continue;
+    if (variable.kind == Variable::Kind::list || values[i] == variable.values.front())
+      continue;
     const auto number = [](const Value& value) -> double {
-      if (const auto* whole = std::get_if<std::int64_t>(&value)) return static_cast<double>(*whole);
-      if (const auto* real = std::get_if<double>(&value)) return *real;
+      if (const auto* whole = std::get_if<std::int64_t>(&value))
+        return static_cast<double>(*whole);
+      if (const auto* real = std::get_if<double>(&value))
+        return *real;
       const auto span = parse_span(std::get<std::string>(value));
       return span ? static_cast<double>(span->count()) : 0;
     };
@@ -310,23 +367,32 @@
     for (int k = 0; k < 24 && bad - passes > (variable.kind == Variable::Kind::span ? 1000 : 1); ++k) {
       const double middle = (passes + bad) / 2;
       tried = values;
-      if (variable.kind == Variable::Kind::whole) tried[i] = static_cast<std::int64_t>(std::llround(middle));
-      else if (variable.kind == Variable::Kind::number) tried[i] = middle;
-      else tried[i] = span_text(std::chrono::duration_cast<std::chrono::milliseconds>(Micros(std::llround(middle))));
-      if (still(filled(tried))) values = tried, bad = middle;
-      else passes = middle;
+      if (variable.kind == Variable::Kind::whole)
+        tried[i] = static_cast<std::int64_t>(std::llround(middle));
+      else if (variable.kind == Variable::Kind::number)
+        tried[i] = middle;
+      else
+        tried[i] =
+            span_text(std::chrono::duration_cast<std::chrono::milliseconds>(Micros(std::llround(middle))));
+      if (still(filled(tried)))
+        values = tried, bad = middle;
+      else
+        passes = middle;
     }
   }
   result.table = filled(values);
   for (const char* part : {"steps", "nodes", "expect"}) {
     for (std::size_t i = 0;;) {
       const auto* array = result.table.get(part) ? result.table.get(part)->as_array() : nullptr;
-      if (!array || i >= array->size() || array->size() == 1) break;
+      if (!array || i >= array->size() || array->size() == 1)
+        break;
       toml::table without = result.table;
       auto* list = without.get(part)->as_array();
       list->erase(list->cbegin() + static_cast<std::ptrdiff_t>(i));
-      if (still(without)) result.table = std::move(without);
-      else ++i;
+      if (still(without))
+        result.table = std::move(without);
+      else
+        ++i;
     }
   }
   return result;
@@ -346,14 +412,18 @@
       write(out, value);
     };
     for (const char* first : {"at", "name", "request"})
-      if (const auto* value = table->get(first)) one(first, *value);
+      if (const auto* value = table->get(first))
+        one(first, *value);
     for (const auto& [key, value] : *table)
-      if (key.str() != Section::line_note && key.str() != "at" && key.str() != "name" && key.str() != "request") one(key.str(), value);
+      if (key.str() != Section::line_note && key.str() != "at" && key.str() != "name" &&
+          key.str() != "request")
+        one(key.str(), value);
     out << " }";
   } else if (const auto* array = node.as_array()) {
     out << '[';
     for (std::size_t i = 0; i < array->size(); ++i) {
-      if (i) out << ", ";
+      if (i)
+        out << ", ";
       write(out, *array->get(i));
     }
     out << ']';
@@ -392,9 +462,11 @@
   };
   static constexpr const char* order[] = {"name", "fleet", "nodes", "seeds", "watched", "steps", "expect"};
   for (const char* key : order)
-    if (const auto* node = table.get(key)) one(key, *node);
+    if (const auto* node = table.get(key))
+      one(key, *node);
   for (const auto& [key, node] : table)
-    if (key.str() != Section::line_note && std::find(std::begin(order), std::end(order), key.str()) == std::end(order))
+    if (key.str() != Section::line_note &&
+        std::find(std::begin(order), std::end(order), key.str()) == std::end(order))
       one(key.str(), node);
   return out.str();
 }
--- a/src/expect/general.h
+++ b/src/expect/general.h
@@ -1,5 +1,5 @@
-// General expectations: a case with variables, which is played for combinations of their values. A combination that
-// fails is shrunk to a small case that stands by itself.
+// General expectations: a case with variables, which is played for combinations of their values. A
+// combination that fails is shrunk to a small case that stands by itself.
 #pragma once
 
 #include <cstdint>
@@ -38,8 +38,8 @@
 
 General read_general(Section table, const Setup& setup, const Fleets& fleets);
 
-// Rows of indexes into the variables' values. Pairwise: each pair of values of two variables is in one row at least, by
-// a greedy cover that the seed makes the same every time; `extra` random rows follow.
+// Rows of indexes into the variables' values. Pairwise: each pair of values of two variables is in one row at
+// least, by a greedy cover that the seed makes the same every time; `extra` random rows follow.
 std::vector<std::vector<std::size_t>> rows(const General& general);
 // The case of one combination, a plain one that can be written into a file.
 toml::table concrete(const General& general, const std::vector<Value>& values, std::vector<Fault>& faults);
@@ -48,9 +48,11 @@
   toml::table table;
   std::size_t tried = 0;
 };
-// `fails` says whether a table still fails in the same way (false for one that can't be read). The combination's values
-// are made simpler one by one, then steps, nodes and expectations are left out, as long as it fails.
-Shrunk shrink(const General& general, std::vector<Value> values, const std::function<bool(const toml::table&)>& fails);
+// `fails` says whether a table still fails in the same way (false for one that can't be read). The
+// combination's values are made simpler one by one, then steps, nodes and expectations are left out, as long
+// as it fails.
+Shrunk shrink(const General& general, std::vector<Value> values,
+              const std::function<bool(const toml::table&)>& fails);
 
 // As TOML that can be pasted into an expectation file.
 std::string paste(const toml::table& table);
--- a/src/expect/judge.h
+++ b/src/expect/judge.h
@@ -14,7 +14,9 @@
   std::size_t line = 0;  // of the expectation; of the case, for a broken rule
   int rule = 0;          // 1 to 5, for a broken rule
   std::string request, what;
-  bool same(const Failure& other) const { return kind == other.kind && line == other.line && rule == other.rule; }
+  bool same(const Failure& other) const {
+    return kind == other.kind && line == other.line && rule == other.rule;
+  }
 };
 
 struct Verdict {
@@ -28,8 +30,9 @@
   bool held() const { return failures.empty(); }
 };
 
-// Plays a case under all its seeds and judges it. At most one failure for each expectation and rule. With `explain`
-// the run that is shown carries the module's own account of its choices.
-Verdict judge(const Case& one, const Setup& setup, bool explain, const std::optional<rules::Limits>& limits = {});
+// Plays a case under all its seeds and judges it. At most one failure for each expectation and rule. With
+// `explain` the run that is shown carries the module's own account of its choices.
+Verdict judge(const Case& one, const Setup& setup, bool explain,
+              const std::optional<rules::Limits>& limits = {});
 
 }  // namespace lemonroute::expect
--- a/src/expect/report.cpp
+++ b/src/expect/report.cpp
@@ -19,23 +19,33 @@
   return out.str();
 }
 
-std::string place(const std::string& file, std::size_t line) { return file + ":" + std::to_string(line); }
+std::string place(const std::string& file, std::size_t line) {
+  return file + ":" + std::to_string(line);
+}
 
 const char* kind(const Failure& failure) {
   switch (failure.kind) {
-    case Failure::Kind::expectation: return "expectation";
-    case Failure::Kind::rule: return "rule";
-    case Failure::Kind::impossible: return "impossible";
+    case Failure::Kind::expectation:
+      return "expectation";
+    case Failure::Kind::rule:
+      return "rule";
+    case Failure::Kind::impossible:
+      return "impossible";
   }
   return "?";
 }
 
 void course(std::ostream& out, const Story& story, const std::string& indent) {
-  out << indent << "request " << story.name << ", asked at " << readable(story.asked) << ": " << word(story.answer);
-  if (story.answer != Answer::none) out << " after " << readable(story.answered);
-  if (story.first) out << ", first event after " << readable(*story.first);
-  if (story.retry_after) out << ", retry-after " << readable(*story.retry_after);
-  if (story.left) out << ", the client left after " << readable(*story.left);
+  out << indent << "request " << story.name << ", asked at " << readable(story.asked) << ": "
+      << word(story.answer);
+  if (story.answer != Answer::none)
+    out << " after " << readable(story.answered);
+  if (story.first)
+    out << ", first event after " << readable(*story.first);
+  if (story.retry_after)
+    out << ", retry-after " << readable(*story.retry_after);
+  if (story.left)
+    out << ", the client left after " << readable(*story.left);
   out << '\n';
   for (std::size_t i = 0; i < story.attempts.size(); ++i) {
     const auto& one = story.attempts[i];
@@ -45,11 +55,13 @@
 }
 
 void show(std::ostream& out, const Verdict& verdict, bool explain_all) {
-  out << (verdict.held() ? "ok    " : "FAIL  ") << place(verdict.file, verdict.line) << ": " << verdict.name << " ("
-      << seconds_text(verdict.took) << " s" << (verdict.runs > 1 ? ", " + std::to_string(verdict.runs) + " runs" : "") << ")\n";
+  out << (verdict.held() ? "ok    " : "FAIL  ") << place(verdict.file, verdict.line) << ": " << verdict.name
+      << " (" << seconds_text(verdict.took) << " s"
+      << (verdict.runs > 1 ? ", " + std::to_string(verdict.runs) + " runs" : "") << ")\n";
   for (const auto& failure : verdict.failures)
     out << "      " << place(verdict.file, failure.line) << ": " << failure.what << '\n';
-  if (verdict.held() && !explain_all) return;
+  if (verdict.held() && !explain_all)
+    return;
   for (const auto& story : verdict.run.requests) {
     course(out, story, "      ");
     explain(out, story, "        ");
@@ -60,52 +72,96 @@
   json failures = json::array();
   for (const auto& failure : verdict.failures) {
     json one{{"line", failure.line}, {"kind", kind(failure)}, {"what", failure.what}};
-    if (!failure.request.empty()) one["request"] = failure.request;
-    if (failure.rule) one["rule"] = failure.rule;
+    if (!failure.request.empty())
+      one["request"] = failure.request;
+    if (failure.rule)
+      one["rule"] = failure.rule;
     failures.push_back(std::move(one));
   }
   json requests = json::array();
   for (const auto& story : verdict.run.requests) {
     json attempts = json::array();
     for (const auto& a : story.attempts)
-      attempts.push_back({{"node", a.node}, {"at_us", a.at.count()}, {"outcome", a.outcome}, {"took_us", a.took.count()}});
-    json one{{"request", story.name}, {"answer", word(story.answer)}, {"answered_us", story.answered.count()}, {"attempts", std::move(attempts)}};
-    if (story.first) one["first_us"] = story.first->count();
-    if (story.retry_after) one["retry_after_us"] = story.retry_after->count();
+      attempts.push_back(
+          {{"node", a.node}, {"at_us", a.at.count()}, {"outcome", a.outcome}, {"took_us", a.took.count()}});
+    json one{{"request", story.name},
+             {"answer", word(story.answer)},
+             {"answered_us", story.answered.count()},
+             {"attempts", std::move(attempts)}};
+    if (story.first)
+      one["first_us"] = story.first->count();
+    if (story.retry_after)
+      one["retry_after_us"] = story.retry_after->count();
     json choices = json::array();
     for (const auto& told : story.choices) {
       json candidates = json::array();
       for (const auto& c : told.choice.candidates) {
-        json candidate{{"node", told.names.at(c.host)}, {"match", c.match}, {"credit", c.credit}, {"rate_us", c.rate}, {"unread", c.unread},
-                       {"load", c.load}, {"slowness", c.slowness}, {"failing", c.failing}};
-        if (c.left_out) candidate["left_out"] = c.left_out;
-        else candidate.update({{"wait_us", c.wait.count()}, {"read_us", c.read.count()}, {"near", c.near}, {"score", c.score}});
+        json candidate{{"node", told.names.at(c.host)},
+                       {"match", c.match},
+                       {"credit", c.credit},
+                       {"rate_us", c.rate},
+                       {"unread", c.unread},
+                       {"load", c.load},
+                       {"slowness", c.slowness},
+                       {"failing", c.failing}};
+        if (c.left_out)
+          candidate["left_out"] = c.left_out;
+        else
+          candidate.update({{"wait_us", c.wait.count()},
+                            {"read_us", c.read.count()},
+                            {"near", c.near},
+                            {"score", c.score}});
         candidates.push_back(std::move(candidate));
       }
-      json choice{{"at_us", told.at.count()}, {"stage", told.choice.stage == Role::write ? "writer" : "reader"}, {"candidates", std::move(candidates)}};
+      json choice{{"at_us", told.at.count()},
+                  {"stage", told.choice.stage == Role::write ? "writer" : "reader"},
+                  {"candidates", std::move(candidates)}};
       if (told.choice.refused)
-        choice = {{"at_us", told.at.count()}, {"refused", true}, {"wait_us", told.choice.wait.count()}, {"most_wait_us", told.choice.most_wait.count()},
-                  {"load", told.choice.load}, {"most_load", told.choice.most_load}};
-      else if (const auto name = told.names.find(told.choice.chosen); name != told.names.end()) choice["chosen"] = name->second;
+        choice = {{"at_us", told.at.count()},
+                  {"refused", true},
+                  {"wait_us", told.choice.wait.count()},
+                  {"most_wait_us", told.choice.most_wait.count()},
+                  {"load", told.choice.load},
+                  {"most_load", told.choice.most_load}};
+      else if (const auto name = told.names.find(told.choice.chosen); name != told.names.end())
+        choice["chosen"] = name->second;
       choices.push_back(std::move(choice));
     }
-    if (!choices.empty()) one["choices"] = std::move(choices);
+    if (!choices.empty())
+      one["choices"] = std::move(choices);
     requests.push_back(std::move(one));
   }
-  return {{"name", verdict.name}, {"file", verdict.file}, {"line", verdict.line}, {"held", verdict.held()}, {"runs", verdict.runs},
-          {"seconds", static_cast<double>(verdict.took.count()) / 1e6}, {"failures", std::move(failures)}, {"requests", std::move(requests)}};
+  return {{"name", verdict.name},
+          {"file", verdict.file},
+          {"line", verdict.line},
+          {"held", verdict.held()},
+          {"runs", verdict.runs},
+          {"seconds", static_cast<double>(verdict.took.count()) / 1e6},
+          {"failures", std::move(failures)},
+          {"requests", std::move(requests)}};
 }
 
 std::string xml(const std::string& text) {
   std::string out;
   for (const char c : text) {
     switch (c) {
-      case '&': out += "&amp;"; break;
-      case '<': out += "&lt;"; break;
-      case '>': out += "&gt;"; break;
-      case '"': out += "&quot;"; break;
-      case '\n': out += "&#10;"; break;
-      default: out += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
+      case '&':
+        out += "&amp;";
+        break;
+      case '<':
+        out += "&lt;";
+        break;
+      case '>':
+        out += "&gt;";
+        break;
+      case '"':
+        out += "&quot;";
+        break;
+      case '\n':
+        out += "&#10;";
+        break;
+      default:
+        out += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
     }
   }
   return out;
@@ -114,18 +170,22 @@
 void junit(std::ostream& out, const std::vector<const Verdict*>& all) {
   const auto failed = std::count_if(all.begin(), all.end(), [](auto* one) { return !one->held(); });
   Micros took{};
-  for (const auto* one : all) took += one->took;
-  out << "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"lemonroute expect\" tests=\"" << all.size() << "\" failures=\"" << failed
-      << "\" time=\"" << seconds_text(took) << "\">\n";
+  for (const auto* one : all)
+    took += one->took;
+  out << "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"lemonroute expect\" tests=\""
+      << all.size() << "\" failures=\"" << failed << "\" time=\"" << seconds_text(took) << "\">\n";
   for (const auto* one : all) {
-    out << "  <testcase classname=\"" << xml(one->file) << "\" name=\"" << xml(one->name) << "\" time=\"" << seconds_text(one->took) << "\"";
+    out << "  <testcase classname=\"" << xml(one->file) << "\" name=\"" << xml(one->name) << "\" time=\""
+        << seconds_text(one->took) << "\"";
     if (one->held()) {
       out << "/>\n";
       continue;
     }
     std::string text;
-    for (const auto& failure : one->failures) text += place(one->file, failure.line) + ": " + failure.what + "\n";
-    out << ">\n    <failure message=\"" << xml(one->failures.front().what) << "\">" << xml(text) << "</failure>\n  </testcase>\n";
+    for (const auto& failure : one->failures)
+      text += place(one->file, failure.line) + ": " + failure.what + "\n";
+    out << ">\n    <failure message=\"" << xml(one->failures.front().what) << "\">" << xml(text)
+        << "</failure>\n  </testcase>\n";
   }
   out << "</testsuite>\n";
 }
@@ -137,24 +197,32 @@
     const Choice& choice = told.choice;
     out << indent << "at " << readable(told.at - story.asked) << ", ";
     if (choice.refused) {
-      out << "refused before any read: wait " << readable(choice.wait) << " against " << readable(choice.most_wait)
-          << " allowed, least load " << std::setprecision(3) << choice.load << " against " << choice.most_load << " allowed\n";
+      out << "refused before any read: wait " << readable(choice.wait) << " against "
+          << readable(choice.most_wait) << " allowed, least load " << std::setprecision(3) << choice.load
+          << " against " << choice.most_load << " allowed\n";
       continue;
     }
     const bool writer = choice.stage == Role::write;
     const auto name = told.names.find(choice.chosen);
-    out << "choice of a " << (writer ? "writer" : "reader") << ": " << (name == told.names.end() ? "none" : name->second) << '\n';
+    out << "choice of a " << (writer ? "writer" : "reader") << ": "
+        << (name == told.names.end() ? "none" : name->second) << '\n';
     auto candidates = choice.candidates;
     // Half a fleet is of the other role, which tells nothing.
-    std::erase_if(candidates, [](auto& c) { return c.left_out && std::string_view(c.left_out) == "of the other role"; });
+    std::erase_if(candidates,
+                  [](auto& c) { return c.left_out && std::string_view(c.left_out) == "of the other role"; });
     std::stable_sort(candidates.begin(), candidates.end(), [&](auto& a, auto& b) {
-      const auto rank = [&](const Candidate& c) { return std::tuple(c.host != choice.chosen, c.left_out != nullptr, c.score); };
+      const auto rank = [&](const Candidate& c) {
+        return std::tuple(c.host != choice.chosen, c.left_out != nullptr, c.score);
+      };
       return rank(a) < rank(b);
     });
     out << indent << "  " << std::left << std::setw(14) << "node" << std::right;
-    if (writer) out << std::setw(8) << "load" << std::setw(9) << "slowness" << std::setw(9) << "failing" << std::setw(6) << "near";
-    else out << std::setw(8) << "match" << std::setw(8) << "credit" << std::setw(9) << "us/token" << std::setw(8) << "unread" << std::setw(10)
-             << "wait" << std::setw(10) << "read" << std::setw(9) << "failing";
+    if (writer)
+      out << std::setw(8) << "load" << std::setw(9) << "slowness" << std::setw(9) << "failing" << std::setw(6)
+          << "near";
+    else
+      out << std::setw(8) << "match" << std::setw(8) << "credit" << std::setw(9) << "us/token" << std::setw(8)
+          << "unread" << std::setw(10) << "wait" << std::setw(10) << "read" << std::setw(9) << "failing";
     out << std::setw(12) << "score" << '\n';
     for (std::size_t i = 0; i < candidates.size(); ++i) {
       if (i == most_candidates) {
@@ -162,13 +230,20 @@
         break;
       }
       const auto& c = candidates[i];
-      out << indent << "  " << std::left << std::setw(14) << told.names.at(c.host) << std::right << std::fixed;
-      if (writer) out << std::setprecision(3) << std::setw(8) << c.load << std::setw(9) << c.slowness << std::setw(9) << c.failing << std::setw(6) << c.near;
-      else out << std::setprecision(0) << std::setw(8) << c.match << std::setw(8) << c.credit << std::setprecision(1) << std::setw(9) << c.rate
-               << std::setprecision(0) << std::setw(8) << c.unread << std::setw(10) << (c.left_out ? "-" : readable(c.wait)) << std::setw(10)
-               << (c.left_out ? "-" : readable(c.read)) << std::setprecision(3) << std::setw(9) << c.failing;
-      if (c.left_out) out << "  left out: " << c.left_out;
-      else out << std::setprecision(writer ? 3 : 0) << std::setw(12) << c.score;
+      out << indent << "  " << std::left << std::setw(14) << told.names.at(c.host) << std::right
+          << std::fixed;
+      if (writer)
+        out << std::setprecision(3) << std::setw(8) << c.load << std::setw(9) << c.slowness << std::setw(9)
+            << c.failing << std::setw(6) << c.near;
+      else
+        out << std::setprecision(0) << std::setw(8) << c.match << std::setw(8) << c.credit
+            << std::setprecision(1) << std::setw(9) << c.rate << std::setprecision(0) << std::setw(8)
+            << c.unread << std::setw(10) << (c.left_out ? "-" : readable(c.wait)) << std::setw(10)
+            << (c.left_out ? "-" : readable(c.read)) << std::setprecision(3) << std::setw(9) << c.failing;
+      if (c.left_out)
+        out << "  left out: " << c.left_out;
+      else
+        out << std::setprecision(writer ? 3 : 0) << std::setw(12) << c.score;
       out << '\n';
       out.unsetf(std::ios::fixed);
     }
@@ -177,39 +252,52 @@
 
 void write(std::ostream& out, const Report& report, Format format, bool explain_all) {
   std::vector<const Verdict*> all;
-  for (const auto& one : report.cases) all.push_back(&one);
-  for (const auto& one : report.generals) all.push_back(&one.verdict);
-  if (format == Format::junit) return junit(out, all);
+  for (const auto& one : report.cases)
+    all.push_back(&one);
+  for (const auto& one : report.generals)
+    all.push_back(&one.verdict);
+  if (format == Format::junit)
+    return junit(out, all);
   if (format == Format::json) {
     json cases = json::array(), generals = json::array();
-    for (const auto& one : report.cases) cases.push_back(to_json(one));
+    for (const auto& one : report.cases)
+      cases.push_back(to_json(one));
     for (const auto& one : report.generals) {
       json general = to_json(one.verdict);
       general["combinations"] = one.combinations;
       general["failed"] = one.failed;
-      if (!one.shrunk.empty()) general["shrunk"] = one.shrunk;
+      if (!one.shrunk.empty())
+        general["shrunk"] = one.shrunk;
       generals.push_back(std::move(general));
     }
-    out << json{{"held", report.held()}, {"cases", std::move(cases)}, {"generals", std::move(generals)}}.dump(2, ' ', false, json::error_handler_t::replace) << '\n';
+    out << json{{"held", report.held()}, {"cases", std::move(cases)}, {"generals", std::move(generals)}}.dump(
+               2, ' ', false, json::error_handler_t::replace)
+        << '\n';
     return;
   }
-  for (const auto& one : report.cases) show(out, one, explain_all);
+  for (const auto& one : report.cases)
+    show(out, one, explain_all);
   std::size_t combinations = 0;
   Micros took{};
-  for (const auto* one : all) took += one->took;
+  for (const auto* one : all)
+    took += one->took;
   for (const auto& one : report.generals) {
     combinations += one.combinations;
     show(out, one.verdict, explain_all && one.failed > 0);
     out << "      " << one.combinations << " combinations, " << one.failed << " fail\n";
-    if (one.shrunk.empty()) continue;
-    out << "      the first of them, shrunk in " << one.shrunk_in << " tries; paste it into the file to keep it:\n\n";
+    if (one.shrunk.empty())
+      continue;
+    out << "      the first of them, shrunk in " << one.shrunk_in
+        << " tries; paste it into the file to keep it:\n\n";
     std::istringstream lines(one.shrunk);
-    for (std::string line; std::getline(lines, line);) out << "        " << line << '\n';
+    for (std::string line; std::getline(lines, line);)
+      out << "        " << line << '\n';
     out << '\n';
   }
   const auto failed = std::count_if(all.begin(), all.end(), [](auto* one) { return !one->held(); });
-  out << report.cases.size() << " cases, " << report.generals.size() << " general expectations of " << combinations << " combinations: "
-      << all.size() - static_cast<std::size_t>(failed) << " hold, " << failed << " fail, " << seconds_text(took) << " s\n";
+  out << report.cases.size() << " cases, " << report.generals.size() << " general expectations of "
+      << combinations << " combinations: " << all.size() - static_cast<std::size_t>(failed) << " hold, "
+      << failed << " fail, " << seconds_text(took) << " s\n";
 }
 
 }  // namespace lemonroute::expect
--- a/src/expect/suite.h
+++ b/src/expect/suite.h
@@ -54,7 +54,8 @@
   std::string name, file, request, before, after;  // what became of the request, in one line each
   bool held_before = true, held_after = true;
 };
-std::vector<Difference> compare(const std::vector<std::unique_ptr<File>>& files, const Setup& before, const Setup& after);
+std::vector<Difference> compare(const std::vector<std::unique_ptr<File>>& files, const Setup& before,
+                                const Setup& after);
 
 // One setting or class term changed in one way, and whether any expectation or rule noticed.
 struct Change {
@@ -65,7 +66,8 @@
 };
 struct Audit {
   std::vector<Change> changes;
-  std::size_t keys = 0, guarded = 0, silent = 0;  // keys; those noticed; those that no case's course depends on
+  std::size_t keys = 0, guarded = 0,
+              silent = 0;  // keys; those noticed; those that no case's course depends on
 };
 Audit audit(const std::vector<std::unique_ptr<File>>& files);
 
--- a/src/expect/world.h
+++ b/src/expect/world.h
@@ -1,5 +1,6 @@
-// Plays a case: the real core and the real Scheduler, on a clock that is moved from event to event, with scripted nodes
-// and clients around them. Nothing here decides anything; the monitor of the rules watches every edge.
+// Plays a case: the real core and the real Scheduler, on a clock that is moved from event to event, with
+// scripted nodes and clients around them. Nothing here decides anything; the monitor of the rules watches
+// every edge.
 #pragma once
 
 #include <deque>
@@ -38,9 +39,10 @@
   std::optional<Micros> first, retry_after, left;
   std::vector<Attempted> attempts;
   std::vector<std::string> holders;  // nodes that held most of the prompt when it was asked
-  std::optional<Micros> freed;       // when the last state held for it was gone; none: it never had any, or has still
+  std::optional<Micros>
+      freed;  // when the last state held for it was gone; none: it never had any, or has still
   bool held_at_end = false;
-  std::vector<Told> choices;  // only when explanations are wanted
+  std::vector<Told> choices;                // only when explanations are wanted
   const Attempted* last(Role stage) const;  // nothing if there was none
 };
 
--- a/src/fleet/homes.cpp
+++ b/src/fleet/homes.cpp
@@ -15,7 +15,8 @@
 };
 
 // A zone bears what the weaker of its two stages does: a state that finds no writer near has to cross.
-std::map<std::uint32_t, Zone> zones_of(const std::vector<Member>& readers, const std::vector<Member>& writers) {
+std::map<std::uint32_t, Zone> zones_of(const std::vector<Member>& readers,
+                                       const std::vector<Member>& writers) {
   std::map<std::uint32_t, Zone> zones;
   double all_readers = 0, all_writers = 0;
   for (const auto& one : readers) {
@@ -28,21 +29,23 @@
   }
   for (auto& [id, zone] : zones) {
     zone.part = zone.readers / all_readers;
-    if (all_writers > 0) zone.part = std::min(zone.part, zone.writers / all_writers);
+    if (all_writers > 0)
+      zone.part = std::min(zone.part, zone.writers / all_writers);
   }
   return zones;
 }
 
 }  // namespace
 
-std::vector<HostId> homes(Key opening, Key session, double part, Seat seat, const std::vector<Member>& readers,
-                          const std::vector<Member>& writers) {
-  if (readers.empty()) return {};
+std::vector<HostId> homes(Key opening, Key session, double part, Seat seat,
+                          const std::vector<Member>& readers, const std::vector<Member>& writers) {
+  if (readers.empty())
+    return {};
   const auto zones = zones_of(readers, writers);
   const auto here = zones.find(seat.zone);
-  // Danger: a zone with few nodes and much traffic. Clients come where routers are; this one's own part of the
-  // traffic is here, and the others' is taken to be spread over the zones. What the zone can't bear, the same
-  // beginnings for each of its routers, lives in the others.
+  // Danger: a zone with few nodes and much traffic. Clients come where routers are; this one's own part of
+  // the traffic is here, and the others' is taken to be spread over the zones. What the zone can't bear, the
+  // same beginnings for each of its routers, lives in the others.
   const double own = 1.0 / std::max(1u, seat.routers);
   const double traffic = own + (1 - own) / static_cast<double>(zones.size());
   const bool local = here != zones.end() && here->second.readers > 0 &&
@@ -50,13 +53,15 @@
   // By weighted rendezvous: elsewhere a reader counts by what its zone's writers can take of what it reads.
   std::vector<std::pair<double, HostId>> ranked;
   for (const auto& reader : readers) {
-    if (local != (reader.zone == seat.zone)) continue;
+    if (local != (reader.zone == seat.zone))
+      continue;
     const Zone& zone = zones.at(reader.zone);
     const double weight = std::max(1e-6, reader.able * zone.part / std::max(1e-9, zone.readers));
     ranked.emplace_back(std::log(std::max(1e-18, unit(mix(opening ^ mix(reader.id))))) / weight, reader.id);
   }
   if (ranked.empty())  // the only zone there is, and it bears less than comes
-    for (const auto& reader : readers) ranked.emplace_back(unit(mix(opening ^ mix(reader.id))), reader.id);
+    for (const auto& reader : readers)
+      ranked.emplace_back(unit(mix(opening ^ mix(reader.id))), reader.id);
   const auto most = static_cast<double>(ranked.size());
   const auto wanted = static_cast<std::ptrdiff_t>(std::clamp(std::ceil(2 * part * most), 1.0, most));
   std::partial_sort(ranked.begin(), ranked.begin() + wanted, ranked.end(), std::greater<>());
@@ -65,7 +70,8 @@
     chosen.emplace_back(mix(session ^ mix(it->second)), it->second);
   std::sort(chosen.begin(), chosen.end(), std::greater<>());
   std::vector<HostId> ids;
-  for (const auto& [rank, id] : chosen) ids.push_back(id);
+  for (const auto& [rank, id] : chosen)
+    ids.push_back(id);
   return ids;
 }
 
--- a/src/fleet/learned.h
+++ b/src/fleet/learned.h
@@ -8,11 +8,17 @@
 
 namespace lemonroute::fleet {
 
-inline double us(Micros t) { return static_cast<double>(t.count()); }
-inline Micros micros(double t) { return Micros(static_cast<Micros::rep>(std::clamp(t, 0.0, 4e9))); }  // 0 to 67 min
+inline double us(Micros t) {
+  return static_cast<double>(t.count());
+}
+inline Micros micros(double t) {
+  return Micros(static_cast<Micros::rep>(std::clamp(t, 0.0, 4e9)));
+}  // 0 to 67 min
 
 // A number from the wire; what is none, or absurd, counts as 0 or as the most.
-inline double sane(float value) { return std::isfinite(value) && value > 0 ? std::min<double>(value, 1e7) : 0; }
+inline double sane(float value) {
+  return std::isfinite(value) && value > 0 ? std::min<double>(value, 1e7) : 0;
+}
 
 inline std::uint64_t mix(std::uint64_t x) {  // the same in every process
   x += 0x9e3779b97f4a7c15ull;
@@ -20,7 +26,9 @@
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
   return x ^ (x >> 31);
 }
-inline double unit(std::uint64_t x) { return static_cast<double>(x >> 11) * 0x1p-53; }  // 0 to 1, 1 excluded
+inline double unit(std::uint64_t x) {
+  return static_cast<double>(x >> 11) * 0x1p-53;
+}  // 0 to 1, 1 excluded
 
 inline constexpr double learn = 0.25;       // usual weight of a new sample
 inline constexpr double most_samples = 20;  // more make a learned figure no surer
--- a/src/fleet/openings.cpp
+++ b/src/fleet/openings.cpp
@@ -9,7 +9,9 @@
 // Before pairs were seen: one of twenty begins alike. The figure matters for the first few requests only.
 constexpr double pairs_before = 20, alike_before = 1;
 
-double pairs(double count) { return count * std::max(0.0, count - 1); }
+double pairs(double count) {
+  return count * std::max(0.0, count - 1);
+}
 
 }  // namespace
 
@@ -17,17 +19,22 @@
   if (++all_ > most) {
     all_ /= 2;
     pairs_ = 0;
-    for (auto& [key, count] : counts_) count /= 2;
+    for (auto& [key, count] : counts_)
+      count /= 2;
     std::erase_if(counts_, [](const auto& one) { return one.second < 0.5; });
-    for (const auto& [key, count] : counts_) pairs_ += pairs(count);
+    for (const auto& [key, count] : counts_)
+      pairs_ += pairs(count);
   }
-  if (!opening) return;
+  if (!opening)
+    return;
   double& count = counts_[opening];
   pairs_ += pairs(count + 1) - pairs(count);
   count += 1;
 }
 
-double Openings::usual() const { return (pairs_ + alike_before) / (pairs(all_) + pairs_before); }
+double Openings::usual() const {
+  return (pairs_ + alike_before) / (pairs(all_) + pairs_before);
+}
 
 double Openings::part(Key opening) const {
   const auto found = counts_.find(opening);
--- a/src/fleet/openings.h
+++ b/src/fleet/openings.h
@@ -1,5 +1,5 @@
-// How popular each shared beginning of prompts is, as one router can tell that sees a few requests of very many.
-// No I/O, no clock; bounded by the number of arrivals that are kept in mind.
+// How popular each shared beginning of prompts is, as one router can tell that sees a few requests of very
+// many. No I/O, no clock; bounded by the number of arrivals that are kept in mind.
 #pragma once
 
 #include <unordered_map>
@@ -11,9 +11,10 @@
 class Openings {
  public:
   void count(Key opening);  // a request has come; 0: it shares no beginning
-  // Its estimated part of all arrivals, above 0 and at most 1. What was counted stands for itself; in place of the
-  // arrivals that are missing for a good estimate stands the usual part of a request's own opening, which is the
-  // chance that two requests begin alike. The request that asks is not counted, so `count` comes first.
+  // Its estimated part of all arrivals, above 0 and at most 1. What was counted stands for itself; in place
+  // of the arrivals that are missing for a good estimate stands the usual part of a request's own opening,
+  // which is the chance that two requests begin alike. The request that asks is not counted, so `count` comes
+  // first.
   double part(Key opening) const;
   double arrivals(Key opening) const { return part(opening) * all_; }  // of it, by that estimate
   // The chance that two requests begin alike, over all of them.
--- a/src/grpc/compression.h
+++ b/src/grpc/compression.h
@@ -18,8 +18,9 @@
 Encoding best_of(std::string_view accepted);
 
 std::string compress(Encoding encoding, std::string_view bytes);
-// At most `most` bytes are ever made, however much is behind `bytes`: resource_exhausted then. internal: it is no such
-// stream, has no end, or something follows its end.
-std::optional<Status> decompress(Encoding encoding, std::string_view bytes, std::size_t most, std::string& to);
+// At most `most` bytes are ever made, however much is behind `bytes`: resource_exhausted then. internal: it
+// is no such stream, has no end, or something follows its end.
+std::optional<Status> decompress(Encoding encoding, std::string_view bytes, std::size_t most,
+                                 std::string& to);
 
 }  // namespace lemonroute::grpc
--- a/src/grpc/front.cpp
+++ b/src/grpc/front.cpp
@@ -1,7 +1,6 @@
 #include "grpc/front.h"
 
 #include "grpc/status_details.h"
-
 #include "proto/lemonroute.pb.h"
 
 namespace lemonroute::grpc {
@@ -16,7 +15,8 @@
       : router_(router), call_(call), timeout_(timeout) {}
   // The client has cancelled the call, or its connection is lost.
   ~Generate() override {
-    if (taken_) router_.gone(id_);
+    if (taken_)
+      router_.gone(id_);
   }
 
  private:
@@ -24,16 +24,19 @@
     v1::GenerateRequest request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
       return call_.finish(Status::invalid_argument, "the message can't be read");
-    if (!valid_id(request.id())) return call_.finish(Status::invalid_argument, "the id is missing or odd");
+    if (!valid_id(request.id()))
+      return call_.finish(Status::invalid_argument, "the id is missing or odd");
     if (request.body().size() > most_body)
       return call_.finish(Status::resource_exhausted, "the body is too large");
     ClientRequest client_request;
     if (!timeout_.empty()) {
       const auto budget = parse_timeout(timeout_);
-      if (!budget) return call_.finish(Status::invalid_argument, "grpc-timeout can't be read");
+      if (!budget)
+        return call_.finish(Status::invalid_argument, "grpc-timeout can't be read");
       client_request.budget = std::max(*budget, Micros(1));
     }
-    client_request.prompt = {request.id(), std::string(chat_path), std::make_shared<std::string>(request.body())};
+    client_request.prompt = {request.id(), std::string(chat_path),
+                             std::make_shared<std::string>(request.body())};
     client_request.kind = request.kind();
     client_request.tenant = request.tenant();
     client_request.session = key_of(request.session());
@@ -44,7 +47,8 @@
     client_request.repeat = request.repeat();
     taken_ = true;  // the answer may come before take returns
     switch (router_.take(client_request, *this, id_)) {
-      case Router::Taken::yes: return;
+      case Router::Taken::yes:
+        return;
       case Router::Taken::unknown_kind:
         taken_ = false;
         return call_.finish(Status::invalid_argument, "the kind is not known");
@@ -65,20 +69,24 @@
     // A negative pushback would forbid to try again; without a hint none is sent.
     Headers pushback;
     if (stay_away > Micros(0))
-      pushback.emplace_back(
-          "grpc-retry-pushback-ms",
-          std::to_string(std::chrono::ceil<std::chrono::milliseconds>(stay_away).count()));
+      pushback.emplace_back("grpc-retry-pushback-ms",
+                            std::to_string(std::chrono::ceil<std::chrono::milliseconds>(stay_away).count()));
     end(Status::unavailable, "refused, try again", "REFUSED", std::move(pushback), stay_away);
   }
   void fail(Failure why) override {
-    if (why == Failure::timed_out) end(Status::deadline_exceeded, "no answer in time", "NO_ANSWER_IN_TIME");
-    else if (why == Failure::unfit) end(Status::invalid_argument, "no node can use the request", "UNFIT_FOR_NODES");
-    else end(Status::internal, "the nodes failed", "NODES_FAILED");
+    if (why == Failure::timed_out)
+      end(Status::deadline_exceeded, "no answer in time", "NO_ANSWER_IN_TIME");
+    else if (why == Failure::unfit)
+      end(Status::invalid_argument, "no node can use the request", "UNFIT_FOR_NODES");
+    else
+      end(Status::internal, "the nodes failed", "NODES_FAILED");
   }
   void cut() override { end(Status::aborted, "the stream broke", "STREAM_BROKE"); }
-  void end(Status status, std::string_view text, std::string_view reason = {}, Headers more = {}, Micros retry = {}) {
+  void end(Status status, std::string_view text, std::string_view reason = {}, Headers more = {},
+           Micros retry = {}) {
     taken_ = false;
-    if (!reason.empty()) more.push_back(status_details(status, text, reason, retry));
+    if (!reason.empty())
+      more.push_back(status_details(status, text, reason, retry));
     call_.finish(status, text, more);
   }
 
@@ -92,7 +100,8 @@
 }  // namespace
 
 std::unique_ptr<Method> Front::open(std::string_view path, const Headers& headers, ServerCall& call) {
-  if (path != "/lemonroute.v1.Drafting/Generate") return nullptr;
+  if (path != "/lemonroute.v1.Drafting/Generate")
+    return nullptr;
   return std::make_unique<Generate>(router_, call, find(headers, "grpc-timeout"));
 }
 
--- a/src/grpc/limits.h
+++ b/src/grpc/limits.h
@@ -1,6 +1,7 @@
-// What one HTTP/2 connection of a client may do to us. Each kind of work that costs us more than it costs the peer has
-// a bucket: a burst that any honest client stays within, refilled at a rate that it may keep up for ever. Whoever goes
-// beyond has its connection ended, and nobody else's. Free of I/O: frames and times are passed in.
+// What one HTTP/2 connection of a client may do to us. Each kind of work that costs us more than it costs the
+// peer has a bucket: a burst that any honest client stays within, refilled at a rate that it may keep up for
+// ever. Whoever goes beyond has its connection ended, and nobody else's. Free of I/O: frames and times are
+// passed in.
 #pragma once
 
 #include <array>
@@ -53,15 +54,16 @@
   explicit Guard(Limits limits) : limits_(limits) {}
 
   // A frame's head has come in. `type` and `flags` as on the wire (RFC 9113, 6). Says what the peer overdoes.
-  std::optional<Abuse> frame(Clock::time_point now, std::uint8_t type, std::uint8_t flags, std::size_t length);
-  std::optional<Abuse> reset_early(Clock::time_point now);   // the peer reset a stream that was not answered
+  std::optional<Abuse> frame(Clock::time_point now, std::uint8_t type, std::uint8_t flags,
+                             std::size_t length);
+  std::optional<Abuse> reset_early(Clock::time_point now);  // the peer reset a stream that was not answered
   std::optional<Abuse> happened(Clock::time_point now, Abuse abuse);  // any other, counted by whoever saw it
   // Bytes of frames that the HTTP/2 library passes over without a word.
   std::optional<Abuse> unknown(Clock::time_point now, std::size_t bytes);
-  // A stream id in the order in which ids are used. False: one that was passed over before and is thereby closed
-  // (RFC 9113, 5.1.1); the library takes it for one that it has forgotten.
+  // A stream id in the order in which ids are used. False: one that was passed over before and is thereby
+  // closed (RFC 9113, 5.1.1); the library takes it for one that it has forgotten.
   bool opens(std::int32_t id);
-  void sent_data();                                          // a DATA frame went out: one more update is in order
+  void sent_data();  // a DATA frame went out: one more update is in order
   const Limits& limits() const { return limits_; }
 
  private:
@@ -74,7 +76,7 @@
   std::array<Level, static_cast<std::size_t>(Abuse::count)> levels_{};
   std::int32_t last_ = -1;
   std::set<std::int32_t> passed_over_;  // the last ones
-  double continuations_ = 0;   // in the block that is open
+  double continuations_ = 0;            // in the block that is open
   double updates_in_order_ = 0;
 };
 
--- a/src/grpc/message.h
+++ b/src/grpc/message.h
@@ -37,7 +37,9 @@
 // Compressed, if that makes it smaller and it is long enough to be worth it.
 std::string frame(std::string_view message, Encoding encoding);
 template <class Message>
-  requires requires(const Message& message) { message.SerializeAsString(); }
+requires requires(const Message& message) {
+  message.SerializeAsString();
+}
 std::string frame(const Message& message) {
   return frame(std::string_view(message.SerializeAsString()));
 }
--- a/src/grpc/node_client.cpp
+++ b/src/grpc/node_client.cpp
@@ -8,7 +8,9 @@
 
 constexpr std::chrono::seconds retire_every{1};
 
-Pool::Time now() { return Pool::Clock::now(); }
+Pool::Time now() {
+  return Pool::Clock::now();
+}
 
 }  // namespace
 
@@ -18,29 +20,38 @@
 
 void NodeClient::limit(const Limits& limits) {
   limits_.connect_timeout = limits.connect_timeout;
-  // Idle connections are an eighth of the shared descriptors; those with calls have two fifths, which are calls' own.
+  // Idle connections are an eighth of the shared descriptors; those with calls have two fifths, which are
+  // calls' own.
   most_connections_ = std::max<std::size_t>(4, 3 * limits.idle_most);
   pool_limits_.idle = std::chrono::duration_cast<std::chrono::milliseconds>(limits.idle);
-  for (auto& [address, place] : places_) place->pool.limit(pool_limits_);
+  for (auto& [address, place] : places_)
+    place->pool.limit(pool_limits_);
 }
 
 // The connection for a new call to `address`; nothing if there is none and may be none.
 std::optional<NodeClient::Taken> NodeClient::take(const std::string& address) {
   auto& held = places_[address];
-  if (!held) held = std::make_unique<Place>(pool_limits_);
+  if (!held)
+    held = std::make_unique<Place>(pool_limits_);
   Place& place = *held;
   const bool room = all_.size() < most_connections_ || make_room();
   const Pool::Route route = place.pool.route(now(), room);
-  if (route.answer == Pool::Answer::nowhere) return std::nullopt;
-  if (route.answer == Pool::Answer::open) open(address, place, route.id);
-  if (route.also_open) open(address, place, *route.also_open);
+  if (route.answer == Pool::Answer::nowhere)
+    return std::nullopt;
+  if (route.answer == Pool::Answer::open)
+    open(address, place, route.id);
+  if (route.also_open)
+    open(address, place, *route.also_open);
   const auto session = place.sessions.find(route.id);
-  if (session == place.sessions.end()) return std::nullopt;
+  if (session == place.sessions.end())
+    return std::nullopt;
   place.pool.began(route.id);
-  if (!retire_.pending()) retire_.start(retire_every);
+  if (!retire_.pending())
+    retire_.start(retire_every);
   // The place outlives its calls: it is forgotten only once it has neither connections nor calls.
   return Taken{session->second, [this, address, id = route.id](bool answered) {
-                 if (const auto at = places_.find(address); at != places_.end()) at->second->pool.ended(now(), id, answered);
+                 if (const auto at = places_.find(address); at != places_.end())
+                   at->second->pool.ended(now(), id, answered);
                }};
 }
 
@@ -57,7 +68,8 @@
   for (const auto& [address, place] : places_)
     if (const auto idle = place->pool.idlest(); idle && (!best || idle->first < best->first))
       best = {idle->first, place->sessions.at(idle->second)};
-  if (!best) return false;
+  if (!best)
+    return false;
   best->second->close();
   return true;
 }
@@ -65,34 +77,43 @@
 void NodeClient::retire() {
   std::vector<Session*> over;
   for (const auto& [address, place] : places_)
-    for (const Pool::Id id : place->pool.retire(now())) over.push_back(place->sessions.at(id));
-  for (Session* session : over) session->close();
+    for (const Pool::Id id : place->pool.retire(now()))
+      over.push_back(place->sessions.at(id));
+  for (Session* session : over)
+    session->close();
   std::erase_if(places_, [](const auto& one) { return one.second->pool.empty(); });
-  if (!places_.empty()) retire_.start(retire_every);
+  if (!places_.empty())
+    retire_.start(retire_every);
 }
 
 NodeClient::Known NodeClient::known(Session& session) {
   const auto found = all_.find(&session);
-  if (found == all_.end()) return {};
+  if (found == all_.end())
+    return {};
   const auto place = places_.find(found->second.address);
   return place == places_.end() ? Known{} : Known{&place->second->pool, found->second.id};
 }
 void NodeClient::connected(Session& session) {
-  if (const auto [pool, id] = known(session); pool) pool->up(now(), id);
+  if (const auto [pool, id] = known(session); pool)
+    pool->up(now(), id);
 }
 void NodeClient::allowed(Session& session, std::uint32_t streams) {
-  if (const auto [pool, id] = known(session); pool) pool->allows(id, streams);
+  if (const auto [pool, id] = known(session); pool)
+    pool->allows(id, streams);
 }
 void NodeClient::going(Session& session) {
-  if (const auto [pool, id] = known(session); pool) pool->drains(id);
+  if (const auto [pool, id] = known(session); pool)
+    pool->drains(id);
 }
 void NodeClient::doubted(Session& session, bool on) {
-  if (const auto [pool, id] = known(session); pool) on ? pool->silent(id) : pool->heard(id);
+  if (const auto [pool, id] = known(session); pool)
+    on ? pool->silent(id) : pool->heard(id);
 }
 
 void NodeClient::closed(Session& session) {
   const auto found = all_.find(&session);
-  if (found == all_.end()) return;
+  if (found == all_.end())
+    return;
   if (const auto place = places_.find(found->second.address); place != places_.end()) {
     place->second->pool.gone(now(), found->second.id);
     place->second->sessions.erase(found->second.id);
@@ -113,7 +134,8 @@
 std::unique_ptr<Call> NodeClient::simple(const Node& node, std::string_view method, std::string framed,
                                          std::function<void(const Result&)> done) {
   if (auto taken = take(node.address))
-    return simple_call(*taken->session, node, method, std::move(framed), std::move(done), std::move(taken->over));
+    return simple_call(*taken->session, node, method, std::move(framed), std::move(done),
+                       std::move(taken->over));
   return unsent_call(loop_, [done = std::move(done)] {
     const auto told = done;  // whoever is told may let go of the call, and of what is told with it
     told({Outcome::connect_failed, 0, {}, "no connection has a place", false});
@@ -134,11 +156,14 @@
 
 void NodeClient::hang_up(const Node& node) {
   const auto found = places_.find(node.address);
-  if (found == places_.end()) return;
+  if (found == places_.end())
+    return;
   std::vector<Session*> quiet;
   for (const auto& [id, session] : found->second->sessions)
-    if (session->quiet()) quiet.push_back(session);
-  for (Session* session : quiet) session->go_away();
+    if (session->quiet())
+      quiet.push_back(session);
+  for (Session* session : quiet)
+    session->go_away();
 }
 
 }  // namespace lemonroute::grpc
--- a/src/grpc/node_client.h
+++ b/src/grpc/node_client.h
@@ -1,4 +1,5 @@
-// Nodes that speak gRPC (service Node), over a few connections each. Which connection takes a call is Pool's decision.
+// Nodes that speak gRPC (service Node), over a few connections each. Which connection takes a call is Pool's
+// decision.
 #pragma once
 
 #include <map>
