--- a/src/grpc/node_client/calls.cpp
+++ b/src/grpc/node_client/calls.cpp
@@ -28,37 +28,41 @@
   }
   ~NodeCall() override {
     leave();
-    if (!session_) return;
+    if (!session_)
+      return;
     session_->reset(id_, NGHTTP2_CANCEL);
     // Guards against a connection that has gone silent: unlike HTTP/1.1, giving a call up leaves it open, and
     // every later call would wait on it in vain.
     session_->check_alive();
   }
   void hold_back(bool on) override {
-    if (session_) session_->hold_back(id_, on);
+    if (session_)
+      session_->hold_back(id_, on);
   }
   bool unsent() const override { return session_ && session_->unsent(id_); }
 
  protected:
   struct End {
     Ending how;
-    int status;       // of gRPC
-    bool declined;    // before it ran
+    int status;     // of gRPC
+    bool declined;  // before it ran
     std::string load;
   };
   virtual bool message(std::string_view bytes) = 0;  // false: it can't be read
-  virtual void ended(const End& end) = 0;  // this call may be gone after it
+  virtual void ended(const End& end) = 0;            // this call may be gone after it
   void forget_load() { end_.load.clear(); }
 
  private:
   void leave() {
-    if (const auto over = std::exchange(over_, {})) over(answered_);
+    if (const auto over = std::exchange(over_, {}))
+      over(answered_);
   }
   void headers(const Headers& headers) override {
     answered_ = true;
     if (const auto name = find(headers, "grpc-encoding"); !name.empty())
       reader_.encoding(parse_encoding(name).value_or(Encoding::identity));
-    if (const auto load = find(headers, "srv-load"); !load.empty()) end_.load = load;
+    if (const auto load = find(headers, "srv-load"); !load.empty())
+      end_.load = load;
     end_.declined = end_.declined || find(headers, "srv-declined") == "1";
     const auto text = find(headers, "grpc-status");
     int status = 0;
@@ -69,7 +73,8 @@
   void data(std::string_view piece) override {
     // Guards against a stream that goes on after a message that can't be read: it is over there and then.
     const auto fault = reader_.feed(piece, [this](std::string_view bytes) { malformed_ |= !message(bytes); });
-    if (!fault && !malformed_) return;
+    if (!fault && !malformed_)
+      return;
     std::exchange(session_, nullptr)->reset(id_, NGHTTP2_CANCEL);
     end_.how = Ending::malformed;
     leave();
@@ -77,10 +82,13 @@
   }
   void closed(std::uint32_t code, bool sent) override {
     session_ = nullptr;
-    if (has_status_) end_.how = Ending::whole;
+    if (has_status_)
+      end_.how = Ending::whole;
     // Whatever the code says: of one that was answered it can't be true that it was not handled.
-    else if (!sent && !answered_) end_.how = Ending::not_sent;
-    else end_.how = code == 0 ? Ending::malformed : Ending::broken;
+    else if (!sent && !answered_)
+      end_.how = Ending::not_sent;
+    else
+      end_.how = code == 0 ? Ending::malformed : Ending::broken;
     leave();
     ended(end_);
   }
@@ -112,13 +120,15 @@
   }
   bool message(std::string_view bytes) override {
     v1::RunEvent event;
-    if (!event.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return false;
+    if (!event.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+      return false;
     if (event.has_read()) {
       read_ = true;
       result_.kept = event.read().cached_tokens();
     } else if (event.kind_case() == v1::RunEvent::kData) {
       // Guards the age of reports: what the head told is as old as the stream by the time the attempt ends.
-      if (!std::exchange(events_, true)) forget_load();
+      if (!std::exchange(events_, true))
+        forget_load();
       attempt_.event(event.data());
     }
     return true;
@@ -127,13 +137,20 @@
     result_.load = end.load;
     result_.detail = "status " + std::to_string(end.status);
     const auto status = static_cast<Status>(end.status);
-    if (end.how == Ending::not_sent) result_.outcome = Outcome::connect_failed;
-    else if (end.how == Ending::broken) result_.outcome = Outcome::reset;
-    else if (end.how == Ending::malformed) result_.outcome = events_ ? Outcome::reset : Outcome::error;
-    else if (status == Status::ok && read_) result_.outcome = Outcome::read;
-    else if (status == Status::ok && events_) result_.outcome = Outcome::ok;
-    else if (events_) result_.outcome = Outcome::reset;
-    else if (end.declined && status == Status::unavailable) result_.outcome = Outcome::full;
+    if (end.how == Ending::not_sent)
+      result_.outcome = Outcome::connect_failed;
+    else if (end.how == Ending::broken)
+      result_.outcome = Outcome::reset;
+    else if (end.how == Ending::malformed)
+      result_.outcome = events_ ? Outcome::reset : Outcome::error;
+    else if (status == Status::ok && read_)
+      result_.outcome = Outcome::read;
+    else if (status == Status::ok && events_)
+      result_.outcome = Outcome::ok;
+    else if (events_)
+      result_.outcome = Outcome::reset;
+    else if (end.declined && status == Status::unavailable)
+      result_.outcome = Outcome::full;
     else if (end.declined && status == Status::failed_precondition) {
       result_.outcome = Outcome::full;
       result_.kept = 1;
@@ -154,19 +171,24 @@
   using Done = std::function<void(const Result&)>;
   SimpleCall(Session& session, const Node& node, std::string_view method, std::string framed, Done done,
              CallOver over)
-      : NodeCall(session, node.address, method, std::move(framed), {}, std::move(over)), done_(std::move(done)) {}
+      : NodeCall(session, node.address, method, std::move(framed), {}, std::move(over)),
+        done_(std::move(done)) {}
 
  private:
   bool message(std::string_view bytes) override {
     v1::LoadReply reply;
-    if (!reply.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return false;
+    if (!reply.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+      return false;
     result_.load = reply.report();
     return true;
   }
   void ended(const End& end) override {
-    if (end.how == Ending::not_sent) result_.outcome = Outcome::connect_failed;
-    else if (end.how == Ending::broken) result_.outcome = Outcome::reset;
-    else result_.outcome = end.how == Ending::whole && end.status == 0 ? Outcome::ok : Outcome::error;
+    if (end.how == Ending::not_sent)
+      result_.outcome = Outcome::connect_failed;
+    else if (end.how == Ending::broken)
+      result_.outcome = Outcome::reset;
+    else
+      result_.outcome = end.how == Ending::whole && end.status == 0 ? Outcome::ok : Outcome::error;
     const auto done = std::move(done_);
     const Result result = std::move(result_);
     done(result);
@@ -178,9 +200,11 @@
 
 class UnsentCall : public Call {
  public:
-  UnsentCall(net::Loop& loop, std::function<void()> told) : told_(std::make_shared<std::function<void()>>(std::move(told))) {
+  UnsentCall(net::Loop& loop, std::function<void()> told)
+      : told_(std::make_shared<std::function<void()>>(std::move(told))) {
     loop.defer([weak = std::weak_ptr(told_)] {
-      if (const auto told = weak.lock()) (*told)();
+      if (const auto told = weak.lock())
+        (*told)();
     });
   }
   bool unsent() const override { return true; }
@@ -191,13 +215,15 @@
 
 }  // namespace
 
-std::unique_ptr<Call> run_call(Session& session, const Node& node, const Prompt& prompt, Micros within, Attempt& attempt,
-                               CallOver over) {
+std::unique_ptr<Call> run_call(Session& session, const Node& node, const Prompt& prompt, Micros within,
+                               Attempt& attempt, CallOver over) {
   return std::make_unique<RunCall>(session, node, prompt, within, attempt, std::move(over));
 }
-std::unique_ptr<Call> simple_call(Session& session, const Node& node, std::string_view method, std::string framed,
-                                  std::function<void(const Result&)> done, CallOver over) {
-  return std::make_unique<SimpleCall>(session, node, method, std::move(framed), std::move(done), std::move(over));
+std::unique_ptr<Call> simple_call(Session& session, const Node& node, std::string_view method,
+                                  std::string framed, std::function<void(const Result&)> done,
+                                  CallOver over) {
+  return std::make_unique<SimpleCall>(session, node, method, std::move(framed), std::move(done),
+                                      std::move(over));
 }
 std::unique_ptr<Call> unsent_call(net::Loop& loop, std::function<void()> told) {
   return std::make_unique<UnsentCall>(loop, std::move(told));
--- a/src/grpc/pool.h
+++ b/src/grpc/pool.h
@@ -1,5 +1,6 @@
-// Decides over the connections to one gRPC node: which of them takes a call, when another one is opened, drained or
-// given up. Free of I/O: whoever holds the sockets tells what happens, and carries out what is said.
+// Decides over the connections to one gRPC node: which of them takes a call, when another one is opened,
+// drained or given up. Free of I/O: whoever holds the sockets tells what happens, and carries out what is
+// said.
 #pragma once
 
 #include <chrono>
@@ -16,12 +17,12 @@
   using Time = Clock::time_point;
   using Id = std::uint32_t;
   struct Limits {
-    std::size_t connections = 4;   // most at once
-    std::size_t waiting = 64;      // most calls that wait at one connection for a place of the node's; 0 or more
-    double open_at = 0.75;         // share of the places taken from which another connection is opened
-    std::uint32_t unheard = 16;    // places counted on before the node's SETTINGS have come
-    std::chrono::milliseconds idle{20000};       // a connection without calls is retired then
-    std::chrono::milliseconds back_off{50};      // after a connection that did not come up, doubled up to...
+    std::size_t connections = 4;  // most at once
+    std::size_t waiting = 64;  // most calls that wait at one connection for a place of the node's; 0 or more
+    double open_at = 0.75;     // share of the places taken from which another connection is opened
+    std::uint32_t unheard = 16;              // places counted on before the node's SETTINGS have come
+    std::chrono::milliseconds idle{20000};   // a connection without calls is retired then
+    std::chrono::milliseconds back_off{50};  // after a connection that did not come up, doubled up to...
     std::chrono::milliseconds back_off_most{1000};
   };
   explicit Pool(Limits limits) : limits_(limits) {}
@@ -41,14 +42,14 @@
   Route route(Time now, bool may_open);
 
   // ---- what happens ----
-  void up(Time now, Id id);                      // connected
-  void allows(Id id, std::uint32_t streams);     // the node's SETTINGS_MAX_CONCURRENT_STREAMS, at any time
-  void began(Id id);                             // a call was given to it
-  void ended(Time now, Id id, bool answered);    // `answered`: the node said something to it
-  void drains(Id id);                            // GOAWAY: no new calls, those it has go on
-  void silent(Id id);                            // a ping is overdue: no new calls while there is doubt
-  void heard(Id id);                             // and the doubt is over
-  void gone(Time now, Id id);                    // closed, whatever the reason
+  void up(Time now, Id id);                    // connected
+  void allows(Id id, std::uint32_t streams);   // the node's SETTINGS_MAX_CONCURRENT_STREAMS, at any time
+  void began(Id id);                           // a call was given to it
+  void ended(Time now, Id id, bool answered);  // `answered`: the node said something to it
+  void drains(Id id);                          // GOAWAY: no new calls, those it has go on
+  void silent(Id id);                          // a ping is overdue: no new calls while there is doubt
+  void heard(Id id);                           // and the doubt is over
+  void gone(Time now, Id id);                  // closed, whatever the reason
 
   // Connections to be closed now: without calls for too long, or drained with the last call gone.
   std::vector<Id> retire(Time now) const;
--- a/src/grpc/reflection.cpp
+++ b/src/grpc/reflection.cpp
@@ -16,15 +16,18 @@
 using google::protobuf::DescriptorPool;
 using google::protobuf::FileDescriptor;
 
-constexpr const char* services[] = {"lemonroute.v1.Drafting", "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection"};
+constexpr const char* services[] = {"lemonroute.v1.Drafting", "grpc.health.v1.Health",
+                                    "grpc.reflection.v1.ServerReflection"};
 
 // A file with all that it imports, so that a tool needs not ask for each.
 void add(const FileDescriptor& file, std::set<std::string>& seen, reflection::FileDescriptorResponse& to) {
-  if (!seen.insert(std::string(file.name())).second) return;
+  if (!seen.insert(std::string(file.name())).second)
+    return;
   google::protobuf::FileDescriptorProto proto;
   file.CopyTo(&proto);
   to.add_file_descriptor_proto(proto.SerializeAsString());
-  for (int i = 0; i < file.dependency_count(); ++i) add(*file.dependency(i), seen, to);
+  for (int i = 0; i < file.dependency_count(); ++i)
+    add(*file.dependency(i), seen, to);
 }
 
 class Info : public Method {
@@ -49,24 +52,29 @@
     };
     switch (request.message_request_case()) {
       case reflection::ServerReflectionRequest::kListServices:
-        for (const char* name : services) response.mutable_list_services_response()->add_service()->set_name(name);
+        for (const char* name : services)
+          response.mutable_list_services_response()->add_service()->set_name(name);
         break;
       case reflection::ServerReflectionRequest::kFileByFilename:
         file = pool->FindFileByName(request.file_by_filename());
-        if (!file) none(Status::not_found, "there is no such file");
+        if (!file)
+          none(Status::not_found, "there is no such file");
         break;
       case reflection::ServerReflectionRequest::kFileContainingSymbol:
         file = pool->FindFileContainingSymbol(request.file_containing_symbol());
-        if (!file) none(Status::not_found, "there is no such symbol");
+        if (!file)
+          none(Status::not_found, "there is no such symbol");
         break;
       case reflection::ServerReflectionRequest::kFileContainingExtension:
       case reflection::ServerReflectionRequest::kAllExtensionNumbersOfType:
         none(Status::not_found, "there are no extensions");
         break;
-      default: none(Status::invalid_argument, "nothing is asked for");
+      default:
+        none(Status::invalid_argument, "nothing is asked for");
     }
     std::set<std::string> seen;
-    if (file) add(*file, seen, *response.mutable_file_descriptor_response());
+    if (file)
+      add(*file, seen, *response.mutable_file_descriptor_response());
     call_.send_message(response);
   }
   ServerCall& call_;
--- a/src/grpc/server.cpp
+++ b/src/grpc/server.cpp
@@ -8,54 +8,74 @@
 constexpr std::size_t most_waiting = 64 * 1024;  // of an answer, before the node has to wait
 
 bool ServerCall::send(const std::string& framed) {
-  if (over_) return true;
-  if (!std::exchange(responded_, true)) session_.respond(id_, head());
+  if (over_)
+    return true;
+  if (!std::exchange(responded_, true))
+    session_.respond(id_, head());
   session_.write(id_, framed);
   return session_.waiting(id_) < most_waiting;
 }
 
 Headers ServerCall::head() const {
-  Headers headers{{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-accept-encoding", std::string(accepted_encodings)}};
-  if (writes_ != Encoding::identity) headers.emplace_back("grpc-encoding", name_of(writes_));
+  Headers headers{{":status", "200"},
+                  {"content-type", "application/grpc"},
+                  {"grpc-accept-encoding", std::string(accepted_encodings)}};
+  if (writes_ != Encoding::identity)
+    headers.emplace_back("grpc-encoding", name_of(writes_));
   return headers;
 }
 
 void ServerCall::finish(Status status, std::string_view text, const Headers& more) {
-  if (std::exchange(over_, true)) return;
+  if (std::exchange(over_, true))
+    return;
   Headers trailers;
-  if (!responded_) trailers = head();
+  if (!responded_)
+    trailers = head();
   trailers.emplace_back("grpc-status", std::to_string(static_cast<int>(status)));
-  if (!text.empty()) trailers.emplace_back("grpc-message", percent_encoded(text));
+  if (!text.empty())
+    trailers.emplace_back("grpc-message", percent_encoded(text));
   trailers.insert(trailers.end(), more.begin(), more.end());
   session_.finish(id_, std::move(trailers));
   on_over_();
 }
 
 void ServerCall::data(std::string_view piece) {
-  if (over_) return;
+  if (over_)
+    return;
   const auto fault = reader_.feed(piece, [this](std::string_view message) {
-    if (over_) return;
-    if (method_->streams()) return method_->message(message);
+    if (over_)
+      return;
+    if (method_->streams())
+      return method_->message(message);
     // A second message where the method takes one leaves open which of them is meant.
-    if (std::exchange(has_message_, true)) two_ = true;
-    else message_ = message;
+    if (std::exchange(has_message_, true))
+      two_ = true;
+    else
+      message_ = message;
   });
-  if (over_) return;
-  if (fault) finish(*fault, *fault == Status::resource_exhausted ? "the message is too large" : "the message can't be read");
-  else if (two_) finish(Status::unimplemented, "the method takes one message");
+  if (over_)
+    return;
+  if (fault)
+    finish(*fault,
+           *fault == Status::resource_exhausted ? "the message is too large" : "the message can't be read");
+  else if (two_)
+    finish(Status::unimplemented, "the method takes one message");
 }
 
 // Only then is the request whole, and nothing of one that is cut short reaches the method.
 void ServerCall::half_closed() {
-  if (over_) return;
-  if (method_->streams() && reader_.between()) return method_->half_closed();
+  if (over_)
+    return;
+  if (method_->streams() && reader_.between())
+    return method_->half_closed();
   if (!has_message_ || !reader_.between())
     return finish(Status::invalid_argument, "the request is not one whole message");
   method_->message(std::exchange(message_, {}));
 }
 
 void ServerCall::closed(std::uint32_t, bool) {
-  if (std::exchange(over_, true)) return;
+  if (std::exchange(over_, true))
+    return;
   method_.reset();  // the client has gone, and what is done for it ends now
   on_over_();
 }
@@ -63,16 +83,21 @@
 Server::Server(net::Loop& loop, const std::string& listen, std::size_t most_connections, bool shared,
                Session::Limits limits)
     : loop_(loop), limits_(limits), admission_(loop, most_connections, [this](bool on) {
-        if (listener_) listener_->pause(on);
+        if (listener_)
+          listener_->pause(on);
       }) {
-  listener_ = std::make_unique<net::Listener>(loop, listen, [this](evutil_socket_t fd) {
-    auto visit = std::make_unique<Visit>();
-    Visit& made = *visit;
-    limits_.jitter = static_cast<double>(random_() - random_.min()) / static_cast<double>(random_.max() - random_.min());
-    made.session.reset(new Session(loop_, fd, *this, limits_));
-    visits_[made.session.get()] = std::move(visit);
-    admission_.arrived(made);
-  }, shared);
+  listener_ = std::make_unique<net::Listener>(
+      loop, listen,
+      [this](evutil_socket_t fd) {
+        auto visit = std::make_unique<Visit>();
+        Visit& made = *visit;
+        limits_.jitter = static_cast<double>(random_() - random_.min()) /
+                         static_cast<double>(random_.max() - random_.min());
+        made.session.reset(new Session(loop_, fd, *this, limits_));
+        visits_[made.session.get()] = std::move(visit);
+        admission_.arrived(made);
+      },
+      shared);
 }
 
 Server::~Server() {
@@ -84,7 +109,9 @@
   const auto method = find(headers, ":method"), type = find(headers, "content-type");
   // The type may be followed by "+proto" or parameters, and by nothing else.
   constexpr std::string_view grpc_type = "application/grpc";
-  const bool is_grpc = type.starts_with(grpc_type) && (type.size() == grpc_type.size() || type[grpc_type.size()] == '+' || type[grpc_type.size()] == ';');
+  const bool is_grpc =
+      type.starts_with(grpc_type) &&
+      (type.size() == grpc_type.size() || type[grpc_type.size()] == '+' || type[grpc_type.size()] == ';');
   if (method != "POST" || !is_grpc) {
     session.finish(id, {{":status", method != "POST" ? "405" : "415"}});
     return nullptr;
@@ -94,10 +121,12 @@
                                            best_of(find(headers, "grpc-accept-encoding")));
   ServerCall& made = *call;
   Visit& visit = *visits_.at(&session);
-  if (visit.calls++ == 0) admission_.busy(visit);
+  if (visit.calls++ == 0)
+    admission_.busy(visit);
   made.on_over_ = [this, &made, &session] {
     const auto found = calls_.find(&made);
-    if (found == calls_.end()) return;
+    if (found == calls_.end())
+      return;
     // The connection may be gone already, and its calls be told of that.
     if (const auto of = visits_.find(&session); of != visits_.end() && --of->second->calls == 0)
       admission_.at_rest(*of->second);
@@ -105,7 +134,8 @@
     calls_.erase(found);
   };
   for (Service* service : services_)
-    if ((made.method_ = service->open(find(headers, ":path"), headers, made))) break;
+    if ((made.method_ = service->open(find(headers, ":path"), headers, made)))
+      break;
   calls_[&made] = std::move(call);
   if (!reads) {
     made.finish(Status::unimplemented, "the encoding is not spoken here");
@@ -120,7 +150,8 @@
 
 void Server::closed(Session& session) {
   const auto found = visits_.find(&session);
-  if (found == visits_.end()) return;
+  if (found == visits_.end())
+    return;
   admission_.left(*found->second);
   loop_.dispose(std::move(found->second));
   visits_.erase(found);
@@ -131,9 +162,11 @@
 }
 
 void Server::stop_accepting() {
-  if (listener_) listener_->take_waiting();
+  if (listener_)
+    listener_->take_waiting();
   listener_.reset();
-  for (const auto& [session, visit] : visits_) session->go_away();
+  for (const auto& [session, visit] : visits_)
+    session->go_away();
 }
 
 }  // namespace lemonroute::grpc
--- a/src/grpc/server.h
+++ b/src/grpc/server.h
@@ -21,7 +21,7 @@
   // A method that takes many messages gets each as it comes, and is told when there are no more.
   virtual bool streams() const { return false; }
   virtual void half_closed() {}
-  virtual void drained() {}                          // more may be sent
+  virtual void drained() {}  // more may be sent
 };
 
 class Service {
@@ -35,12 +35,13 @@
 class ServerCall : StreamEvents {
  public:
   // `reads`, `writes`: what messages may be compressed by, each way.
-  ServerCall(Session& session, std::int32_t id, Encoding reads, Encoding writes) : session_(session), id_(id), writes_(writes) {
+  ServerCall(Session& session, std::int32_t id, Encoding reads, Encoding writes)
+      : session_(session), id_(id), writes_(writes) {
     reader_.encoding(reads);
   }
   bool send(const std::string& framed);  // false: hold the rest back until Method::drained
   template <class Message>
-    requires requires(const Message& message) { message.SerializeAsString(); }
+  requires requires(const Message& message) { message.SerializeAsString(); }
   bool send_message(const Message& message) {
     return send(frame(std::string_view(message.SerializeAsString()), writes_));
   }
--- a/src/grpc/session.cpp
+++ b/src/grpc/session.cpp
@@ -44,8 +44,10 @@
   nghttp2_option_new(&option);
   nghttp2_option_set_no_auto_window_update(option, 1);
   nghttp2_session* made = nullptr;
-  if (server) nghttp2_session_server_new2(&made, callbacks(), this, option);
-  else nghttp2_session_client_new2(&made, callbacks(), this, option);
+  if (server)
+    nghttp2_session_server_new2(&made, callbacks(), this, option);
+  else
+    nghttp2_session_client_new2(&made, callbacks(), this, option);
   nghttp2_option_del(option);
   session_.reset(made);
   const nghttp2_settings_entry settings[] = {
@@ -63,26 +65,30 @@
 }
 
 void Session::check_alive() {
-  if (closed_ || !connected_ || ping_timer_.pending()) return;
+  if (closed_ || !connected_ || ping_timer_.pending())
+    return;
   nghttp2_submit_ping(session_.get(), NGHTTP2_FLAG_NONE, nullptr);
   ping_timer_.start(limits_.ping_timeout / 4);
   flush_soon();
 }
 
-// The connection goes on taking calls until the answer is late: what a call that was given up left behind is released
-// on the same one, behind its reset, and must not overtake it.
+// The connection goes on taking calls until the answer is late: what a call that was given up left behind is
+// released on the same one, behind its reset, and must not overtake it.
 void Session::unheard() {
-  if (doubted_) return close();
+  if (doubted_)
+    return close();
   doubt(true);
   ping_timer_.start(limits_.ping_timeout - limits_.ping_timeout / 4);
 }
 
 void Session::doubt(bool on) {
-  if (!server_ && !closed_ && std::exchange(doubted_, on) != on) owner_.doubted(*this, on);
+  if (!server_ && !closed_ && std::exchange(doubted_, on) != on)
+    owner_.doubted(*this, on);
 }
 
 void Session::go_away() {
-  if (closed_ || std::exchange(going_, true)) return;
+  if (closed_ || std::exchange(going_, true))
+    return;
   if (!server_) {
     nghttp2_submit_goaway(session_.get(), NGHTTP2_FLAG_NONE, 0, NGHTTP2_NO_ERROR, nullptr, 0);
   } else {
@@ -96,17 +102,22 @@
 
 void Session::last_call() {
   last_timer_.stop();
-  if (closed_ || std::exchange(counted_out_, true)) return;
+  if (closed_ || std::exchange(counted_out_, true))
+    return;
   nghttp2_submit_goaway(session_.get(), NGHTTP2_FLAG_NONE,
-                        nghttp2_session_get_last_proc_stream_id(session_.get()), NGHTTP2_NO_ERROR, nullptr, 0);
+                        nghttp2_session_get_last_proc_stream_id(session_.get()), NGHTTP2_NO_ERROR, nullptr,
+                        0);
   flush_soon();
 }
 
 void Session::close() {
-  if (std::exchange(closed_, true)) return;
-  for (net::Timer* timer : {&connect_timer_, &ping_timer_, &look_timer_, &last_timer_}) timer->stop();
+  if (std::exchange(closed_, true))
+    return;
+  for (net::Timer* timer : {&connect_timer_, &ping_timer_, &look_timer_, &last_timer_})
+    timer->stop();
   end_streams();
-  if (connection_->started()) connection_->end_sending();
+  if (connection_->started())
+    connection_->end_sending();
   owner_.closed(*this);
 }
 
@@ -116,7 +127,8 @@
     StreamEvents* events = first->second.events;
     const bool was_sent = connected_ && sent(first->second);
     streams_.erase(first);
-    if (events) events->closed(connection_lost, was_sent);
+    if (events)
+      events->closed(connection_lost, was_sent);
   }
 }
 
--- a/src/grpc/session.h
+++ b/src/grpc/session.h
@@ -1,4 +1,5 @@
-// One HTTP/2 connection, of either side: nghttp2's session, which does no I/O of its own, on a net::Connection.
+// One HTTP/2 connection, of either side: nghttp2's session, which does no I/O of its own, on a
+// net::Connection.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -23,7 +24,7 @@
   virtual ~StreamEvents() = default;
   virtual void headers(const Headers& headers) = 0;  // of an answer, and its trailers
   virtual void data(std::string_view piece) = 0;
-  virtual void written() {}  // all that a client had to send has gone to the kernel
+  virtual void written() {}      // all that a client had to send has gone to the kernel
   virtual void half_closed() {}  // the peer has sent all it had
   virtual void drained() {}      // little of what was written still waits
   // The stream is over, and the last that is heard of it. `code` is the error of HTTP/2 (0 = none) or
@@ -44,7 +45,8 @@
   virtual void going(Session&) {}                   // GOAWAY has come: no new requests
   virtual void doubted(Session&, bool) {}           // whether a ping is out that has not been answered
   // ---- of a server's session ----
-  virtual void overdone(Session&, Abuse, bool) {}  // the peer; true: the connection ends for it, else one stream
+  virtual void overdone(Session&, Abuse, bool) {
+  }  // the peer; true: the connection ends for it, else one stream
 };
 
 class Session : net::Connection::Handler {
@@ -54,14 +56,15 @@
     std::chrono::microseconds greeting_timeout{std::chrono::seconds(2)};  // for a client's first frame
     std::chrono::microseconds ping_timeout{std::chrono::seconds(1)};
     std::uint32_t streams = 128;
-    // Of a server: a connection without calls is ended after `idle`, any after `age`, each shortened by up to a tenth
-    // by `jitter` (0 to 1), so that clients which came together do not leave together.
+    // Of a server: a connection without calls is ended after `idle`, any after `age`, each shortened by up to
+    // a tenth by `jitter` (0 to 1), so that clients which came together do not leave together.
     std::chrono::microseconds idle{std::chrono::minutes(5)}, age{std::chrono::minutes(30)};
     double jitter = 0;
-    std::chrono::microseconds last_call{std::chrono::milliseconds(500)};  // from "no more" to the last number that counts
+    std::chrono::microseconds last_call{
+        std::chrono::milliseconds(500)};  // from "no more" to the last number that counts
     Guard::Limits guard{};
   };
-  Session(net::Loop& loop, evutil_socket_t accepted, SessionOwner& owner, Limits limits);         // server
+  Session(net::Loop& loop, evutil_socket_t accepted, SessionOwner& owner, Limits limits);    // server
   Session(net::Loop& loop, const std::string& address, SessionOwner& owner, Limits limits);  // client
   ~Session() override;
   Session(const Session&) = delete;
@@ -77,13 +80,13 @@
   void reset(std::int32_t id, std::uint32_t code);  // and nothing more is told of the stream
   // Of a client's request: nothing of it was handed to the connection, and nothing is after a reset.
   bool unsent(std::int32_t id) const;
-  std::size_t waiting(std::int32_t id) const;       // bytes written that have not left
-  void hold_back(std::int32_t id, bool on);         // lets the peer wait with its data
-  void check_alive();                               // closes the connection unless the peer answers a ping
-  // Takes no more streams. A server says so in two steps (RFC 9113, 6.8): first that it will, then, once calls that
-  // were under way have arrived, which was the last; so none of them is lost.
+  std::size_t waiting(std::int32_t id) const;  // bytes written that have not left
+  void hold_back(std::int32_t id, bool on);    // lets the peer wait with its data
+  void check_alive();                          // closes the connection unless the peer answers a ping
+  // Takes no more streams. A server says so in two steps (RFC 9113, 6.8): first that it will, then, once
+  // calls that were under way have arrived, which was the last; so none of them is lost.
   void go_away();
-  void close();                                     // now; open streams are told
+  void close();  // now; open streams are told
 
  private:
   struct Stream {
@@ -93,8 +96,8 @@
     std::size_t out_offset = 0, out_size = 0, unconsumed = 0;
     Headers trailers;
     bool responded = false, ended = false, held_back = false, parked = false, full = false;
-    bool told_written = false, whole = false;  // whole: the request has come to its end
-    bool begun = false;                        // its first frame has been handed to the connection
+    bool told_written = false, whole = false;    // whole: the request has come to its end
+    bool begun = false;                          // its first frame has been handed to the connection
     Guard::Clock::time_point opened{}, moved{};  // moved: when some of the answer was last taken
     std::uint64_t sent_at = 0;  // count of bytes written when the last of it went out; 0 = not yet
   };
@@ -130,7 +133,8 @@
   net::Loop& loop_;
   SessionOwner& owner_;
   Limits limits_;
-  bool server_, connected_, closed_ = false, going_ = false, flush_pending_ = false, counted_out_ = false, doubted_ = false, condemned_ = false, given_up_ = false;
+  bool server_, connected_, closed_ = false, going_ = false, flush_pending_ = false, counted_out_ = false,
+                            doubted_ = false, condemned_ = false, given_up_ = false;
   Guard guard_;
   std::optional<Abuse> abuse_;
   std::uint64_t received_ = 0, begun_ = 0;  // bytes: all that came, and those of frames that were begun
--- a/src/grpc/session/in.cpp
+++ b/src/grpc/session/in.cpp
@@ -7,7 +7,9 @@
 
 constexpr std::size_t client_preface = 24;
 
-Session& session_of(void* self) { return *static_cast<Session*>(self); }
+Session& session_of(void* self) {
+  return *static_cast<Session*>(self);
+}
 
 }  // namespace
 
@@ -16,29 +18,35 @@
     nghttp2_session_callbacks* c = nullptr;
     nghttp2_session_callbacks_new(&c);
     nghttp2_session_callbacks_set_on_begin_frame_callback(
-        c, [](nghttp2_session*, const nghttp2_frame_hd* head, void* self) { return session_of(self).frame_begun(*head); });
+        c, [](nghttp2_session*, const nghttp2_frame_hd* head, void* self) {
+          return session_of(self).frame_begun(*head);
+        });
     nghttp2_session_callbacks_set_on_begin_headers_callback(
         c, [](nghttp2_session*, const nghttp2_frame* frame, void* self) {
           Session& s = session_of(self);
           if (s.server_ && frame->headers.cat == NGHTTP2_HCAT_REQUEST)
             s.streams_[frame->hd.stream_id].opened = Guard::Clock::now();
-          if (auto* stream = s.stream(frame->hd.stream_id)) stream->incoming.clear();
+          if (auto* stream = s.stream(frame->hd.stream_id))
+            stream->incoming.clear();
           return 0;
         });
     nghttp2_session_callbacks_set_on_header_callback(
         c, [](nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name, std::size_t name_size,
               const std::uint8_t* value, std::size_t value_size, std::uint8_t, void* self) {
           auto* stream = session_of(self).stream(frame->hd.stream_id);
-          if (!stream) return 0;
+          if (!stream)
+            return 0;
           std::size_t size = name_size + value_size;
-          for (const auto& [n, v] : stream->incoming) size += n.size() + v.size();
+          for (const auto& [n, v] : stream->incoming)
+            size += n.size() + v.size();
           if (size > most_header_bytes) {
             Session& s = session_of(self);
             if (s.server_ && !s.abuse_) {
               s.abuse_ = s.guard_.happened(Guard::Clock::now(), Abuse::headers);
               s.owner_.overdone(s, Abuse::headers, false);
             }
-            return static_cast<int>(s.abuse_ ? NGHTTP2_ERR_CALLBACK_FAILURE : NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE);
+            return static_cast<int>(s.abuse_ ? NGHTTP2_ERR_CALLBACK_FAILURE
+                                             : NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE);
           }
           stream->incoming.emplace_back(std::string(reinterpret_cast<const char*>(name), name_size),
                                         std::string(reinterpret_cast<const char*>(value), value_size));
@@ -56,7 +64,8 @@
           // The connection's window is given back at once, or one slow stream would stop all others.
           nghttp2_session_consume_connection(session, size);
           auto* stream = s.stream(id);
-          if (!stream || !stream->events) return 0;
+          if (!stream || !stream->events)
+            return 0;
           stream->unconsumed += size;
           stream->events->data({reinterpret_cast<const char*>(bytes), size});
           if ((stream = s.stream(id)) && !stream->held_back)
@@ -68,16 +77,19 @@
           session_of(self).stream_closed(id, code);
           return 0;
         });
-    nghttp2_session_callbacks_set_before_frame_send_callback(c, [](nghttp2_session*, const nghttp2_frame* frame, void* self) {
-      auto* stream = session_of(self).stream(frame->hd.stream_id);
-      if (stream && frame->hd.type == NGHTTP2_HEADERS) stream->begun = true;
-      return 0;
-    });
+    nghttp2_session_callbacks_set_before_frame_send_callback(
+        c, [](nghttp2_session*, const nghttp2_frame* frame, void* self) {
+          auto* stream = session_of(self).stream(frame->hd.stream_id);
+          if (stream && frame->hd.type == NGHTTP2_HEADERS)
+            stream->begun = true;
+          return 0;
+        });
     nghttp2_session_callbacks_set_on_frame_send_callback(
         c, [](nghttp2_session*, const nghttp2_frame* frame, void* self) {
           Session& s = session_of(self);
           auto* stream = s.stream(frame->hd.stream_id);
-          if (frame->hd.type == NGHTTP2_DATA) s.guard_.sent_data();
+          if (frame->hd.type == NGHTTP2_DATA)
+            s.guard_.sent_data();
           if (stream && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS) &&
               (frame->hd.flags & NGHTTP2_FLAG_END_STREAM))
             stream->sent_at = s.written_ + frame->hd.length + 9;
@@ -91,7 +103,8 @@
 void Session::on_connected() {
   connected_ = true;
   connect_timer_.stop();
-  if (!server_) owner_.connected(*this);
+  if (!server_)
+    owner_.connected(*this);
   flush();
 }
 
@@ -112,12 +125,16 @@
   }
   while (!closed_ && evbuffer_get_length(input) > 0) {
     const std::size_t size = evbuffer_get_contiguous_space(input);
-    const ssize_t taken = nghttp2_session_mem_recv(session_.get(), evbuffer_pullup(input, static_cast<ev_ssize_t>(size)), size);
-    if (taken < 0 && abuse_) return overdone(*abuse_);
+    const ssize_t taken =
+        nghttp2_session_mem_recv(session_.get(), evbuffer_pullup(input, static_cast<ev_ssize_t>(size)), size);
+    if (taken < 0 && abuse_)
+      return overdone(*abuse_);
     // The library bounds two floods itself: CONTINUATION and answers
     // that the peer does not take.
-    if (server_ && taken == NGHTTP2_ERR_TOO_MANY_CONTINUATIONS) return overdone(Abuse::continuations);
-    if (server_ && taken == NGHTTP2_ERR_FLOODED) return overdone(Abuse::pings);
+    if (server_ && taken == NGHTTP2_ERR_TOO_MANY_CONTINUATIONS)
+      return overdone(Abuse::continuations);
+    if (server_ && taken == NGHTTP2_ERR_FLOODED)
+      return overdone(Abuse::pings);
     if (taken < 0) {
       // Guards against a peer that does not speak HTTP/2: the session can't go on, other peers are not hurt.
       logging::info() << "an HTTP/2 connection is closed: " << nghttp2_strerror(static_cast<int>(taken));
@@ -126,38 +143,48 @@
     evbuffer_drain(input, static_cast<std::size_t>(taken));
     received_ += static_cast<std::uint64_t>(taken);
     // A session that is ending passes everything over.
-    if (server_ && nghttp2_session_want_read(session_.get()) && received_ > begun_ + client_preface + frame_head) {
+    if (server_ && nghttp2_session_want_read(session_.get()) &&
+        received_ > begun_ + client_preface + frame_head) {
       const auto passed_over = received_ - begun_ - client_preface - frame_head;
       begun_ += passed_over;
-      if ((abuse_ = guard_.unknown(Guard::Clock::now(), passed_over))) return overdone(*abuse_);
+      if ((abuse_ = guard_.unknown(Guard::Clock::now(), passed_over)))
+        return overdone(*abuse_);
     }
   }
-  if (given_up_) return close();
-  if (!closed_) flush();
+  if (given_up_)
+    return close();
+  if (!closed_)
+    flush();
 }
 
 void Session::frame_received(const nghttp2_frame& frame) {
   const std::int32_t id = frame.hd.stream_id;
   connect_timer_.stop();
   const bool ack = frame.hd.flags & NGHTTP2_FLAG_ACK;
-  if (frame.hd.type == NGHTTP2_GOAWAY && !std::exchange(going_, true) && !server_) owner_.going(*this);
+  if (frame.hd.type == NGHTTP2_GOAWAY && !std::exchange(going_, true) && !server_)
+    owner_.going(*this);
   // Who says so with an error closes next (RFC 9113, 5.4.1), and takes no answer any more.
-  if (frame.hd.type == NGHTTP2_GOAWAY && server_ && frame.goaway.error_code != NGHTTP2_NO_ERROR) given_up_ = true;
+  if (frame.hd.type == NGHTTP2_GOAWAY && server_ && frame.goaway.error_code != NGHTTP2_NO_ERROR)
+    given_up_ = true;
   if (frame.hd.type == NGHTTP2_PING && ack) {
-    if (last_timer_.pending()) last_call();
+    if (last_timer_.pending())
+      last_call();
     ping_timer_.stop();
     doubt(false);
   }
   if (frame.hd.type == NGHTTP2_SETTINGS && !ack && !server_)
-    owner_.allowed(*this, nghttp2_session_get_remote_settings(session_.get(), NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS));
+    owner_.allowed(
+        *this, nghttp2_session_get_remote_settings(session_.get(), NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS));
   Stream* stream = this->stream(id);
-  if (!stream) return;
+  if (!stream)
+    return;
   if (frame.hd.type == NGHTTP2_RST_STREAM && server_ && !stream->responded && !abuse_)
     abuse_ = guard_.reset_early(Guard::Clock::now());
   if (frame.hd.type == NGHTTP2_HEADERS) {
     if (server_ && frame.headers.cat == NGHTTP2_HCAT_REQUEST) {
       stream->events = owner_.opened(*this, id, stream->incoming);
-      if ((stream = this->stream(id)) && !stream->events && !stream->ended) reset(id, NGHTTP2_REFUSED_STREAM);
+      if ((stream = this->stream(id)) && !stream->events && !stream->ended)
+        reset(id, NGHTTP2_REFUSED_STREAM);
     } else if (stream->events) {
       stream->events->headers(stream->incoming);
     }
@@ -166,18 +193,21 @@
   stream = this->stream(id);
   if (may_end && (frame.hd.flags & NGHTTP2_FLAG_END_STREAM) && stream) {
     stream->whole = true;
-    if (stream->events) stream->events->half_closed();
+    if (stream->events)
+      stream->events->half_closed();
   }
 }
 
 void Session::stream_closed(std::int32_t id, std::uint32_t code) {
   const auto found = streams_.find(id);
-  if (found == streams_.end()) return;
+  if (found == streams_.end())
+    return;
   StreamEvents* events = found->second.events;
   // A stream that the peer refuses, or whose id its GOAWAY passes over, has certainly not been handled.
   const bool was_sent = code != NGHTTP2_REFUSED_STREAM && sent(found->second);
   streams_.erase(found);
-  if (events) events->closed(code, was_sent);
+  if (events)
+    events->closed(code, was_sent);
 }
 
 }  // namespace lemonroute::grpc
--- a/src/grpc/session/out.cpp
+++ b/src/grpc/session/out.cpp
@@ -1,9 +1,10 @@
-// What goes out on an HTTP/2 connection: calls, answers, and how much of them is handed on ahead of the socket.
-#include "grpc/session.h"
-
+// What goes out on an HTTP/2 connection: calls, answers, and how much of them is handed on ahead of the
+// socket.
 #include <algorithm>
 #include <cstring>
 
+#include "grpc/session.h"
+
 namespace lemonroute::grpc {
 namespace {
 
@@ -19,16 +20,17 @@
   return nv;
 }
 
-Session& session_of(void* self) { return *static_cast<Session*>(self); }
+Session& session_of(void* self) {
+  return *static_cast<Session*>(self);
+}
 
 }  // namespace
 
 nghttp2_data_provider Session::body_source() {
   nghttp2_data_provider provider{};
   provider.read_callback = [](nghttp2_session*, std::int32_t id, std::uint8_t* buffer, std::size_t size,
-                              std::uint32_t* flags, nghttp2_data_source*, void* self) {
-    return session_of(self).fill(id, buffer, size, flags);
-  };
+                              std::uint32_t* flags, nghttp2_data_source*,
+                              void* self) { return session_of(self).fill(id, buffer, size, flags); };
   return provider;
 }
 
@@ -51,7 +53,8 @@
 
 void Session::respond(std::int32_t id, const Headers& headers) {
   Stream* stream = this->stream(id);
-  if (!stream || stream->responded) return;
+  if (!stream || stream->responded)
+    return;
   stream->responded = true;
   const auto nv = to_nv(headers);
   const nghttp2_data_provider provider = body_source();
@@ -61,18 +64,22 @@
 
 void Session::write(std::int32_t id, std::string bytes) {
   Stream* stream = this->stream(id);
-  if (!stream) return;
-  if (stream->out_size == 0) stream->moved = Guard::Clock::now();  // from here on the peer may let us wait
+  if (!stream)
+    return;
+  if (stream->out_size == 0)
+    stream->moved = Guard::Clock::now();  // from here on the peer may let us wait
   stream->out_size += bytes.size();
   stream->full = stream->full || stream->out_size >= most_unsent;
   stream->out.push_back(std::move(bytes));
-  if (std::exchange(stream->parked, false)) nghttp2_session_resume_data(session_.get(), id);
+  if (std::exchange(stream->parked, false))
+    nghttp2_session_resume_data(session_.get(), id);
   flush_soon();
 }
 
 void Session::finish(std::int32_t id, Headers trailers) {
   Stream* stream = this->stream(id);
-  if (!stream) return;
+  if (!stream)
+    return;
   stream->events = nullptr;
   stream->ended = true;
   stream->trailers = std::move(trailers);
@@ -88,7 +95,8 @@
 
 void Session::reset(std::int32_t id, std::uint32_t code) {
   Stream* stream = this->stream(id);
-  if (!stream) return;
+  if (!stream)
+    return;
   stream->events = nullptr;
   nghttp2_submit_rst_stream(session_.get(), NGHTTP2_FLAG_NONE, id, code);
   flush_soon();
@@ -106,16 +114,19 @@
 
 void Session::hold_back(std::int32_t id, bool on) {
   Stream* stream = this->stream(id);
-  if (!stream) return;
+  if (!stream)
+    return;
   stream->held_back = on;
-  if (on) return;
+  if (on)
+    return;
   nghttp2_session_consume_stream(session_.get(), id, std::exchange(stream->unconsumed, 0));
   flush_soon();
 }
 
 ssize_t Session::fill(std::int32_t id, std::uint8_t* buffer, std::size_t size, std::uint32_t* flags) {
   Stream* stream = this->stream(id);
-  if (!stream) return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
+  if (!stream)
+    return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
   std::size_t filled = 0;
   while (filled < size && !stream->out.empty()) {
     const std::string& front = stream->out.front();
@@ -129,7 +140,8 @@
     }
   }
   stream->out_size -= filled;
-  if (filled > 0) stream->moved = Guard::Clock::now();
+  if (filled > 0)
+    stream->moved = Guard::Clock::now();
   if (stream->out.empty() && stream->ended) {
     *flags |= NGHTTP2_DATA_FLAG_EOF;
     if (!stream->trailers.empty()) {
@@ -147,29 +159,36 @@
     stream->full = false;
     loop_.defer([weak = std::weak_ptr(self_), id] {
       if (const auto self = weak.lock())
-        if (auto* one = (*self)->stream(id); one && one->events) one->events->drained();
+        if (auto* one = (*self)->stream(id); one && one->events)
+          one->events->drained();
     });
   }
   return static_cast<ssize_t>(filled);
 }
 
 void Session::flush_soon() {
-  if (std::exchange(flush_pending_, true)) return;
+  if (std::exchange(flush_pending_, true))
+    return;
   loop_.defer([weak = std::weak_ptr(self_)] {
-    if (const auto self = weak.lock()) (*self)->flush();
+    if (const auto self = weak.lock())
+      (*self)->flush();
   });
 }
 
 void Session::flush() {
   flush_pending_ = false;
-  // Danger: a call that is given up while its connection comes up. What is handed to the connection goes out whatever
-  // becomes of the call; what waits in the library does not, so nothing is handed on before there is somebody to take it.
-  if (closed_ || condemned_ || !connected_ || !connection_->started()) return;
+  // Danger: a call that is given up while its connection comes up. What is handed to the connection goes out
+  // whatever becomes of the call; what waits in the library does not, so nothing is handed on before there is
+  // somebody to take it.
+  if (closed_ || condemned_ || !connected_ || !connection_->started())
+    return;
   while (connection_->unsent() < most_unsent) {
     const std::uint8_t* bytes = nullptr;
     const ssize_t size = nghttp2_session_mem_send(session_.get(), &bytes);
-    if (size < 0) return close();
-    if (size == 0) break;
+    if (size < 0)
+      return close();
+    if (size == 0)
+      break;
     written_ += static_cast<std::uint64_t>(size);
     connection_->write({reinterpret_cast<const char*>(bytes), static_cast<std::size_t>(size)});
   }
--- a/src/grpc/status_details.h
+++ b/src/grpc/status_details.h
@@ -1,4 +1,5 @@
-// google.rpc.Status in grpc-status-details-bin: what a program may do about an answer, beside the text for people.
+// google.rpc.Status in grpc-status-details-bin: what a program may do about an answer, beside the text for
+// people.
 #pragma once
 
 #include <chrono>
@@ -10,8 +11,8 @@
 namespace lemonroute::grpc {
 
 // The trailer with an ErrorInfo (domain "lemonroute") and, for a positive `retry`, a RetryInfo.
-std::pair<std::string, std::string> status_details(Status status, std::string_view text, std::string_view reason,
-                                                   std::chrono::microseconds retry);
+std::pair<std::string, std::string> status_details(Status status, std::string_view text,
+                                                   std::string_view reason, std::chrono::microseconds retry);
 std::string base64(std::string_view bytes);  // without padding, as binary metadata is written
 std::optional<std::string> from_base64(std::string_view text);  // with padding or without
 
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -9,12 +9,14 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t told_at_most = 8;
-// Notes that are not urgent are read so often, and the text is renewed so often; a large fleet's costs more to make.
+// Notes that are not urgent are read so often, and the text is renewed so often; a large fleet's costs more
+// to make.
 constexpr milliseconds look_again{100}, text_per_member{1};
 
 std::vector<peers::Rider*> riders_of(const std::vector<Guest>& guests) {
   std::vector<peers::Rider*> riders;
-  for (const auto& guest : guests) riders.push_back(guest.rider.get());
+  for (const auto& guest : guests)
+    riders.push_back(guest.rider.get());
   return riders;
 }
 
@@ -30,18 +32,24 @@
       service_(std::make_unique<peers::Service>(std::move(options.service), clock, riders_of(guests_),
                                                 static_cast<peers::Service::Desk&>(*this))) {
   for (const auto& guest : guests_)
-    if (guest.observer) witnesses_.push_back(guest.observer.get());
+    if (guest.observer)
+      witnesses_.push_back(guest.observer.get());
   service_->start();
 }
 
-Fleet::~Fleet() { service_.reset(); }
+Fleet::~Fleet() {
+  service_.reset();
+}
 
 std::shared_ptr<const std::string> Fleet::text() const {
-  if (!service_->failed()) return text_;
+  if (!service_->failed())
+    return text_;
   return std::make_shared<const std::string>("{\"failed\":true}\n");
 }
 
-void Fleet::woken(Micros) { notes_.read(witnesses_); }
+void Fleet::woken(Micros) {
+  notes_.read(witnesses_);
+}
 
 void Fleet::round(Micros now, const peers::Service& service) {
   notes_.read(witnesses_);
@@ -52,17 +60,21 @@
   }
   std::erase_if(given_, [](const auto& one) { return one.use_count() == 1; });
   next_ = std::min(next_text_, now + look_again);
-  if (next_guide_ > now) next_ = std::min(next_, next_guide_);
+  if (next_guide_ > now)
+    next_ = std::min(next_, next_guide_);
 }
 
 bool Fleet::renew_guide(Micros now, const peers::Service& service) {
   const auto count = siblings_.see(now, service.view());
   FleetGuide::Parts parts;
   for (const auto& guest : guests_)
-    if (auto part = guest.guide ? guest.guide() : nullptr) parts.push_back(std::move(part));
-  if (newest_.guide && count == count_ && parts == parts_) return false;
+    if (auto part = guest.guide ? guest.guide() : nullptr)
+      parts.push_back(std::move(part));
+  if (newest_.guide && count == count_ && parts == parts_)
+    return false;
   // A change that comes early waits; next_due sees to it.
-  if (now < next_guide_) return false;
+  if (now < next_guide_)
+    return false;
   next_guide_ = now + least_between;
   count_ = count;
   parts_ = parts;
@@ -72,7 +84,8 @@
 }
 
 bool Fleet::renew_text(Micros now, const peers::Service& service) {
-  if (newest_.text && now < next_text_) return false;
+  if (newest_.text && now < next_text_)
+    return false;
   next_text_ = now + std::max<Micros>(look_again, text_per_member * service.view().members.size());
   auto all = service.describe(now);
   all["siblings"] = count_;
@@ -86,10 +99,13 @@
 void Fleet::take() {
   Told told;
   bool some = false;
-  while (told_.pop(told)) some = true;
-  if (!some) return;
+  while (told_.pop(told))
+    some = true;
+  if (!some)
+    return;
   text_ = told.text;
-  if (!told.guide || told.guide == guide_) return;
+  if (!told.guide || told.guide == guide_)
+    return;
   guide_ = told.guide;
   guided_(guide_);
 }
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -1,5 +1,5 @@
-// What puts the peers' service, its riders and the serving loop together: guides come to the one side, notes go to the
-// other, each through a bounded ring. Made and met on the serving loop.
+// What puts the peers' service, its riders and the serving loop together: guides come to the one side, notes
+// go to the other, each through a bounded ring. Made and met on the serving loop.
 #pragma once
 
 #include <atomic>
@@ -32,7 +32,8 @@
   static constexpr std::chrono::milliseconds least_between{10};
 
   NodeObserver& observer() { return notes_; }
-  // What is known, as JSON; a moment old. Null until the first was made; says so where the peers' thread has ended.
+  // What is known, as JSON; a moment old. Null until the first was made; says so where the peers' thread has
+  // ended.
   std::shared_ptr<const std::string> text() const;
   const std::string& address() const { return service_->address(); }
 
@@ -66,8 +67,9 @@
   std::uint32_t count_ = 0;
   FleetGuide::Parts parts_;
   Told newest_;
-  std::vector<std::shared_ptr<const void>> given_;  // freed here and not on the serving loop, once it is done with them
-  bool waiting_ = false;                            // the ring was full: the newest is still to be told
+  std::vector<std::shared_ptr<const void>>
+      given_;             // freed here and not on the serving loop, once it is done with them
+  bool waiting_ = false;  // the ring was full: the newest is still to be told
   Micros next_{}, next_guide_{}, next_text_{};
 
   std::unique_ptr<peers::Service> service_;  // ends the thread first
--- a/src/guide/fleet_guide.cpp
+++ b/src/guide/fleet_guide.cpp
@@ -18,13 +18,15 @@
 std::vector<KeptAt> FleetGuide::kept(Key session, Key shared) const {
   std::vector<KeptAt> all;
   for (const auto& part : parts_)
-    for (auto& one : part->kept(session, shared)) all.push_back(std::move(one));
+    for (auto& one : part->kept(session, shared))
+      all.push_back(std::move(one));
   return all;
 }
 
 Micros FleetGuide::lost(const Node& node) const {
   Micros last{};
-  for (const auto& part : parts_) last = std::max(last, part->lost(node));
+  for (const auto& part : parts_)
+    last = std::max(last, part->lost(node));
   return last;
 }
 
--- a/src/guide/guest.h
+++ b/src/guide/guest.h
@@ -1,5 +1,5 @@
-// A rider with what it gives the serving loop and wants to hear from it. Riders know neither Guide nor NodeObserver: what
-// their snapshot answers and what they hear is taken up by name.
+// A rider with what it gives the serving loop and wants to hear from it. Riders know neither Guide nor
+// NodeObserver: what their snapshot answers and what they hear is taken up by name.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 struct Guest {
   std::unique_ptr<peers::Rider> rider;
-  std::unique_ptr<NodeObserver> observer;                     // writes to the rider; null: it hears nothing
+  std::unique_ptr<NodeObserver> observer;               // writes to the rider; null: it hears nothing
   std::function<std::shared_ptr<const Guide>()> guide;  // its newest; another pointer where it has changed
 };
 
@@ -24,16 +24,22 @@
  public:
   explicit Says(std::shared_ptr<const Snapshot> of) : of_(std::move(of)) {}
   Laid lay(const Node& node) const override {
-    if constexpr (requires(const Snapshot& s) { s.lay(node); }) return of_->lay(node);
-    else return {};
+    if constexpr (requires(const Snapshot& s) { s.lay(node); })
+      return of_->lay(node);
+    else
+      return {};
   }
   std::vector<KeptAt> kept(Key session, Key shared) const override {
-    if constexpr (requires(const Snapshot& s) { s.kept(session, shared); }) return of_->kept(session, shared);
-    else return {};
+    if constexpr (requires(const Snapshot& s) { s.kept(session, shared); })
+      return of_->kept(session, shared);
+    else
+      return {};
   }
   Micros lost(const Node& node) const override {
-    if constexpr (requires(const Snapshot& s) { s.lost(node); }) return of_->lost(node);
-    else return {};
+    if constexpr (requires(const Snapshot& s) { s.lost(node); })
+      return of_->lost(node);
+    else
+      return {};
   }
 
  private:
@@ -45,22 +51,26 @@
 class Hears final : public NodeObserver {
  public:
   explicit Hears(Rider& rider) : rider_(rider) {}
-  void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) override {
-    if constexpr (requires(Rider& r) { r.kept(node, session, shared, tokens, shared_tokens, now); })
+  void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+            Micros now) override {
+    if constexpr (requires(Rider & r) { r.kept(node, session, shared, tokens, shared_tokens, now); })
       rider_.kept(node, session, shared, tokens, shared_tokens, now);
   }
   void found(const Node& node, Key session, Key shared, double tokens, Micros now) override {
-    if constexpr (requires(Rider& r) { r.found(node, session, shared, tokens, now); })
+    if constexpr (requires(Rider & r) { r.found(node, session, shared, tokens, now); })
       rider_.found(node, session, shared, tokens, now);
   }
   void lost(const Node& node, Micros now) override {
-    if constexpr (requires(Rider& r) { r.lost(node, now); }) rider_.lost(node, now);
+    if constexpr (requires(Rider & r) { r.lost(node, now); })
+      rider_.lost(node, now);
   }
   void listed(const std::vector<Node>& nodes, Micros now) override {
-    if constexpr (requires(Rider& r) { r.listed(nodes, now); }) rider_.listed(nodes, now);
+    if constexpr (requires(Rider & r) { r.listed(nodes, now); })
+      rider_.listed(nodes, now);
   }
   void demand(const Demand& demand, Micros now) override {
-    if constexpr (requires(Rider& r) { r.demand(demand, now); }) rider_.demand(demand, now);
+    if constexpr (requires(Rider & r) { r.demand(demand, now); })
+      rider_.demand(demand, now);
   }
 
  private:
--- a/src/guide/notes.h
+++ b/src/guide/notes.h
@@ -1,5 +1,5 @@
-// What the serving loop tells the thread of the peers of nodes, through a bounded ring: a NodeObserver that writes it, and its
-// reader, who repeats it to the witnesses there.
+// What the serving loop tells the thread of the peers of nodes, through a bounded ring: a NodeObserver that
+// writes it, and its reader, who repeats it to the witnesses there.
 #pragma once
 
 #include <atomic>
@@ -28,11 +28,13 @@
  public:
   static constexpr std::size_t room = 4096, most_urgent = 1024;
 
-  // `wake` is called after what the others should know at once; the reader looks at the rest when it comes by.
+  // `wake` is called after what the others should know at once; the reader looks at the rest when it comes
+  // by.
   explicit Notes(std::function<void()> wake) : wake_(std::move(wake)), ring_(room) {}
 
   // ---- on the serving loop ----
-  void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) override;
+  void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+            Micros now) override;
   void found(const Node& node, Key session, Key shared, double tokens, Micros now) override;
   void lost(const Node& node, Micros now) override;
   void listed(const std::vector<Node>& nodes, Micros now) override;
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -16,11 +16,15 @@
     listener_ = &listener;
     exchange.connection_ = this;
     has_head_ = written_ = false;
-    if (!connected_) timer_.start(connection_.started() ? owner_.limits_.connect_timeout : microseconds(0));
-    else timer_.stop();
-    if (!connection_.started()) return;
+    if (!connected_)
+      timer_.start(connection_.started() ? owner_.limits_.connect_timeout : microseconds(0));
+    else
+      timer_.stop();
+    if (!connection_.started())
+      return;
     connection_.write(head);
-    if (body) connection_.write(std::move(body));
+    if (body)
+      connection_.write(std::move(body));
   }
   PooledConnection(Client& owner, const std::string& address, const PassedConnection& adopted)
       : owner_(owner),
@@ -49,7 +53,8 @@
   void rest() { timer_.start(owner_.limits_.idle); }
   void drop_exchange() {
     exchange_ = nullptr;
-    if (connection_.started()) connection_.end_sending();  // gives the request up before anything else is sent
+    if (connection_.started())
+      connection_.end_sending();  // gives the request up before anything else is sent
     owner_.discard(*this);
   }
   void hold_back(bool on) { connection_.read(!on); }
@@ -65,34 +70,43 @@
   }
   // Once an exchange: all of it was handed to the connection at its start.
   void on_drained() override {
-    if (exchange_ && !std::exchange(written_, true)) listener_->written();
+    if (exchange_ && !std::exchange(written_, true))
+      listener_->written();
   }
   // Connecting took too long, or the head of an answer, or it was idle long enough.
   void on_timer() { end(connected_ && exchange_ ? Ending::malformed : Ending::not_sent); }
 
   void on_readable() override {
-    if (!exchange_) return end(Ending::malformed);  // nobody asked
-    if (!has_head_ && !take_head()) return;
-    if (!exchange_) return;
+    if (!exchange_)
+      return end(Ending::malformed);  // nobody asked
+    if (!has_head_ && !take_head())
+      return;
+    if (!exchange_)
+      return;
     const auto state = body_.take(connection_.input(), [this](std::string_view piece) {
       listener_->body(piece);
       return exchange_ != nullptr;
     });
-    if (!exchange_) return;
-    if (state == Body::State::fault) return end(Ending::malformed);
-    if (state == Body::State::whole) finish();
+    if (!exchange_)
+      return;
+    if (state == Body::State::fault)
+      return end(Ending::malformed);
+    if (state == Body::State::whole)
+      finish();
   }
 
   bool take_head() {
     for (;;) {
       const HeadScan scan = scan_head(connection_.input(), Kind::answer, scanned_);
       if (scan.state == Scan::more) {
-        if (!timer_.pending() && evbuffer_get_length(connection_.input()) > 0) timer_.start(owner_.limits_.head);
+        if (!timer_.pending() && evbuffer_get_length(connection_.input()) > 0)
+          timer_.start(owner_.limits_.head);
         return false;
       }
       timer_.stop();
       std::optional<Body> body;
-      if (scan.state == Scan::head) body = Body::of_answer(scan.head);
+      if (scan.state == Scan::head)
+        body = Body::of_answer(scan.head);
       if (!body) {
         end(Ending::malformed);
         return false;
@@ -102,7 +116,8 @@
         closes_ = scan.head.closes() || body_.until_close();
         has_head_ = true;
         listener_->head(scan.head);
-        if (exchange_) evbuffer_drain(connection_.input(), scan.length);
+        if (exchange_)
+          evbuffer_drain(connection_.input(), scan.length);
         return true;
       }
       evbuffer_drain(connection_.input(), scan.length);  // an interim answer
@@ -110,15 +125,18 @@
   }
 
   void on_closed() override {
-    if (exchange_ && has_head_ && body_.until_close()) return end(Ending::whole);
-    // Bytes that never left prove that the node has not run the request; but not against an answer that has begun.
+    if (exchange_ && has_head_ && body_.until_close())
+      return end(Ending::whole);
+    // Bytes that never left prove that the node has not run the request; but not against an answer that has
+    // begun.
     end(!connected_ || (connection_.unsent() > 0 && !has_head_) ? Ending::not_sent : Ending::broken);
   }
 
   // The answer is whole; the connection can serve again if both sides are through with this exchange.
   void finish() {
     timer_.stop();
-    const bool reusable = !closes_ && connection_.unsent() == 0 && evbuffer_get_length(connection_.input()) == 0;
+    const bool reusable =
+        !closes_ && connection_.unsent() == 0 && evbuffer_get_length(connection_.input()) == 0;
     Listener& listener = *listener_;
     exchange_->connection_ = nullptr;
     exchange_ = nullptr;
@@ -133,12 +151,15 @@
 
   void end(Ending how) {
     Listener* listener = exchange_ ? listener_ : nullptr;
-    if (how == Ending::malformed) owner_.loop_.tally().count(net::Overdone::bad_answer);  // the core logs the attempt
-    if (exchange_) exchange_->connection_ = nullptr;
+    if (how == Ending::malformed)
+      owner_.loop_.tally().count(net::Overdone::bad_answer);  // the core logs the attempt
+    if (exchange_)
+      exchange_->connection_ = nullptr;
     exchange_ = nullptr;
     timer_.stop();
     owner_.discard(*this);
-    if (listener) listener->ended(how);
+    if (listener)
+      listener->ended(how);
   }
 
   Client& owner_;
@@ -153,22 +174,28 @@
 };
 
 Exchange::~Exchange() {
-  if (connection_) connection_->drop_exchange();
+  if (connection_)
+    connection_->drop_exchange();
 }
 void Exchange::hold_back(bool on) {
-  if (connection_) connection_->hold_back(on);
+  if (connection_)
+    connection_->hold_back(on);
 }
 void Exchange::ends_soon() {
-  if (connection_) connection_->ends_soon();
+  if (connection_)
+    connection_->ends_soon();
 }
 
-bool Exchange::unsent() const { return connection_ && connection_->unsent(); }
+bool Exchange::unsent() const {
+  return connection_ && connection_->unsent();
+}
 
 std::optional<PassedConnection> Exchange::passable() const {
   return connection_ ? connection_->passable() : std::nullopt;
 }
 void Exchange::passed() {
-  if (connection_) std::exchange(connection_, nullptr)->passed();
+  if (connection_)
+    std::exchange(connection_, nullptr)->passed();
 }
 
 Client::Client(net::Loop& loop, ClientLimits limits) : loop_(loop), limits_(limits) {}
@@ -187,7 +214,8 @@
   return exchange;
 }
 
-std::unique_ptr<Exchange> Client::adopt(const std::string& address, const PassedConnection& connection, Listener& listener) {
+std::unique_ptr<Exchange> Client::adopt(const std::string& address, const PassedConnection& connection,
+                                        Listener& listener) {
   auto made = std::make_unique<PooledConnection>(*this, address, connection);
   auto exchange = std::make_unique<Exchange>();
   made->go_on(*exchange, listener);
@@ -196,12 +224,13 @@
   return exchange;
 }
 
-// Guards against a node that closed a connection, or sent a second answer on it, while it rested: what has come
-// in but was not looked at yet would be lost with the request, or be taken for its answer.
+// Guards against a node that closed a connection, or sent a second answer on it, while it rested: what has
+// come in but was not looked at yet would be lost with the request, or be taken for its answer.
 PooledConnection* Client::take_idle(const std::string& address) {
   for (;;) {
     const auto idle = idle_.find(address);
-    if (idle == idle_.end()) return nullptr;
+    if (idle == idle_.end())
+      return nullptr;
     PooledConnection* connection = idle->second.front();
     const bool silent = connection->silent();
     if (!silent) {
@@ -215,14 +244,17 @@
 
 void Client::hang_up(const std::string& address) {
   const auto found = idle_.find(address);
-  if (found == idle_.end()) return;
+  if (found == idle_.end())
+    return;
   const auto connections = found->second;
-  for (auto* connection : connections) discard(*connection);
+  for (auto* connection : connections)
+    discard(*connection);
 }
 
 void Client::idle(PooledConnection& connection) {
   // Guards the process's descriptors: what rests here is what clients and calls can't have.
-  if (idle_count_ >= limits_.idle_most) return discard(connection);
+  if (idle_count_ >= limits_.idle_most)
+    return discard(connection);
   idle_[connection.address()].push_front(&connection);
   ++idle_count_;
   connection.rest();
@@ -231,14 +263,17 @@
 // An address with nothing idle is forgotten, or nodes that come and go would be remembered for good.
 void Client::remove_idle(PooledConnection& connection) {
   const auto idle = idle_.find(connection.address());
-  if (idle == idle_.end()) return;
+  if (idle == idle_.end())
+    return;
   idle_count_ -= idle->second.remove(&connection);
-  if (idle->second.empty()) idle_.erase(idle);
+  if (idle->second.empty())
+    idle_.erase(idle);
 }
 
 void Client::discard(PooledConnection& connection) {
   const auto found = all_.find(&connection);
-  if (found == all_.end()) return;
+  if (found == all_.end())
+    return;
   remove_idle(connection);
   loop_.dispose(std::move(found->second));
   all_.erase(found);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -37,7 +37,8 @@
   microseconds connect_timeout{std::chrono::milliseconds(250)};
   microseconds idle{std::chrono::seconds(8)};  // idle connections are retired after it
   std::size_t idle_most = 64;                  // of all addresses together
-  microseconds head{std::chrono::seconds(1)};  // for a head to end that has begun, and an answer that is no stream
+  microseconds head{
+      std::chrono::seconds(1)};  // for a head to end that has begun, and an answer that is no stream
   net::Purpose purpose = net::Purpose::discovery;
 };
 
@@ -48,10 +49,11 @@
  public:
   ~Exchange();
   void hold_back(bool on);  // stops or goes on reading the answer
-  void ends_soon();         // its answer is no stream: it is malformed if it does not end as soon as a head has to
-  bool unsent() const;      // its connection has not come up
-  std::optional<PassedConnection> passable() const;  // between two chunks of an answer, with nothing read ahead
-  void passed();                           // its connection is another process's now
+  void ends_soon();  // its answer is no stream: it is malformed if it does not end as soon as a head has to
+  bool unsent() const;  // its connection has not come up
+  std::optional<PassedConnection> passable()
+      const;      // between two chunks of an answer, with nothing read ahead
+  void passed();  // its connection is another process's now
 
  private:
   friend class PooledConnection;
@@ -69,7 +71,8 @@
   std::unique_ptr<Exchange> start(const std::string& address, std::string_view head,
                                   std::shared_ptr<const std::string> body, Listener& listener);
   // An exchange that another process began; its answer goes on after a chunk.
-  std::unique_ptr<Exchange> adopt(const std::string& address, const PassedConnection& connection, Listener& listener);
+  std::unique_ptr<Exchange> adopt(const std::string& address, const PassedConnection& connection,
+                                  Listener& listener);
   void hang_up(const std::string& address);
   void limit(microseconds connect_timeout, microseconds idle, std::size_t idle_most) {
     limits_.connect_timeout = connect_timeout;
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr std::size_t most_unsent = 64 * 1024;  // of an answer, before the node has to wait
-// Twice what is kept behind an open request. Danger: libevent calls for input again and again while as much as this is
-// left in it, and the loop never rests. So wherever reading is on, what comes is taken or dropped.
+// Twice what is kept behind an open request. Danger: libevent calls for input again and again while as much
+// as this is left in it, and the loop never rests. So wherever reading is on, what comes is taken or dropped.
 constexpr std::size_t most_input = 64 * 1024;
 constexpr Micros cut_within = std::chrono::seconds(1);  // for the events before a cut to be taken
-constexpr std::size_t most_bodies = 64 * 1024 * 1024;  // of all clients together, unfinished ones and those at work
+constexpr std::size_t most_bodies =
+    64 * 1024 * 1024;  // of all clients together, unfinished ones and those at work
 constexpr double characters_a_token = 4;
 
 }  // namespace
@@ -23,7 +24,8 @@
   connection_.limit_input(most_input);
   timer_.start(front_.options_.asking);
 }
-ClientConnection::ClientConnection(Front& front, const PassedConnection& adopted) : ClientConnection(front, adopted.fd) {
+ClientConnection::ClientConnection(Front& front, const PassedConnection& adopted)
+    : ClientConnection(front, adopted.fd) {
   timer_.stop();
   state_ = State::streaming;
   asked_ = whole_ = true;
@@ -32,12 +34,14 @@
 }
 ClientConnection::~ClientConnection() {
   forget_body();
-  if (state_ == State::waiting || state_ == State::streaming) front_.router_.gone(id_);
+  if (state_ == State::waiting || state_ == State::streaming)
+    front_.router_.gone(id_);
 }
 
 bool ClientConnection::go_on(const PassedStream& stream) {
   client_request_.prompt.id = stream.id;
-  if (front_.router_.adopt(stream, *this, id_)) return true;
+  if (front_.router_.adopt(stream, *this, id_))
+    return true;
   state_ = State::closed;
   return false;
 }
@@ -45,24 +49,31 @@
 // ---- what comes in ----
 
 void ClientConnection::on_readable() {
-  if (state_ == State::head) read_head();
-  if (state_ == State::body) read_body();
-  if (state_ == State::waiting || state_ == State::streaming) return read_ahead();
-  if (state_ == State::ending || state_ == State::lingering) drop_input();
+  if (state_ == State::head)
+    read_head();
+  if (state_ == State::body)
+    read_body();
+  if (state_ == State::waiting || state_ == State::streaming)
+    return read_ahead();
+  if (state_ == State::ending || state_ == State::lingering)
+    drop_input();
 }
 
 void ClientConnection::read_head() {
   HeadScan scan = scan_head(connection_.input(), Kind::request, scanned_);
   if (scan.state == Scan::more) {
-    if (evbuffer_get_length(connection_.input()) > 0) begin_request();
+    if (evbuffer_get_length(connection_.input()) > 0)
+      begin_request();
     return;
   }
   begin_request();
-  if (scan.state == Scan::fault) return answer_and_close(static_cast<int>(scan.fault));
+  if (scan.state == Scan::fault)
+    return answer_and_close(static_cast<int>(scan.fault));
   keep_ = !scan.head.closes();
   Fault fault = Fault::none;
   const auto body = Body::of_request(scan.head, fault);
-  if (!body) return answer_and_close(static_cast<int>(fault));
+  if (!body)
+    return answer_and_close(static_cast<int>(fault));
   status_ = answer_of(scan.head, front_.draining_, client_request_);
   body_ = *body;
   if (same_name(scan.head.field("Expect"), "100-continue") && status_ == 0)
@@ -76,7 +87,8 @@
 // all of it, so the time of the first request runs from connecting on and is never started anew.
 void ClientConnection::begin_request() {
   whole_ = false;
-  if (std::exchange(in_request_, true) || !asked_) return;
+  if (std::exchange(in_request_, true) || !asked_)
+    return;
   timer_.start(front_.options_.asking);
   front_.admission_.busy(*this);
 }
@@ -95,41 +107,54 @@
     keep_ = false;
     return answer(503, "Retry-After: 1\r\n");
   }
-  if (state == Body::State::fault) return answer_and_close(static_cast<int>(body_.fault()));
-  if (state == Body::State::more) return;
+  if (state == Body::State::fault)
+    return answer_and_close(static_cast<int>(body_.fault()));
+  if (state == Body::State::more)
+    return;
   timer_.stop();
   in_request_ = false;
   asked_ = whole_ = true;
   front_.admission_.busy(*this);
-  if (status_ != 0) return answer(status_);
-  // Who had gone before its request was read, in the listener's queue or while this process did not run, wants nothing.
-  if (connection_.ended()) return close();
+  if (status_ != 0)
+    return answer(status_);
+  // Who had gone before its request was read, in the listener's queue or while this process did not run,
+  // wants nothing.
+  if (connection_.ended())
+    return close();
   client_request_.prompt.body = std::move(text_);
   if (client_request_.prompt_tokens == 0)
-    client_request_.prompt_tokens = static_cast<double>(client_request_.prompt.body->size()) / characters_a_token;
+    client_request_.prompt_tokens =
+        static_cast<double>(client_request_.prompt.body->size()) / characters_a_token;
   state_ = State::waiting;
   const auto taken = front_.router_.take(client_request_, *this, id_);
-  if (taken != Router::Taken::yes) answer(400);
+  if (taken != Router::Taken::yes)
+    answer(400);
 }
 
 void ClientConnection::on_drained() {
-  if (state_ == State::ending) return finish_ending();
+  if (state_ == State::ending)
+    return finish_ending();
   if (state_ == State::streaming && std::exchange(held_back_, false)) {
     timer_.stop();
     front_.router_.drained(id_);
   }
 }
-// A peer that ends only its sending counts as gone as well: nothing tells it from one that closed, until something is
-// written to it, and a request that goes on for a client that has gone costs nodes more than the few that half-close.
+// A peer that ends only its sending counts as gone as well: nothing tells it from one that closed, until
+// something is written to it, and a request that goes on for a client that has gone costs nodes more than the
+// few that half-close.
 void ClientConnection::on_closed() {
-  if (state_ != State::closed) close();
+  if (state_ != State::closed)
+    close();
 }
 void ClientConnection::on_timer() {
   if (state_ == State::streaming || state_ == State::ending)
     front_.loop_.tally().note(net::Overdone::takes_nothing, client_request_.prompt.id);
-  if (state_ == State::head && !asked_ && !in_request_) front_.loop_.tally().note(net::Overdone::silent);
-  if (in_request_ && (state_ == State::head || state_ == State::body)) return answer_and_close(408);
-  if (state_ == State::head) return half_close();
+  if (state_ == State::head && !asked_ && !in_request_)
+    front_.loop_.tally().note(net::Overdone::silent);
+  if (in_request_ && (state_ == State::head || state_ == State::body))
+    return answer_and_close(408);
+  if (state_ == State::head)
+    return half_close();
   close();
 }
 
@@ -147,12 +172,14 @@
   for (;;) {
     const auto end = data.find('\n');
     text.append("data: ").append(data.substr(0, end)) += '\n';
-    if (end == std::string_view::npos) break;
+    if (end == std::string_view::npos)
+      break;
     data.remove_prefix(end + 1);
   }
   chunk << std::hex << text.size() + 1 << "\r\n" << text << "\n\r\n";
   connection_.write(chunk.str());
-  if (connection_.unsent() < most_unsent) return true;
+  if (connection_.unsent() < most_unsent)
+    return true;
   held_back_ = true;
   timer_.start(front_.options_.sending);
   return false;
@@ -193,8 +220,10 @@
 void ClientConnection::answer(int status, std::string_view field) {
   const bool closes = ends_connection();
   std::string fields(field);
-  if (closes) fields += "Connection: close\r\n";
-  if (status == 405) fields += "Allow: POST\r\n";
+  if (closes)
+    fields += "Connection: close\r\n";
+  if (status == 405)
+    fields += "Allow: POST\r\n";
   connection_.write(whole_answer(status, fields));
   complete(closes);
 }
@@ -211,13 +240,15 @@
   in_request_ = false;
   forget_body();
   // Guards against a stream whose head went out before the program began to drain and so did not say that the
-  // connection ends: the client would ask again on it, of a process that is about to end. And against a client that
-  // sends request behind request and takes no answer, which would pile up here.
-  if (closes || front_.draining_ || connection_.unsent() >= most_unsent) return begin_ending(front_.options_.sending);
+  // connection ends: the client would ask again on it, of a process that is about to end. And against a
+  // client that sends request behind request and takes no answer, which would pile up here.
+  if (closes || front_.draining_ || connection_.unsent() >= most_unsent)
+    return begin_ending(front_.options_.sending);
   state_ = State::head;
   timer_.start(front_.options_.idle);
   front_.admission_.at_rest(*this);
-  if (evbuffer_get_length(connection_.input()) > 0) connection_.poke();
+  if (evbuffer_get_length(connection_.input()) > 0)
+    connection_.poke();
 }
 
 }  // namespace lemonroute::http
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -18,16 +18,18 @@
 class ClientConnection : net::Connection::Handler, public net::Admission::Peer, public lemonroute::Client {
  public:
   ClientConnection(Front& front, evutil_socket_t fd);
-  ClientConnection(Front& front, const PassedConnection& adopted);  // a stream that another process began to answer
+  ClientConnection(Front& front,
+                   const PassedConnection& adopted);  // a stream that another process began to answer
   ~ClientConnection() override;
   bool go_on(const PassedStream& stream);  // with what was adopted; false: it is none of the core's
 
-  // Nothing of a request has come, not to the kernel either: what is on its way may still be read and answered.
+  // Nothing of a request has come, not to the kernel either: what is on its way may still be read and
+  // answered.
   bool between_requests() { return state_ == State::head && connection_.silent(); }
   bool at_rest() { return asked_ && between_requests(); }
   void dismiss() override;
   void half_close();  // what the peer sends from now on is never looked at
-  void close();  // at once, with whatever it holds
+  void close();       // at once, with whatever it holds
 
  private:
   enum class State { head, body, waiting, streaming, ending, lingering, half_closed, closed };
--- a/src/http/client_ending.cpp
+++ b/src/http/client_ending.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr std::size_t most_ahead = 32 * 1024;  // kept of what comes behind an open request
-// After our end the peer has so long to end as well, and may finish sending so much of a request already answered.
+// After our end the peer has so long to end as well, and may finish sending so much of a request already
+// answered.
 constexpr Micros linger_for = std::chrono::seconds(1);
 constexpr std::size_t most_dropped = 1024 * 1024;
 
@@ -14,20 +15,25 @@
 
 // Who has begun a request hears that it was not taken, instead of an end without a word.
 void ClientConnection::dismiss() {
-  if (leaving()) return close();
+  if (leaving())
+    return close();
   front_.loop_.tally().note(net::Overdone::dismissed);
-  if (!in_request_) return half_close();
+  if (!in_request_)
+    return half_close();
   keep_ = false;
   answer(503, "Retry-After: 0.1\r\n");
   connection_.push();
-  if (state_ != State::ending) return;
-  if (connection_.unsent() > 0) return close();
+  if (state_ != State::ending)
+    return;
+  if (connection_.unsent() > 0)
+    return close();
   finish_ending();
 }
 
 void ClientConnection::close() {
   const State was = std::exchange(state_, State::closed);
-  if (was == State::waiting || was == State::streaming) front_.router_.gone(id_);
+  if (was == State::waiting || was == State::streaming)
+    front_.router_.gone(id_);
   front_.discard(*this);
 }
 
@@ -35,23 +41,28 @@
 void ClientConnection::begin_ending(Micros within) {
   state_ = State::ending;
   forget_body();
-  if (whole_) connection_.read(false);
+  if (whole_)
+    connection_.read(false);
   timer_.start(within);
-  if (connection_.unsent() == 0) finish_ending();
+  if (connection_.unsent() == 0)
+    finish_ending();
 }
 
-// All has been sent. Closing with bytes unread would reset the connection and could take the answer with it, so our
-// end is told first, and the peer's waited for. Danger: a request that is in the kernel by then, or comes while we
-// wait. It could not be answered, so it must not be sent on; and read here it would be lost, while a client whose
-// request was not read sends it again elsewhere. Only what belongs to a request that has had its answer is read.
+// All has been sent. Closing with bytes unread would reset the connection and could take the answer with it,
+// so our end is told first, and the peer's waited for. Danger: a request that is in the kernel by then, or
+// comes while we wait. It could not be answered, so it must not be sent on; and read here it would be lost,
+// while a client whose request was not read sends it again elsewhere. Only what belongs to a request that has
+// had its answer is read.
 void ClientConnection::finish_ending() {
-  if (whole_ && evbuffer_get_length(connection_.input()) == 0) return half_close();
+  if (whole_ && evbuffer_get_length(connection_.input()) == 0)
+    return half_close();
   state_ = State::lingering;
   connection_.read(true);
   connection_.end_sending();
   timer_.start(linger_for);
   front_.admission_.leaving(*this);
-  if (state_ == State::lingering) drop_input();
+  if (state_ == State::lingering)
+    drop_input();
 }
 
 void ClientConnection::half_close() {
@@ -65,29 +76,36 @@
 void ClientConnection::drop_input() {
   const std::size_t size = evbuffer_get_length(connection_.input());
   evbuffer_drain(connection_.input(), size);
-  if ((dropped_ += size) > most_dropped) overdone();
+  if ((dropped_ += size) > most_dropped)
+    overdone();
 }
 
-// Danger: a client that is not read is not seen to go, while its answer is held back or its request waits for a
-// place. So it is read on, whatever it sends. What comes behind an open request waits its turn, up to a bound; beyond
-// that it is dropped, and the connection ends with the answer, since the next request's beginning is lost.
+// Danger: a client that is not read is not seen to go, while its answer is held back or its request waits for
+// a place. So it is read on, whatever it sends. What comes behind an open request waits its turn, up to a
+// bound; beyond that it is dropped, and the connection ends with the answer, since the next request's
+// beginning is lost.
 void ClientConnection::read_ahead() {
-  if (dropped_ == 0 && evbuffer_get_length(connection_.input()) <= most_ahead) return;
-  if (dropped_ == 0) front_.loop_.tally().note(net::Overdone::sent_ahead, client_request_.prompt.id);
+  if (dropped_ == 0 && evbuffer_get_length(connection_.input()) <= most_ahead)
+    return;
+  if (dropped_ == 0)
+    front_.loop_.tally().note(net::Overdone::sent_ahead, client_request_.prompt.id);
   keep_ = false;
   closes_ = true;
   drop_input();
 }
 
-// Guards the loop against a sender that never stops: each byte read costs the others' time. A request that waits gets
-// its answer, a stream is cut.
+// Guards the loop against a sender that never stops: each byte read costs the others' time. A request that
+// waits gets its answer, a stream is cut.
 void ClientConnection::overdone() {
   front_.loop_.tally().note(net::Overdone::flood, client_request_.prompt.id);
   const State was = state_;
-  if (was != State::waiting && was != State::streaming) return close();
+  if (was != State::waiting && was != State::streaming)
+    return close();
   front_.router_.gone(id_);
-  if (was == State::waiting) answer(400);
-  else begin_ending(linger_for);
+  if (was == State::waiting)
+    answer(400);
+  else
+    begin_ending(linger_for);
 }
 
 void ClientConnection::forget_body() {
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -20,20 +20,21 @@
   struct Options {
     std::vector<std::string> listen;
     std::size_t most_connections = 400;
-    Micros idle{std::chrono::seconds(75)};       // between requests
-    Micros asking{std::chrono::seconds(2)};      // for a request to come whole, the first from connecting on
-    Micros sending{std::chrono::seconds(10)};    // for an answer to be taken
-    std::optional<int> inherited{};  // a socket that listens on the first of them already; the others are shared then
+    Micros idle{std::chrono::seconds(75)};     // between requests
+    Micros asking{std::chrono::seconds(2)};    // for a request to come whole, the first from connecting on
+    Micros sending{std::chrono::seconds(10)};  // for an answer to be taken
+    std::optional<int>
+        inherited{};  // a socket that listens on the first of them already; the others are shared then
   };
   Front(net::Loop& loop, Router& router, Options options);
   ~Front();
 
   std::uint16_t port() const { return listeners_.front()->port(); }
   void limit(std::size_t connections) { admission_.limit(connections); }
-  void drain();             // from now on connections end after their answer
-  void hand_over();         // another process takes the connections that come; those at rest are closed
+  void drain();      // from now on connections end after their answer
+  void hand_over();  // another process takes the connections that come; those at rest are closed
   void adopt(const PassedStream& stream);  // takes its descriptors
-  void stop_accepting();    // and connections between requests are closed
+  void stop_accepting();                   // and connections between requests are closed
   bool idle() const { return connections_.empty(); }
 
  private:
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -9,7 +9,9 @@
 
 constexpr std::size_t most_chunk_line = 256;
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
+char lower(char c) {
+  return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
+}
 
 bool token_char(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
@@ -18,27 +20,32 @@
 bool is_token(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), token_char);
 }
-bool visible(char c) { return c > 0x20 && c < 0x7f; }
+bool visible(char c) {
+  return c > 0x20 && c < 0x7f;
+}
 
 // Whether a comma-separated field names `word`.
 bool lists(std::string_view value, std::string_view word) {
   while (!value.empty()) {
     const auto comma = value.find(',');
-    if (same_name(trim(value.substr(0, comma)), word)) return true;
+    if (same_name(trim(value.substr(0, comma)), word))
+      return true;
     value.remove_prefix(comma == std::string_view::npos ? value.size() : comma + 1);
   }
   return false;
 }
 
 bool parse_version(std::string_view text, int& minor) {
-  if (text != "HTTP/1.1" && text != "HTTP/1.0") return false;
+  if (text != "HTTP/1.1" && text != "HTTP/1.0")
+    return false;
   minor = text.back() - '0';
   return true;
 }
 
 bool parse_request_line(std::string_view line, Head& head) {
   const auto first = line.find(' '), last = line.rfind(' ');
-  if (first == std::string_view::npos || first == last) return false;
+  if (first == std::string_view::npos || first == last)
+    return false;
   head.method = line.substr(0, first);
   head.target = line.substr(first + 1, last - first - 1);
   return is_token(head.method) && !head.target.empty() &&
@@ -47,15 +54,18 @@
 }
 
 bool parse_status_line(std::string_view line, Head& head) {
-  if (line.size() < 12 || line[8] != ' ' || !parse_version(line.substr(0, 8), head.minor)) return false;
-  if (line.size() > 12 && line[12] != ' ') return false;
+  if (line.size() < 12 || line[8] != ' ' || !parse_version(line.substr(0, 8), head.minor))
+    return false;
+  if (line.size() > 12 && line[12] != ' ')
+    return false;
   const auto digits = line.substr(9, 3);
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + 3, head.status);
   return error == std::errc() && end == digits.data() + 3 && head.status >= 100;
 }
 
 bool parse_number(std::string_view text, int base, std::uint64_t& value) {
-  if (text.empty() || text.front() == '-' || text.front() == '+') return false;
+  if (text.empty() || text.front() == '-' || text.front() == '+')
+    return false;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
   return error == std::errc() && end == text.data() + text.size();
 }
@@ -66,7 +76,8 @@
 Length stated_length(const Head& head, std::uint64_t& length) {
   Length result = Length::absent;
   for (const auto& field : head.all()) {
-    if (!same_name(field.name, "Content-Length")) continue;
+    if (!same_name(field.name, "Content-Length"))
+      continue;
     std::uint64_t value = 0;
     if (!parse_number(field.value, 10, value) || (result == Length::stated && value != length))
       return Length::fault;
@@ -78,17 +89,28 @@
 
 const char* reason(int status) {
   switch (status) {
-    case 200: return "OK";
-    case 400: return "Bad Request";
-    case 404: return "Not Found";
-    case 405: return "Method Not Allowed";
-    case 408: return "Request Timeout";
-    case 413: return "Content Too Large";
-    case 429: return "Too Many Requests";
-    case 431: return "Request Header Fields Too Large";
-    case 502: return "Bad Gateway";
-    case 503: return "Service Unavailable";
-    case 504: return "Gateway Timeout";
+    case 200:
+      return "OK";
+    case 400:
+      return "Bad Request";
+    case 404:
+      return "Not Found";
+    case 405:
+      return "Method Not Allowed";
+    case 408:
+      return "Request Timeout";
+    case 413:
+      return "Content Too Large";
+    case 429:
+      return "Too Many Requests";
+    case 431:
+      return "Request Header Fields Too Large";
+    case 502:
+      return "Bad Gateway";
+    case 503:
+      return "Service Unavailable";
+    case 504:
+      return "Gateway Timeout";
   }
   return "Error";
 }
@@ -97,24 +119,30 @@
 
 std::string whole_answer(int status, std::string_view fields, std::string_view body) {
   const std::string plain = std::string(reason(status)) + "\n";
-  if (body.empty()) body = plain;
+  if (body.empty())
+    body = plain;
   std::ostringstream text;
-  text << "HTTP/1.1 " << status << ' ' << reason(status) << "\r\nContent-Length: " << body.size() << "\r\n" << fields;
-  if (fields.find("Content-Type:") == std::string_view::npos) text << "Content-Type: text/plain\r\n";
+  text << "HTTP/1.1 " << status << ' ' << reason(status) << "\r\nContent-Length: " << body.size() << "\r\n"
+       << fields;
+  if (fields.find("Content-Type:") == std::string_view::npos)
+    text << "Content-Type: text/plain\r\n";
   text << "\r\n" << body;
   return text.str();
 }
 
 std::optional<std::string> query_value(std::string_view target, std::string_view name) {
   const auto mark = target.find('?');
-  if (mark == std::string_view::npos) return std::nullopt;
+  if (mark == std::string_view::npos)
+    return std::nullopt;
   std::string_view rest = target.substr(mark + 1);
   std::optional<std::string> value;
   while (!rest.empty()) {
     const auto item = rest.substr(0, rest.find('&'));
     rest.remove_prefix(std::min(rest.size(), item.size() + 1));
-    if (item.substr(0, item.find('=')) != name) continue;
-    if (value || item.size() == name.size()) return std::nullopt;
+    if (item.substr(0, item.find('=')) != name)
+      continue;
+    if (value || item.size() == name.size())
+      return std::nullopt;
     value.emplace();
     for (std::size_t i = name.size() + 1; i < item.size(); ++i) {
       if (item[i] != '%') {
@@ -122,7 +150,8 @@
         continue;
       }
       std::uint64_t byte = 0;
-      if (i + 2 >= item.size() || !parse_number(item.substr(i + 1, 2), 16, byte)) return std::nullopt;
+      if (i + 2 >= item.size() || !parse_number(item.substr(i + 1, 2), 16, byte))
+        return std::nullopt;
       *value += static_cast<char>(byte);
       i += 2;
     }
@@ -137,13 +166,15 @@
 
 std::string_view trim(std::string_view text) {
   const auto first = text.find_first_not_of(" \t");
-  if (first == std::string_view::npos) return {};
+  if (first == std::string_view::npos)
+    return {};
   return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
 std::string_view Head::field(std::string_view name) const {
   for (const auto& one : all())
-    if (same_name(one.name, name)) return one.value;
+    if (same_name(one.name, name))
+      return one.value;
   return {};
 }
 bool Head::has(std::string_view name) const {
@@ -166,11 +197,14 @@
     const auto row = text.substr(0, stop);
     text.remove_prefix(stop == std::string_view::npos ? text.size() : stop + 2);
     const auto colon = row.find(':');
-    if (colon == std::string_view::npos || !is_token(row.substr(0, colon))) return Fault::bad;
+    if (colon == std::string_view::npos || !is_token(row.substr(0, colon)))
+      return Fault::bad;
     const auto value = trim(row.substr(colon + 1));
-    if (std::any_of(value.begin(), value.end(), [](char c) { return c == 0x7f || (c >= 0 && c < 0x20 && c != '\t'); }))
+    if (std::any_of(value.begin(), value.end(),
+                    [](char c) { return c == 0x7f || (c >= 0 && c < 0x20 && c != '\t'); }))
       return Fault::bad;
-    if (head.field_count == most_fields) return Fault::head_too_large;
+    if (head.field_count == most_fields)
+      return Fault::head_too_large;
     head.fields[head.field_count++] = {row.substr(0, colon), value};
   }
   return Fault::none;
@@ -189,12 +223,14 @@
     constexpr std::string_view opening = "HTTP/1.";
     char begun[opening.size()];
     const auto copied = evbuffer_copyout(input, begun, sizeof begun);
-    if (kind == Kind::answer && copied > 0 && !opening.starts_with({begun, static_cast<std::size_t>(copied)})) {
+    if (kind == Kind::answer && copied > 0 &&
+        !opening.starts_with({begun, static_cast<std::size_t>(copied)})) {
       result.state = Scan::fault;
       result.fault = Fault::bad;
       return result;
     }
-    if (have <= most_head) return result;
+    if (have <= most_head)
+      return result;
     result.state = Scan::fault;
     result.fault = Fault::head_too_large;
     return result;
@@ -221,16 +257,19 @@
     body.framing_ = Framing::chunked;
   } else if (length == Length::stated) {
     body.framing_ = Framing::length;
-    if (body.left_ > most_body) fault = Fault::too_large;
+    if (body.left_ > most_body)
+      fault = Fault::too_large;
   }
   return fault == Fault::none ? std::optional(body) : std::nullopt;
 }
 
 std::optional<Body> Body::of_answer(const Head& head) {
   Body body;
-  if (head.status < 200 || head.status == 204 || head.status == 304) return body;
+  if (head.status < 200 || head.status == 204 || head.status == 304)
+    return body;
   const auto length = stated_length(head, body.left_);
-  if (length == Length::fault) return std::nullopt;
+  if (length == Length::fault)
+    return std::nullopt;
   if (head.has("Transfer-Encoding")) {
     if (!same_name(head.field("Transfer-Encoding"), "chunked") || length == Length::stated)
       return std::nullopt;
@@ -264,22 +303,26 @@
     evbuffer_drain(input, static_cast<std::size_t>(size));
     left_ -= size;
     taken_ += size;
-    if (!go_on) return false;
+    if (!go_on)
+      return false;
   }
   return true;
 }
 
 Body::State Body::take(evbuffer* input, const std::function<bool(std::string_view)>& piece) {
   switch (framing_) {
-    case Framing::none: return State::whole;
+    case Framing::none:
+      return State::whole;
     case Framing::length:
-      if (!take_bytes(input, piece)) return State::more;
+      if (!take_bytes(input, piece))
+        return State::more;
       return left_ == 0 ? State::whole : State::more;
     case Framing::until_close:
       left_ = evbuffer_get_length(input);
       take_bytes(input, piece);
       return State::more;
-    case Framing::chunked: return take_chunked(input, piece);
+    case Framing::chunked:
+      return take_chunked(input, piece);
   }
   return State::more;
 }
@@ -287,7 +330,8 @@
 Body::State Body::take_chunked(evbuffer* input, const std::function<bool(std::string_view)>& piece) {
   for (;;) {
     if (chunk_ == Chunk::data) {
-      if (!take_bytes(input, piece) || left_ > 0) return State::more;
+      if (!take_bytes(input, piece) || left_ > 0)
+        return State::more;
       chunk_ = Chunk::data_end;
       continue;
     }
@@ -297,28 +341,38 @@
       return evbuffer_get_length(input) > most_chunk_line ? fail(Fault::bad) : State::more;
     }
     const auto length = static_cast<std::size_t>(found.pos);
-    if (length > most_chunk_line) return fail(Fault::bad);
-    const std::string_view line(
-        reinterpret_cast<const char*>(evbuffer_pullup(input, found.pos + 2)), length);
+    if (length > most_chunk_line)
+      return fail(Fault::bad);
+    const std::string_view line(reinterpret_cast<const char*>(evbuffer_pullup(input, found.pos + 2)), length);
     const bool empty = line.empty();
     if (chunk_ == Chunk::size) {
-      if (!parse_number(trim(line.substr(0, line.find(';'))), 16, left_)) return fail(Fault::bad);
-      if (limit_ > 0 && (left_ > limit_ || taken_ + left_ > limit_)) return fail(Fault::too_large);
-      // Guards against a chunk that is said to hold gigabytes and keeps coming: no event in it would be whole.
-      if (chunk_limit_ > 0 && left_ > chunk_limit_) return fail(Fault::too_large);
+      if (!parse_number(trim(line.substr(0, line.find(';'))), 16, left_))
+        return fail(Fault::bad);
+      if (limit_ > 0 && (left_ > limit_ || taken_ + left_ > limit_))
+        return fail(Fault::too_large);
+      // Guards against a chunk that is said to hold gigabytes and keeps coming: no event in it would be
+      // whole.
+      if (chunk_limit_ > 0 && left_ > chunk_limit_)
+        return fail(Fault::too_large);
     }
     evbuffer_drain(input, length + 2);
     switch (chunk_) {
-      case Chunk::size: chunk_ = left_ > 0 ? Chunk::data : Chunk::trailer; break;
+      case Chunk::size:
+        chunk_ = left_ > 0 ? Chunk::data : Chunk::trailer;
+        break;
       case Chunk::data_end:
-        if (!empty) return fail(Fault::bad);
+        if (!empty)
+          return fail(Fault::bad);
         chunk_ = Chunk::size;
         break;
       case Chunk::trailer:
-        if (empty) return State::whole;
-        if ((trailer_ += length) > most_head) return fail(Fault::head_too_large);
+        if (empty)
+          return State::whole;
+        if ((trailer_ += length) > most_head)
+          return fail(Fault::head_too_large);
+        break;
+      case Chunk::data:
         break;
-      case Chunk::data: break;
     }
   }
 }
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -68,7 +68,7 @@
 
   // Hands on what there is, piece by piece; `piece` returns false to stop (the state is then more).
   State take(evbuffer* input, const std::function<bool(std::string_view)>& piece);
-  static Body going_on();       // of an answer in chunks, between two of them
+  static Body going_on();  // of an answer in chunks, between two of them
   bool between_chunks() const { return framing_ == Framing::chunked && chunk_ == Chunk::size; }
   Fault fault() const { return fault_; }
   bool until_close() const { return framing_ == Framing::until_close; }
@@ -87,7 +87,8 @@
   Fault fault_ = Fault::none;
 };
 
-// The value of the one parameter `name` in a target's query, decoded; nothing if it is absent, twice there or odd.
+// The value of the one parameter `name` in a target's query, decoded; nothing if it is absent, twice there or
+// odd.
 std::optional<std::string> query_value(std::string_view target, std::string_view name);
 
 // An answer with its body, which without one says what the status means. `fields` end in \r\n each.
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -21,11 +21,13 @@
 // The count of kept tokens that the body of a read, or the usage event of a stream, states.
 std::uint32_t kept_tokens(std::string_view text) {
   const auto json = nlohmann::json::parse(text, nullptr, false);
-  if (!json.is_object()) return 0;
+  if (!json.is_object())
+    return 0;
   const nlohmann::json* at = &json;
   if (const auto usage = json.find("usage"); usage != json.end() && usage->is_object()) {
     const auto details = usage->find("prompt_tokens_details");
-    if (details == usage->end() || !details->is_object()) return 0;
+    if (details == usage->end() || !details->is_object())
+      return 0;
     at = &*details;
   }
   const auto kept = at->find("cached_tokens");
@@ -67,7 +69,8 @@
     stream_.on_event = [this](std::string_view data) { return event(data); };
     stream_.on_comment = [this](std::string_view text) {
       constexpr std::string_view name = "Srv-Load:";
-      if (same_name(text.substr(0, name.size()), name)) result_.load = trim(text.substr(name.size()));
+      if (same_name(text.substr(0, name.size()), name))
+        result_.load = trim(text.substr(name.size()));
       return true;
     };
   }
@@ -89,41 +92,53 @@
       result_.unfit = blames_request(status_);
     }
     result_.detail = "status " + std::to_string(status_);
-    // Guards against an answer whose status is clear and whose body never ends: it held the request up for as long as
-    // the attempt may take.
-    if (!streams_) exchange_->ends_soon();
+    // Guards against an answer whose status is clear and whose body never ends: it held the request up for as
+    // long as the attempt may take.
+    if (!streams_)
+      exchange_->ends_soon();
   }
 
   void body(std::string_view piece) override {
     if (!streams_) {
-      if (text_.size() + piece.size() <= most_answer) text_ += piece;
+      if (text_.size() + piece.size() <= most_answer)
+        text_ += piece;
       return;
     }
-    if (!stream_.feed(piece)) done(events_ ? Outcome::reset : Outcome::error, "the event stream is malformed" + after());
+    if (!stream_.feed(piece))
+      done(events_ ? Outcome::reset : Outcome::error, "the event stream is malformed" + after());
   }
 
   bool event(std::string_view data) {
     // The end mark belongs to this wire; the front that serves the client has its own.
     done_seen_ = data == "[DONE]";
-    if (done_seen_) return true;
-    if (data.find("\"usage\"") != std::string_view::npos) result_.kept = kept_tokens(data);
+    if (done_seen_)
+      return true;
+    if (data.find("\"usage\"") != std::string_view::npos)
+      result_.kept = kept_tokens(data);
     // Guards the age of reports: what the head told is as old as the stream by the time the attempt ends.
-    if (events_++ == 0) result_.load.clear();
+    if (events_++ == 0)
+      result_.load.clear();
     attempt_.event(data);
     return true;
   }
 
   void ended(Ending how) override {
     switch (how) {
-      case Ending::not_sent: return done(Outcome::connect_failed, "no connection");
-      case Ending::broken: return done(Outcome::reset, "the connection broke");
+      case Ending::not_sent:
+        return done(Outcome::connect_failed, "no connection");
+      case Ending::broken:
+        return done(Outcome::reset, "the connection broke");
       case Ending::malformed:
         return done(events_ ? Outcome::reset : Outcome::error, "the answer is malformed" + after());
-      case Ending::whole: break;
+      case Ending::whole:
+        break;
     }
-    if (result_.outcome == Outcome::read) result_.kept = kept_tokens(text_);
-    if (streams_ && !events_) return done(Outcome::error, "the stream is empty");
-    if (streams_ && !done_seen_) return done(Outcome::reset, "the stream has no end");
+    if (result_.outcome == Outcome::read)
+      result_.kept = kept_tokens(text_);
+    if (streams_ && !events_)
+      return done(Outcome::error, "the stream is empty");
+    if (streams_ && !done_seen_)
+      return done(Outcome::reset, "the stream has no end");
     attempt_.done(result_);
   }
 
@@ -151,8 +166,8 @@
  public:
   using Done = std::function<void(Ending, int status, std::string load)>;
   SimpleCall(Client& client, const Node& node, std::string_view line, Done done) : done_(std::move(done)) {
-    exchange_ = client.start(node.address,
-                             std::string(line) + " HTTP/1.1\r\nHost: " + node.address + "\r\n\r\n", {}, *this);
+    exchange_ = client.start(
+        node.address, std::string(line) + " HTTP/1.1\r\nHost: " + node.address + "\r\n\r\n", {}, *this);
   }
 
  private:
@@ -162,7 +177,8 @@
     exchange_->ends_soon();
   }
   void body(std::string_view piece) override {
-    if (text_.size() + piece.size() <= most_answer) text_ += piece;
+    if (text_.size() + piece.size() <= most_answer)
+      text_ += piece;
   }
   void ended(Ending how) override {
     const auto done = std::move(done_);  // letting go of the call must not end the function that runs
@@ -182,16 +198,16 @@
   return std::make_unique<AttemptCall>(client_, node, prompt, within, attempt);
 }
 
-std::unique_ptr<Call> NodeClient::adopt(const Node& node, const PassedConnection& connection, Attempt& attempt) {
+std::unique_ptr<Call> NodeClient::adopt(const Node& node, const PassedConnection& connection,
+                                        Attempt& attempt) {
   return std::make_unique<AttemptCall>(client_, node, connection, attempt);
 }
 
 std::unique_ptr<Call> NodeClient::release(const Node& node, const std::string& id,
                                           std::function<void(bool)> done) {
-  return std::make_unique<SimpleCall>(client_, node, "DELETE /state/" + id,
-                                      [done = std::move(done)](Ending how, int, const std::string&) {
-                                        done(how == Ending::whole);
-                                      });
+  return std::make_unique<SimpleCall>(
+      client_, node, "DELETE /state/" + id,
+      [done = std::move(done)](Ending how, int, const std::string&) { done(how == Ending::whole); });
 }
 
 std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const Result&)> done) {
@@ -199,8 +215,8 @@
       client_, node, "GET /load", [done = std::move(done)](Ending how, int status, std::string load) {
         Result result;
         result.load = std::move(load);
-        result.outcome = how == Ending::not_sent           ? Outcome::connect_failed
-                         : how == Ending::broken           ? Outcome::reset
+        result.outcome = how == Ending::not_sent                 ? Outcome::connect_failed
+                         : how == Ending::broken                 ? Outcome::reset
                          : how == Ending::whole && status == 200 ? Outcome::ok
                                                                  : Outcome::error;
         done(result);
--- a/src/http/node_client.h
+++ b/src/http/node_client.h
@@ -14,7 +14,8 @@
   std::unique_ptr<Call> release(const Node& node, const std::string& id,
                                 std::function<void(bool)> done) override;
   std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) override;
-  std::unique_ptr<Call> adopt(const Node& node, const PassedConnection& connection, Attempt& attempt) override;
+  std::unique_ptr<Call> adopt(const Node& node, const PassedConnection& connection,
+                              Attempt& attempt) override;
   void hang_up(const Node& node) override { client_.hang_up(node.address); }
   void limit(const Limits& limits) override {
     client_.limit(limits.connect_timeout, limits.idle, limits.idle_most);
--- a/src/http/request_fields.cpp
+++ b/src/http/request_fields.cpp
@@ -21,13 +21,17 @@
     const auto item = trim(extra.substr(0, comma));
     extra.remove_prefix(comma == std::string_view::npos ? extra.size() : comma + 1);
     const auto equals = item.find('=');
-    if (equals == std::string_view::npos) return false;
+    if (equals == std::string_view::npos)
+      return false;
     const auto name = item.substr(0, equals), value = item.substr(equals + 1);
-    if (name == "prefix") client_request.shared = key_of(value);
-    for (auto [wanted, to] : {std::pair<std::string_view, double*>{"prompt_len", &client_request.prompt_tokens},
-                              {"prefix_len", &client_request.shared_tokens},
-                              {"max_out", &client_request.max_output}})
-      if (name == wanted && !parse_real(value, 1e7, *to)) return false;
+    if (name == "prefix")
+      client_request.shared = key_of(value);
+    for (auto [wanted, to] :
+         {std::pair<std::string_view, double*>{"prompt_len", &client_request.prompt_tokens},
+          {"prefix_len", &client_request.shared_tokens},
+          {"max_out", &client_request.max_output}})
+      if (name == wanted && !parse_real(value, 1e7, *to))
+        return false;
   }
   return true;
 }
@@ -36,20 +40,26 @@
 
 int answer_of(const Head& head, bool draining, ClientRequest& client_request) {
   const auto path = head.target.substr(0, head.target.find('?'));
-  if (path == "/healthz") return head.method == "GET" ? (draining ? 503 : 200) : 405;
-  if (path != chat_path) return 404;
-  if (head.method != "POST") return 405;
-  if (head.minor == 0) return 400;  // a stream can't be framed for it
+  if (path == "/healthz")
+    return head.method == "GET" ? (draining ? 503 : 200) : 405;
+  if (path != chat_path)
+    return 404;
+  if (head.method != "POST")
+    return 405;
+  if (head.minor == 0)
+    return 400;  // a stream can't be framed for it
   client_request = {};
   client_request.prompt.id = head.field("Req-Id");
   client_request.prompt.target = head.target;
-  if (!valid_id(client_request.prompt.id)) return 400;
+  if (!valid_id(client_request.prompt.id))
+    return 400;
   client_request.kind = head.field("Req-Kind");
   client_request.tenant = head.field("Req-Owner");
   client_request.session = key_of(head.field("Req-Key"));
   if (const auto text = head.field("Req-Deadline"); !text.empty()) {
     double seconds = 0;
-    if (!parse_real(text, most_deadline_s, seconds)) return 400;
+    if (!parse_real(text, most_deadline_s, seconds))
+      return 400;
     client_request.budget = std::max(Micros(1), Micros(std::llround(seconds * 1e6)));
   }
   const auto retry = head.field("Req-Retry");
--- a/src/net/admission.cpp
+++ b/src/net/admission.cpp
@@ -20,11 +20,14 @@
 }  // namespace
 
 Admission::Admission(Loop& loop, std::size_t most, std::function<void(bool)> pause, Now now)
-    : most_(most), tally_(loop.tally()), pause_(std::move(pause)), now_(std::move(now)), again_(loop, [this] { make_room(); }) {}
+    : most_(most), tally_(loop.tally()), pause_(std::move(pause)), now_(std::move(now)), again_(loop, [this] {
+        make_room();
+      }) {}
 
 void Admission::limit(std::size_t most) {
   most_ = most;
-  if (taken() >= most_) return make_room();
+  if (taken() >= most_)
+    return make_room();
   go_on();
 }
 
@@ -33,8 +36,12 @@
   move(peer, &unproven_);
   make_room();
 }
-void Admission::busy(Peer& peer) { move(peer, nullptr); }
-void Admission::at_rest(Peer& peer) { move(peer, &resting_); }
+void Admission::busy(Peer& peer) {
+  move(peer, nullptr);
+}
+void Admission::at_rest(Peer& peer) {
+  move(peer, &resting_);
+}
 
 void Admission::left(Peer& peer) {
   move(peer, nullptr);
@@ -48,7 +55,8 @@
   while (leaving_.size() > std::max<std::size_t>(1, most_ / 8)) {
     const Peer* const first = leaving_.front();
     leaving_.front()->dismiss();
-    if (!leaving_.empty() && leaving_.front() == first) break;
+    if (!leaving_.empty() && leaving_.front() == first)
+      break;
   }
   go_on();
 }
@@ -56,23 +64,29 @@
 void Admission::let_go() {
   for (std::size_t n = 0; n < let_go_at_once; ++n) {
     auto& from = !leaving_.empty() ? leaving_ : resting_;
-    if (from.empty()) return;
+    if (from.empty())
+      return;
     Peer& first = *from.front();
     first.dismiss();
-    if (!leaving_.empty() && leaving_.back() == &first) first.dismiss();  // its descriptor is wanted now
+    if (!leaving_.empty() && leaving_.back() == &first)
+      first.dismiss();  // its descriptor is wanted now
   }
 }
 
 void Admission::go_on() {
-  if (taken() >= most_) return;
+  if (taken() >= most_)
+    return;
   again_.stop();
-  if (std::exchange(paused_, false)) pause_(false);
+  if (std::exchange(paused_, false))
+    pause_(false);
 }
 
 void Admission::move(Peer& peer, std::list<Peer*>* to) {
-  if (peer.in) peer.in->erase(peer.at);
+  if (peer.in)
+    peer.in->erase(peer.at);
   peer.in = to;
-  if (!to) return;
+  if (!to)
+    return;
   peer.at = to->insert(to->end(), &peer);
   peer.since = now_();
 }
@@ -81,12 +95,14 @@
 // least by it. With nobody to dismiss, newcomers wait in the kernel's queue.
 void Admission::make_room() {
   while (taken() >= most_)
-    if (!dismiss_first(resting_, rest_at_least) && !dismiss_first(unproven_, prove_within)) break;
-  if (taken() < most_) return;
+    if (!dismiss_first(resting_, rest_at_least) && !dismiss_first(unproven_, prove_within))
+      break;
+  if (taken() < most_)
+    return;
   if (!std::exchange(paused_, true)) {
     std::ostringstream how;
-    how << "all " << most_ << " are taken, " << resting_.size() << " by connections at rest, " << unproven_.size()
-        << " by such that have not asked";
+    how << "all " << most_ << " are taken, " << resting_.size() << " by connections at rest, "
+        << unproven_.size() << " by such that have not asked";
     tally_.note(Overdone::crowded, how.str());
     pause_(true);
   }
@@ -94,7 +110,8 @@
 }
 
 bool Admission::dismiss_first(std::list<Peer*>& of, Micros after) {
-  if (of.empty() || now_() - of.front()->since < after) return false;
+  if (of.empty() || now_() - of.front()->since < after)
+    return false;
   of.front()->dismiss();
   return true;
 }
--- a/src/net/admission.h
+++ b/src/net/admission.h
@@ -15,7 +15,8 @@
   class Peer {
    public:
     virtual ~Peer() = default;
-    // Its place is needed. It leaves at once, or says that it is leaving; asked for the second time it leaves.
+    // Its place is needed. It leaves at once, or says that it is leaving; asked for the second time it
+    // leaves.
     virtual void dismiss() = 0;
 
    private:
@@ -27,18 +28,19 @@
 
   using Now = std::function<std::chrono::steady_clock::time_point()>;
   // `pause` stops and restarts the taking of connections.
-  Admission(Loop& loop, std::size_t most, std::function<void(bool)> pause, Now now = std::chrono::steady_clock::now);
+  Admission(Loop& loop, std::size_t most, std::function<void(bool)> pause,
+            Now now = std::chrono::steady_clock::now);
 
   void limit(std::size_t most);  // from now on; those who are there stay until they may be dismissed
-  void arrived(Peer& peer);  // and has not asked for anything yet
-  void busy(Peer& peer);     // a request of it is open: it is not dismissed
-  void at_rest(Peer& peer);  // between requests
-  // Its last answer is out and it only waits for its peer to go: it takes no place any more, but of these there may be
-  // an eighth of the places; beyond that the one that has been leaving longest goes.
+  void arrived(Peer& peer);      // and has not asked for anything yet
+  void busy(Peer& peer);         // a request of it is open: it is not dismissed
+  void at_rest(Peer& peer);      // between requests
+  // Its last answer is out and it only waits for its peer to go: it takes no place any more, but of these
+  // there may be an eighth of the places; beyond that the one that has been leaving longest goes.
   void leaving(Peer& peer);
   void left(Peer& peer);
-  // Descriptors run short, places or not: a few leave at once, those that leave already first, then the ones longest at
-  // rest. Nobody with a request open does.
+  // Descriptors run short, places or not: a few leave at once, those that leave already first, then the ones
+  // longest at rest. Nobody with a request open does.
   void let_go();
   bool crowded() const { return taken() > most_ / 2; }  // answers had better end their connections
   std::size_t free() const { return taken() < most_ ? most_ - taken() : 0; }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -58,11 +58,11 @@
   // Written parts are gathered and go out together, without being copied into one block.
   void write(std::string_view bytes);
   void write(std::shared_ptr<const std::string> bytes);
-  void read(bool on);              // backpressure: off leaves bytes with the sender
+  void read(bool on);               // backpressure: off leaves bytes with the sender
   void limit_input(std::size_t n);  // most bytes buffered here before the sender has to wait
   void end_sending();
-  // From now on nothing is read: what comes stays with the kernel, for a peer that may then send it elsewhere.
-  // on_closed tells of the peer's end, unless something came before it.
+  // From now on nothing is read: what comes stays with the kernel, for a peer that may then send it
+  // elsewhere. on_closed tells of the peer's end, unless something came before it.
   void leave_unread();
   void push();  // writes what the kernel takes of it at once, before a close that would drop it
   void poke();  // calls on_readable again, from the loop, for bytes that have been left in input()
@@ -91,7 +91,9 @@
   void take_waiting(std::size_t most = SIZE_MAX);
   void pause(bool on);
   void rest();  // for a moment, and until the descriptors that are kept back are whole
-  void serve_always() { always_ = true; }  // its peers may use descriptors that are kept back: few and bounded ones
+  void serve_always() {
+    always_ = true;
+  }  // its peers may use descriptors that are kept back: few and bounded ones
 
  private:
   struct Free {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -18,30 +18,41 @@
 event_base* new_base() {
   const std::unique_ptr<event_config, ConfigFree> config(event_config_new());
   // Without it a timer may fire a whole millisecond late.
-  if (config) event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
+  if (config)
+    event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
   event_base* base = config ? event_base_new_with_config(config.get()) : nullptr;
-  if (!base) throw std::runtime_error("the event loop could not be made");
+  if (!base)
+    throw std::runtime_error("the event loop could not be made");
   return base;
 }
 
-void call(evutil_socket_t, short, void* function) { (*static_cast<std::function<void()>*>(function))(); }
+void call(evutil_socket_t, short, void* function) {
+  (*static_cast<std::function<void()>*>(function))();
+}
 
 }  // namespace
 
 Loop::Loop() : base_(new_base()) {
   deferred_event_.reset(event_new(
-      base_.get(), -1, 0, [](evutil_socket_t, short, void* self) { static_cast<Loop*>(self)->run_deferred(); },
-      this));
+      base_.get(), -1, 0,
+      [](evutil_socket_t, short, void* self) { static_cast<Loop*>(self)->run_deferred(); }, this));
   reserve_ = std::make_unique<Reserve>(*this);
 }
 
 Loop::~Loop() {
-  while (!deferred_.empty()) run_deferred();
+  while (!deferred_.empty())
+    run_deferred();
 }
 
-void Loop::run() { event_base_dispatch(base_.get()); }
-void Loop::run_once() { event_base_loop(base_.get(), EVLOOP_ONCE); }
-void Loop::stop() { event_base_loopbreak(base_.get()); }
+void Loop::run() {
+  event_base_dispatch(base_.get());
+}
+void Loop::run_once() {
+  event_base_loop(base_.get(), EVLOOP_ONCE);
+}
+void Loop::stop() {
+  event_base_loopbreak(base_.get());
+}
 
 void Loop::defer(std::function<void()> job) {
   deferred_.push_back(std::move(job));
@@ -63,8 +74,12 @@
   const timeval span = to_timeval(std::max(after, Micros(0)));
   event_add(event_.get(), &span);
 }
-void Timer::stop() { event_del(event_.get()); }
-bool Timer::pending() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0; }
+void Timer::stop() {
+  event_del(event_.get());
+}
+bool Timer::pending() const {
+  return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0;
+}
 
 Signal::Signal(Loop& loop, int number, std::function<void()> raised)
     : raised_(std::move(raised)), event_(evsignal_new(loop.base(), number, call, &raised_)) {
--- a/src/net/reserve.cpp
+++ b/src/net/reserve.cpp
@@ -14,11 +14,14 @@
 
 }  // namespace
 
-Reserve::Reserve(Loop& loop) : again_(std::make_unique<Timer>(loop, [this] {
-  if (!whole()) run_short();
-})) {}
+Reserve::Reserve(Loop& loop)
+    : again_(std::make_unique<Timer>(loop, [this] {
+        if (!whole())
+          run_short();
+      })) {}
 Reserve::~Reserve() {
-  for (const int fd : kept_) close(fd);
+  for (const int fd : kept_)
+    close(fd);
 }
 
 void Reserve::keep(std::size_t descriptors) {
@@ -31,7 +34,8 @@
 }
 
 bool Reserve::lend(Purpose purpose) {
-  if (kept_.size() <= (purpose == Purpose::discovery ? 0 : for_discovery)) return false;
+  if (kept_.size() <= (purpose == Purpose::discovery ? 0 : for_discovery))
+    return false;
   close(kept_.back());
   kept_.pop_back();
   again_->start(take_back_every);
@@ -42,8 +46,10 @@
   while (kept_.size() < wanted_) {
     const int fd = open("/dev/null", O_RDONLY | O_CLOEXEC);
     if (fd < 0) {
-      if (errno != EMFILE && errno != ENFILE) wanted_ = kept_.size();  // there is no such file here
-      else again_->start(take_back_every);
+      if (errno != EMFILE && errno != ENFILE)
+        wanted_ = kept_.size();  // there is no such file here
+      else
+        again_->start(take_back_every);
       return kept_.size() >= wanted_;
     }
     kept_.push_back(fd);
@@ -55,7 +61,8 @@
   again_->start(take_back_every);
   const auto asked = asked_;  // one that lets go may come or go meanwhile
   for (const auto& one : asked)
-    if (const auto let_go = one.lock()) (*let_go)();
+    if (const auto let_go = one.lock())
+      (*let_go)();
   asked_.remove_if([](const auto& one) { return one.expired(); });
 }
 
--- a/src/net/tally.cpp
+++ b/src/net/tally.cpp
@@ -15,7 +15,8 @@
     {"not_understood", "a client's request is not understood", logging::Level::info},
     {"too_slow", "a client's request did not come whole in time", logging::Level::info},
     {"silent", "a client connected and asked nothing", logging::Level::info},
-    {"sent_ahead", "a client sends more than may wait behind its open request, it is dropped", logging::Level::info},
+    {"sent_ahead", "a client sends more than may wait behind its open request, it is dropped",
+     logging::Level::info},
     {"flood", "a client does not stop sending and is closed", logging::Level::info},
     {"takes_nothing", "a client takes nothing", logging::Level::info},
     {"dismissed", "a connection is closed since its place is needed", logging::Level::info},
@@ -28,7 +29,9 @@
 
 }  // namespace
 
-std::string_view Tally::name(Overdone kind) { return words[static_cast<std::size_t>(kind)].name; }
+std::string_view Tally::name(Overdone kind) {
+  return words[static_cast<std::size_t>(kind)].name;
+}
 
 // Guards the log, and the loop that writes it, against peers that misbehave by the thousand.
 void Tally::note(Overdone kind, std::string_view detail) {
@@ -43,8 +46,10 @@
   const Words& of = words[static_cast<std::size_t>(kind)];
   logging::Line line(of.level);
   line << of.line;
-  if (!detail.empty()) line << ": " << detail;
-  if (count.left_out > 0) line << " (" << std::exchange(count.left_out, 0) << " more since the last such line)";
+  if (!detail.empty())
+    line << ": " << detail;
+  if (count.left_out > 0)
+    line << " (" << std::exchange(count.left_out, 0) << " more since the last such line)";
 }
 
 }  // namespace lemonroute::net
--- a/src/net/tally.h
+++ b/src/net/tally.h
@@ -11,18 +11,18 @@
 namespace lemonroute::net {
 
 enum class Overdone {
-  not_understood,   // a request, answered 400, 413 or 431
-  too_slow,         // a request that was not whole in time, answered 408
-  silent,           // a connection on which nothing was asked in time
-  sent_ahead,       // bytes beyond what is kept behind an open request, dropped
-  flood,            // beyond what is dropped, the connection is closed
-  takes_nothing,    // an answer that its client did not take in time
-  dismissed,        // a connection closed since its place or its descriptor was needed
-  crowded,          // times when places ran out and newcomers had to wait
-  no_memory,        // a request refused since others' bodies fill what there is for them
-  not_taken,        // a connection that could not be accepted
-  no_socket,        // a connection of our own that got no descriptor
-  bad_answer,       // a node's or discovery's answer that is malformed, or began and did not end in time
+  not_understood,  // a request, answered 400, 413 or 431
+  too_slow,        // a request that was not whole in time, answered 408
+  silent,          // a connection on which nothing was asked in time
+  sent_ahead,      // bytes beyond what is kept behind an open request, dropped
+  flood,           // beyond what is dropped, the connection is closed
+  takes_nothing,   // an answer that its client did not take in time
+  dismissed,       // a connection closed since its place or its descriptor was needed
+  crowded,         // times when places ran out and newcomers had to wait
+  no_memory,       // a request refused since others' bodies fill what there is for them
+  not_taken,       // a connection that could not be accepted
+  no_socket,       // a connection of our own that got no descriptor
+  bad_answer,      // a node's or discovery's answer that is malformed, or began and did not end in time
 };
 
 class Tally {
@@ -30,8 +30,8 @@
   using Now = std::function<std::chrono::steady_clock::time_point()>;
   explicit Tally(Now now = std::chrono::steady_clock::now) : now_(std::move(now)) {}
 
-  // Counts one, and logs it with `detail` unless a line of its kind was logged less than a second ago; the next line
-  // then says how many were left out.
+  // Counts one, and logs it with `detail` unless a line of its kind was logged less than a second ago; the
+  // next line then says how many were left out.
   void note(Overdone kind, std::string_view detail = {});
   void count(Overdone kind) { ++of(kind).all; }  // where another part logs it
   std::uint64_t counted(Overdone kind) const { return kinds_[static_cast<std::size_t>(kind)].all; }
--- a/src/ops/handover.cpp
+++ b/src/ops/handover.cpp
@@ -22,7 +22,8 @@
 
 bool address_of(const std::string& path, sockaddr_un& address) {
   address.sun_family = AF_UNIX;
-  if (path.size() >= sizeof address.sun_path) return false;
+  if (path.size() >= sizeof address.sun_path)
+    return false;
   std::memcpy(address.sun_path, path.c_str(), path.size() + 1);
   return true;
 }
@@ -46,9 +47,11 @@
 
 bool post(const std::string& path, std::string text, const Descriptors* both) {
   sockaddr_un address{};
-  if (text.size() > most_text || !address_of(path, address)) return false;
+  if (text.size() > most_text || !address_of(path, address))
+    return false;
   const int fd = socket(AF_UNIX, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) return false;
+  if (fd < 0)
+    return false;
   Message message(text.data(), text.size());
   message.header.msg_name = &address;
   message.header.msg_namelen = sizeof address;
@@ -75,7 +78,8 @@
   fd_ = socket(AF_UNIX, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   unlink(path.c_str());
   if (fd_ < 0 || !address_of(path, address) || fchmod(fd_, 0600) != 0 ||
-      bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 || chmod(path.c_str(), 0600) != 0) {
+      bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
+      chmod(path.c_str(), 0600) != 0) {
     logging::warn() << path << ": streams of another process can't be taken over: " << std::strerror(errno);
     return;
   }
@@ -88,20 +92,25 @@
 // The file stays: it may be another process's by now.
 Handover::~Handover() {
   event_.reset();
-  if (fd_ >= 0) close(fd_);
+  if (fd_ >= 0)
+    close(fd_);
 }
 
 bool Handover::send(const std::string& path, const PassedStream& stream) {
-  const nlohmann::json all{{"id", stream.id},          {"kind", stream.kind},
-                           {"node", stream.node},      {"attempt", stream.attempt},
-                           {"client", stream.client.closes}, {"call", stream.call.closes}};
+  const nlohmann::json all{{"id", stream.id},
+                           {"kind", stream.kind},
+                           {"node", stream.node},
+                           {"attempt", stream.attempt},
+                           {"client", stream.client.closes},
+                           {"call", stream.call.closes}};
   const Descriptors both{stream.client.fd, stream.call.fd};
   return post(path, text_of(all), &both);
 }
 
 void Handover::tell(const std::string& path, const HandoverState& handover_state) {
   auto rates = nlohmann::json::array();
-  for (const auto& [role, rate] : handover_state.read_rates) rates.push_back({static_cast<int>(role), rate});
+  for (const auto& [role, rate] : handover_state.read_rates)
+    rates.push_back({static_cast<int>(role), rate});
   const std::string begins = R"({"read_rates":)" + text_of(rates) + R"(,"nodes":[)", ends = "]}";
   std::string list;
   const auto flush = [&] {
@@ -109,9 +118,13 @@
     list.clear();
   };
   for (const auto& one : handover_state.nodes) {
-    const std::string text = text_of({{"node", one.node}, {"load", one.load}, {"age_us", one.age.count()},
-                                      {"avoided", one.avoided}, {"sent", one.sent}});
-    if (begins.size() + list.size() + 1 + text.size() + ends.size() > most_text && !list.empty()) flush();
+    const std::string text = text_of({{"node", one.node},
+                                      {"load", one.load},
+                                      {"age_us", one.age.count()},
+                                      {"avoided", one.avoided},
+                                      {"sent", one.sent}});
+    if (begins.size() + list.size() + 1 + text.size() + ends.size() > most_text && !list.empty())
+      flush();
     list += (list.empty() ? "" : ",") + text;
   }
   flush();
@@ -121,10 +134,12 @@
   char text[most_text];
   Message message(text, sizeof text);
   const ssize_t size = recvmsg(fd_, &message.header, MSG_CMSG_CLOEXEC);
-  if (size < 0) return;
+  if (size < 0)
+    return;
   Descriptors both{-1, -1};
   const cmsghdr* control = CMSG_FIRSTHDR(&message.header);
-  // Guards against a process short of descriptors, which gets only the first of them: that one is closed again.
+  // Guards against a process short of descriptors, which gets only the first of them: that one is closed
+  // again.
   if (control && control->cmsg_type == SCM_RIGHTS)
     std::memcpy(both.data(), CMSG_DATA(control), std::min(control->cmsg_len - CMSG_LEN(0), sizeof both));
   try {
@@ -132,15 +147,19 @@
     if (const auto nodes = all.find("nodes"); nodes != all.end()) {
       HandoverState handover_state;
       for (const auto& one : all.at("read_rates"))
-        handover_state.read_rates.emplace_back(static_cast<Role>(one.at(0).get<int>()), one.at(1).get<double>());
+        handover_state.read_rates.emplace_back(static_cast<Role>(one.at(0).get<int>()),
+                                               one.at(1).get<double>());
       for (const auto& one : *nodes)
-        handover_state.nodes.push_back({one.at("node"), one.at("load"), Micros(one.at("age_us").get<Micros::rep>()),
-                              one.at("avoided"), one.at("sent")});
+        handover_state.nodes.push_back({one.at("node"), one.at("load"),
+                                        Micros(one.at("age_us").get<Micros::rep>()), one.at("avoided"),
+                                        one.at("sent")});
       for (int& fd : both)  // such a message brings none; whatever came along is closed, once
-        if (fd >= 0) close(std::exchange(fd, -1));
+        if (fd >= 0)
+          close(std::exchange(fd, -1));
       return told_(handover_state);
     }
-    if (both[1] < 0) throw std::runtime_error("it brings no connections");
+    if (both[1] < 0)
+      throw std::runtime_error("it brings no connections");
     PassedStream stream{all.at("id"), all.at("kind"), all.at("node"), all.at("attempt"), {}, {}};
     stream.client = {both[0], all.at("client").get<bool>()};
     stream.call = {both[1], all.at("call").get<bool>()};
@@ -148,7 +167,8 @@
   } catch (const std::exception& error) {
     logging::error() << "a stream of the other process can't be taken over: " << error.what();
     for (const int fd : both)
-      if (fd >= 0) close(fd);
+      if (fd >= 0)
+        close(fd);
   }
 }
 
--- a/src/ops/handover.h
+++ b/src/ops/handover.h
@@ -1,4 +1,5 @@
-// Streams, and what is known of the nodes, on their way from a process that ends to the one that has taken over.
+// Streams, and what is known of the nodes, on their way from a process that ends to the one that has taken
+// over.
 #pragma once
 
 #include <functional>
@@ -20,7 +21,8 @@
   Handover(const Handover&) = delete;
   Handover& operator=(const Handover&) = delete;
 
-  // Sends a stream to whoever receives at `path`; false: nobody does, or not now. Its descriptors stay open here.
+  // Sends a stream to whoever receives at `path`; false: nobody does, or not now. Its descriptors stay open
+  // here.
   static bool send(const std::string& path, const PassedStream& stream);
   // Tells what is known of the nodes, in as many messages as it takes; what can't be sent is left out.
   static void tell(const std::string& path, const HandoverState& handover_state);
--- a/src/ops/health_service.cpp
+++ b/src/ops/health_service.cpp
@@ -30,16 +30,20 @@
     // "" asks for the server as a whole.
     const bool known = request.service().empty() || request.service() == "lemonroute.v1.Drafting";
     if (!watch_) {
-      if (!known) return call_.finish(grpc::Status::not_found, "no such service");
+      if (!known)
+        return call_.finish(grpc::Status::not_found, "no such service");
       call_.send_message(answer(status_.state()));
       return call_.finish(grpc::Status::ok, "");
     }
     // A watch of an unknown service stays open: the service may come later.
-    call_.send_message(known ? answer(status_.state()) : answer(health::HealthCheckResponse::SERVICE_UNKNOWN));
+    call_.send_message(known ? answer(status_.state())
+                             : answer(health::HealthCheckResponse::SERVICE_UNKNOWN));
     handle_ = status_.watch([this, known](State state) {
-      if (known) call_.send_message(answer(state));
+      if (known)
+        call_.send_message(answer(state));
       // The last word of a server that ends: a watch left open would keep it from ending.
-      if (state == State::draining) call_.finish(grpc::Status::unavailable, "draining");
+      if (state == State::draining)
+        call_.finish(grpc::Status::unavailable, "draining");
     });
   }
 
@@ -54,9 +58,11 @@
 std::unique_ptr<grpc::Method> HealthService::open(std::string_view path, const grpc::Headers&,
                                                   grpc::ServerCall& call) {
   constexpr std::string_view service = "/grpc.health.v1.Health/";
-  if (!path.starts_with(service)) return nullptr;
+  if (!path.starts_with(service))
+    return nullptr;
   const auto method = path.substr(service.size());
-  if (method != "Check" && method != "Watch") return nullptr;
+  if (method != "Check" && method != "Watch")
+    return nullptr;
   return std::make_unique<HealthMethod>(status_, call, method == "Watch");
 }
 
--- a/src/ops/management.cpp
+++ b/src/ops/management.cpp
@@ -26,19 +26,25 @@
 
  private:
   void on_readable() override {
-    if (!has_head_) read_head();
-    if (has_head_ && !answered_) read_body();
-    // What else comes is read and dropped: closing with bytes unread would reset the connection, and the answer
-    // could be lost with it.
-    if (answered_) evbuffer_drain(connection_.input(), evbuffer_get_length(connection_.input()));
+    if (!has_head_)
+      read_head();
+    if (has_head_ && !answered_)
+      read_body();
+    // What else comes is read and dropped: closing with bytes unread would reset the connection, and the
+    // answer could be lost with it.
+    if (answered_)
+      evbuffer_drain(connection_.input(), evbuffer_get_length(connection_.input()));
   }
   void read_head() {
     const auto scan = http::scan_head(connection_.input(), http::Kind::request, scanned_);
-    if (scan.state == http::Scan::more) return;
+    if (scan.state == http::Scan::more)
+      return;
     auto fault = scan.fault;
     if (scan.state == http::Scan::head)
-      if (const auto body = http::Body::of_request(scan.head, fault)) body_ = *body;
-    if (fault != http::Fault::none) return send({static_cast<int>(fault), {}, {}});
+      if (const auto body = http::Body::of_request(scan.head, fault))
+        body_ = *body;
+    if (fault != http::Fault::none)
+      return send({static_cast<int>(fault), {}, {}});
     has_head_ = true;
     const auto* bytes = evbuffer_pullup(connection_.input(), static_cast<ev_ssize_t>(scan.length));
     head_.assign(reinterpret_cast<const char*>(bytes), scan.length - 4);
@@ -49,24 +55,30 @@
   // A call takes effect once it is whole, its body too, of which nothing is used.
   void read_body() {
     const auto state = body_.take(connection_.input(), [](std::string_view) { return true; });
-    if (state == http::Body::State::more) return;
-    if (state == http::Body::State::fault) return send({static_cast<int>(body_.fault()), {}, {}});
+    if (state == http::Body::State::more)
+      return;
+    if (state == http::Body::State::fault)
+      return send({static_cast<int>(body_.fault()), {}, {}});
     http::Head head;
     http::parse_head(head_, http::Kind::request, head);
     send(owner_.answer(head));
   }
   void send(const Answer& answer) {
-    if (answer.status >= 400) logging::info() << "management: a call is answered with " << answer.status;
+    if (answer.status >= 400)
+      logging::info() << "management: a call is answered with " << answer.status;
     answered_ = true;
-    connection_.write(http::whole_answer(answer.status, answer.fields + "Connection: close\r\n", answer.body));
+    connection_.write(
+        http::whole_answer(answer.status, answer.fields + "Connection: close\r\n", answer.body));
     timer_.start(for_an_answer);
   }
   void on_drained() override {
-    if (answered_) connection_.end_sending();
+    if (answered_)
+      connection_.end_sending();
   }
   void on_closed() override { owner_.leave(*this); }
   void on_timer() {
-    if (answered_) return owner_.leave(*this);
+    if (answered_)
+      return owner_.leave(*this);
     send({408, {}, {}});
   }
 
@@ -87,16 +99,20 @@
 }
 Management::~Management() = default;
 
-// Guards against callers that connect and finish no call: they may take all places, but whoever comes next gets
-// the place of the one that has been there longest, and a call that comes whole is answered there and then.
+// Guards against callers that connect and finish no call: they may take all places, but whoever comes next
+// gets the place of the one that has been there longest, and a call that comes whole is answered there and
+// then.
 void Management::accept(evutil_socket_t fd) {
-  if (callers_.size() >= most_callers) leave(*callers_.front());
+  if (callers_.size() >= most_callers)
+    leave(*callers_.front());
   callers_.push_back(std::make_unique<Caller>(*this, fd));
 }
 
 void Management::leave(Caller& caller) {
-  const auto found = std::find_if(callers_.begin(), callers_.end(), [&](auto& one) { return one.get() == &caller; });
-  if (found == callers_.end()) return;
+  const auto found =
+      std::find_if(callers_.begin(), callers_.end(), [&](auto& one) { return one.get() == &caller; });
+  if (found == callers_.end())
+    return;
   loop_.dispose(std::move(*found));
   callers_.erase(found);
 }
@@ -105,17 +121,26 @@
   const auto path = head.target.substr(0, head.target.find('?'));
   const bool reads = path == "/ready" || path == "/metrics" || (fleet_ && path == "/fleet");
   const bool out = path == "/instances/disable", orders = out || path == "/instances/enable";
-  if (!reads && !orders) return {404, {}, {}};
-  if (head.method != (reads ? "GET" : "POST")) return {405, {}, reads ? "Allow: GET\r\n" : "Allow: POST\r\n"};
-  if (path == "/metrics") return metrics();
-  if (path == "/fleet") return fleet();
-  if (path == "/ready") return {status_.state() == State::draining ? 503 : 200, {}, {}};
+  if (!reads && !orders)
+    return {404, {}, {}};
+  if (head.method != (reads ? "GET" : "POST"))
+    return {405, {}, reads ? "Allow: GET\r\n" : "Allow: POST\r\n"};
+  if (path == "/metrics")
+    return metrics();
+  if (path == "/fleet")
+    return fleet();
+  if (path == "/ready")
+    return {status_.state() == State::draining ? 503 : 200, {}, {}};
   const auto name = http::query_value(head.target, "name");
-  if (!name || name->empty()) return {400, "name=ID is missing or can't be read\n", {}};
+  if (!name || name->empty())
+    return {400, "name=ID is missing or can't be read\n", {}};
   switch (out ? router_.take_out(*name) : router_.put_back(*name)) {
-    case Router::Ordered::done: return {200, *name + (out ? " is out\n" : " may serve\n"), {}};
-    case Router::Ordered::never_listed: return {404, *name + " was never listed\n", {}};
-    case Router::Ordered::not_stored: break;
+    case Router::Ordered::done:
+      return {200, *name + (out ? " is out\n" : " may serve\n"), {}};
+    case Router::Ordered::never_listed:
+      return {404, *name + " was never listed\n", {}};
+    case Router::Ordered::not_stored:
+      break;
   }
   return {503, "it can't be stored, nothing has changed\n", {}};
 }
@@ -141,8 +166,7 @@
                            {"conf_loaded", reloads.loaded},
                            {"conf_invalid", reloads.invalid}};
   // Names of classes come from a file: what is no UTF-8 there must not end the program here.
-  return {200, all.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n",
-          json_fields};
+  return {200, all.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n", json_fields};
 }
 
 Management::Answer Management::fleet() const {
--- a/src/ops/management.h
+++ b/src/ops/management.h
@@ -20,8 +20,8 @@
 
 class Management {
  public:
-  // Answers to calls are made at the moment of the call; `reloads` tells what was counted of files, `fleet` what is known
-  // of the other routers as JSON: null for the moment, none where peers are off.
+  // Answers to calls are made at the moment of the call; `reloads` tells what was counted of files, `fleet`
+  // what is known of the other routers as JSON: null for the moment, none where peers are off.
   using Fleet = std::function<std::shared_ptr<const std::string>()>;
   Management(net::Loop& loop, const std::string& listen, Router& router, const Status& status,
              std::function<Reloads()> reloads, Fleet fleet = {});
--- a/src/ops/processes.h
+++ b/src/ops/processes.h
@@ -27,7 +27,8 @@
  private:
   static constexpr int runs = 1, takes_clients = 2;  // byte 0 is the bans'
   static std::string plain(std::string name) {
-    std::replace_if(name.begin(), name.end(), [](unsigned char c) { return !std::isalnum(c) && c != '-'; }, '_');
+    std::replace_if(
+        name.begin(), name.end(), [](unsigned char c) { return !std::isalnum(c) && c != '-'; }, '_');
     return name;
   }
   std::filesystem::path stem_;
--- a/src/ops/status.cpp
+++ b/src/ops/status.cpp
@@ -5,7 +5,8 @@
 namespace lemonroute::ops {
 
 State Status::state() const {
-  if (draining_) return State::draining;
+  if (draining_)
+    return State::draining;
   return router_.ready_nodes() > 0 ? State::up : State::down;
 }
 
@@ -16,7 +17,8 @@
 
 void Status::check() {
   const State now = state();
-  if (std::exchange(told_, now) == now) return;
+  if (std::exchange(told_, now) == now)
+    return;
   for (auto at = watchers_.begin(); at != watchers_.end();) {
     if (const auto watcher = at->second.lock()) {
       (*watcher)(now);
--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -15,21 +15,26 @@
 }
 
 void Agent::Parts::show(bool always) {
-  if (members.version() == shown || (!always && now - shown_at < options.period / 10)) return;
+  if (members.version() == shown || (!always && now - shown_at < options.period / 10))
+    return;
   shown = members.version();
   shown_at = now;
-  for (Rider* rider : riders) rider->viewed(now, members.view(now));
+  for (Rider* rider : riders)
+    rider->viewed(now, members.view(now));
 }
 
 void Agent::Parts::say_notices() {
-  for (const auto& line : members.take_notices()) logging::warn() << "peers: " << line;
+  for (const auto& line : members.take_notices())
+    logging::warn() << "peers: " << line;
 }
 
 Agent::Agent(Options options, std::uint64_t seed)
     : parts_(std::make_unique<Parts>(std::move(options), seed)) {}
 Agent::~Agent() = default;
 
-void Agent::add(Rider& rider) { parts_->riders.push_back(&rider); }
+void Agent::add(Rider& rider) {
+  parts_->riders.push_back(&rider);
+}
 
 void Agent::start(Micros now) {
   auto& parts = *parts_;
@@ -41,7 +46,8 @@
 
 void Agent::receive(Micros now, const std::string&, std::string_view bytes) {
   auto& parts = *parts_;
-  if (!parts.started) return;
+  if (!parts.started)
+    return;
   parts.now = std::max(parts.now, now);
   auto& counters = parts.members.counters();
   ++counters.received;
@@ -70,18 +76,21 @@
 
 void Agent::run_due(Micros now) {
   auto& parts = *parts_;
-  if (!parts.started) return;
+  if (!parts.started)
+    return;
   parts.now = std::max(parts.now, now);
   parts.members.run_due(parts.now);
   parts.show(false);
   parts.say_notices();
   for (Rider* rider : parts.riders)
-    if (rider->next_due() <= parts.now) rider->run_due(parts.now, parts);
+    if (rider->next_due() <= parts.now)
+      rider->run_due(parts.now, parts);
 }
 
 Micros Agent::next_due() const {
   Micros due = parts_->members.next_due();
-  for (const Rider* rider : parts_->riders) due = std::min(due, rider->next_due());
+  for (const Rider* rider : parts_->riders)
+    due = std::min(due, rider->next_due());
   return due;
 }
 
@@ -91,10 +100,16 @@
   parts_->show(true);
 }
 
-std::vector<Datagram> Agent::take() { return parts_->members.take(); }
+std::vector<Datagram> Agent::take() {
+  return parts_->members.take();
+}
 
-const View& Agent::view() const { return parts_->members.view(parts_->now); }
+const View& Agent::view() const {
+  return parts_->members.view(parts_->now);
+}
 
-nlohmann::json Agent::describe(Micros now) const { return parts_->describe(now); }
+nlohmann::json Agent::describe(Micros now) const {
+  return parts_->describe(now);
+}
 
 }  // namespace lemonroute::peers
--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -1,5 +1,6 @@
-// One router among its peers: membership, and the riders on its datagrams. Free of I/O: told the time and what came,
-// it says what to send. The service on sockets (peers/service.h) and the deterministic world of the tests drive the same.
+// One router among its peers: membership, and the riders on its datagrams. Free of I/O: told the time and
+// what came, it says what to send. The service on sockets (peers/service.h) and the deterministic world of
+// the tests drive the same.
 #pragma once
 
 #include <functional>
@@ -19,10 +20,10 @@
 };
 
 struct Options {
-  std::string name, site;  // this router's
-  std::string address;     // where others send to it
-  std::uint64_t start = 0; // Unix time in us
-  std::vector<std::string> seeds;  // addresses of routers to join by; any one is enough
+  std::string name, site;                   // this router's
+  std::string address;                      // where others send to it
+  std::uint64_t start = 0;                  // Unix time in us
+  std::vector<std::string> seeds;           // addresses of routers to join by; any one is enough
   Micros period = std::chrono::seconds(1);  // one probe each; 20 ms or more
   std::size_t most_members = 4096;          // known at once; more are counted and left out
 };
@@ -38,10 +39,11 @@
 
   void add(Rider& rider);  // before start; must outlive the agent
   void start(Micros now);
-  void receive(Micros now, const std::string& from, std::string_view bytes);  // opened and proven by the service
+  void receive(Micros now, const std::string& from,
+               std::string_view bytes);  // opened and proven by the service
   void run_due(Micros now);
   Micros next_due() const;
-  void leave(Micros now);  // tells the others that this router ends
+  void leave(Micros now);        // tells the others that this router ends
   std::vector<Datagram> take();  // what is to be sent, in order; empty afterwards
 
   const View& view() const;
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -22,7 +22,9 @@
   return "";
 }
 
-std::int64_t ms_since(Micros now, Micros then) { return (now - then).count() / 1000; }
+std::int64_t ms_since(Micros now, Micros then) {
+  return (now - then).count() / 1000;
+}
 
 json counters_of(const membership::Counters& it) {
   return {{"received", it.received},
@@ -80,7 +82,8 @@
            {"counters", counters_of(members.counters())}};
   out["minority_ms"] = view.minority_since ? json(ms_since(at, *view.minority_since)) : json(nullptr);
   json& list = out["members"] = json::array();
-  for (const Member& member : view.members) list.push_back(described(member, at));
+  for (const Member& member : view.members)
+    list.push_back(described(member, at));
   for (const Rider* rider : riders)
     out[rider->topic() == Topic::pools ? "pools" : "tiers"] = rider->describe(at);
   return out;
--- a/src/peers/membership/detector/helping.h
+++ b/src/peers/membership/detector/helping.h
@@ -19,7 +19,8 @@
 class Helping {
  public:
   bool add(Help help) {
-    if (helps_.size() >= limits::helped) return false;
+    if (helps_.size() >= limits::helped)
+      return false;
     helps_.push_back(std::move(help));
     return true;
   }
@@ -34,7 +35,8 @@
   template <class F>
   std::optional<Help> take(F&& wanted) {
     for (auto at = helps_.begin(); at != helps_.end(); ++at) {
-      if (!wanted(*at)) continue;
+      if (!wanted(*at))
+        continue;
       Help help = std::move(*at);
       helps_.erase(at);
       return help;
--- a/src/peers/membership/detector/probe_order.cpp
+++ b/src/peers/membership/detector/probe_order.cpp
@@ -20,20 +20,24 @@
     if (at_ >= order_.size()) {
       random.shuffle(order_);
       at_ = 0;
-      if (order_.empty()) return nullptr;
+      if (order_.empty())
+        return nullptr;
     }
     Entry* entry = order_[at_++];
-    if (entry->fact.there()) return entry;
+    if (entry->fact.there())
+      return entry;
   }
   return nullptr;
 }
 
 Entry* ProbeOrder::draw(Random& random, Standing wanted) const {
-  if (order_.empty()) return nullptr;
+  if (order_.empty())
+    return nullptr;
   const std::size_t from = random.below(order_.size());
   for (std::size_t step = 0; step < order_.size(); ++step) {
     Entry* entry = order_[(from + step) % order_.size()];
-    if (wanted == Standing::gone ? entry->fact.standing == Standing::gone : entry->fact.there()) return entry;
+    if (wanted == Standing::gone ? entry->fact.standing == Standing::gone : entry->fact.there())
+      return entry;
   }
   return nullptr;
 }
@@ -42,16 +46,20 @@
   std::vector<Entry*> drawn, taken;
   for (std::size_t tries = 0; tries < most * 6 && drawn.size() < most * 3; ++tries) {
     Entry* entry = draw(random, Standing::alive);
-    if (!entry) return {};
-    if (entry != but && std::find(drawn.begin(), drawn.end(), entry) == drawn.end()) drawn.push_back(entry);
+    if (!entry)
+      return {};
+    if (entry != but && std::find(drawn.begin(), drawn.end(), entry) == drawn.end())
+      drawn.push_back(entry);
   }
   const auto fill = [&](bool other_sites) {
     for (Entry* entry : drawn) {
-      if (taken.size() == most) return;
+      if (taken.size() == most)
+        return;
       const bool known = std::any_of(taken.begin(), taken.end(), [&](Entry* one) {
         return one == entry || (other_sites && one->fact.site == entry->fact.site);
       });
-      if (!known) taken.push_back(entry);
+      if (!known)
+        taken.push_back(entry);
     }
   };
   fill(true);
--- a/src/peers/membership/dissemination/news.cpp
+++ b/src/peers/membership/dissemination/news.cpp
@@ -11,9 +11,11 @@
 }
 
 void News::add(Entry& entry) {
-  if (by_times_.empty()) by_times_.resize(1);
+  if (by_times_.empty())
+    by_times_.resize(1);
   if (entry.news == 0) {
-    if (waiting_ >= limits::queued) return;  // anti-entropy tells it
+    if (waiting_ >= limits::queued)
+      return;  // anti-entropy tells it
     ++waiting_;
   }
   entry.news = ++numbers_;
@@ -23,8 +25,10 @@
 }
 
 void News::drop(const Entry& entry) {
-  for (auto& items : by_times_) std::erase_if(items, [&](auto& item) { return item.entry == &entry; });
-  if (entry.news) --waiting_;
+  for (auto& items : by_times_)
+    std::erase_if(items, [&](auto& item) { return item.entry == &entry; });
+  if (entry.news)
+    --waiting_;
 }
 
 const std::vector<Entry*>& News::next(std::size_t members) {
@@ -37,7 +41,8 @@
     while (!items.empty() && offer_.size() < limits::offered) {
       const Item item = items.back();
       items.pop_back();
-      if (stale(item)) continue;
+      if (stale(item))
+        continue;
       offered_.push_back(item);
       offered_times_.push_back(so_often);
       offer_.push_back(item.entry);
@@ -56,7 +61,8 @@
       --waiting_;
       continue;
     }
-    if (by_times_.size() <= so_often) by_times_.resize(so_often + 1);
+    if (by_times_.size() <= so_often)
+      by_times_.resize(so_often + 1);
     by_times_[so_often].push_back(item);
   }
   offered_.clear();
--- a/src/peers/membership/fact.cpp
+++ b/src/peers/membership/fact.cpp
@@ -21,7 +21,8 @@
 
 bool valid_address(std::string_view address) {
   const auto colon = address.rfind(':');
-  if (colon == std::string_view::npos || colon == 0 || address.size() > limits::address_bytes) return false;
+  if (colon == std::string_view::npos || colon == 0 || address.size() > limits::address_bytes)
+    return false;
   std::uint16_t port = 0;
   const char* end = address.data() + address.size();
   const auto [at, error] = std::from_chars(address.data() + colon + 1, end, port);
--- a/src/peers/membership/fact.h
+++ b/src/peers/membership/fact.h
@@ -20,7 +20,9 @@
 
 // The process that a fact is about. The newer start wins; between equal ones the greater address, so that any
 // two routers name the same winner.
-inline auto process(const Fact& fact) { return std::tie(fact.start, fact.address); }
+inline auto process(const Fact& fact) {
+  return std::tie(fact.start, fact.address);
+}
 
 bool valid_name(std::string_view name);        // 1 to 64 printable characters, no blank, quote or backslash
 bool valid_address(std::string_view address);  // host:port or [host]:port
--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -9,10 +9,12 @@
 void Membership::take(const Fact& said, const Fact& sender, bool only_good) {
   Entry* entry = table_.find(said.name);
   if (said.name == own_.own().name) {
-    if (process(said) < process(own_.own())) return older(*entry, said, said.name == sender.name);
+    if (process(said) < process(own_.own()))
+      return older(*entry, said, said.name == sender.name);
     return about_me(said);  // from the gone too: two who hold each other gone must get out of that
   }
-  if (only_good && said.standing != Standing::alive) return;
+  if (only_good && said.standing != Standing::alive)
+    return;
   apply(judge(entry, said, unix_now()), entry, said, sender);
 }
 
@@ -38,17 +40,21 @@
     case Verdict::newer: {
       const bool doubted = said.standing == Standing::suspected || said.standing == Standing::gone;
       Fact fact = said;
-      if (doubted) fact.standing = Standing::alive;
-      if (!entry->fact.there()) ++counters_.returned;
+      if (doubted)
+        fact.standing = Standing::alive;
+      if (!entry->fact.there())
+        ++counters_.returned;
       entry->older_since.reset();
       entry->older_told = false;
       table_.set(*entry, fact, now_);
       news_.add(*entry);
-      if (doubted) suspect(*entry, said, sender);
+      if (doubted)
+        suspect(*entry, said, sender);
       return;
     }
     case Verdict::refuted:
-      if (!entry->fact.there()) ++counters_.returned;
+      if (!entry->fact.there())
+        ++counters_.returned;
       table_.set(*entry, said, now_);
       news_.add(*entry);
       return;
@@ -87,7 +93,8 @@
   Fact fact = own_.superseded() ? *own_.later() : own_.own();
   fact.standing = Standing::alive;
   table_.set(*self, fact, now_);
-  if (!own_.superseded()) news_.add(*self);
+  if (!own_.superseded())
+    news_.add(*self);
 }
 
 Entry* Membership::add(const Fact& fact) {
@@ -104,7 +111,8 @@
     ++counters_.members_refused;
     return nullptr;
   }
-  if (fact.standing == Standing::suspected) table_.mark(*entry, Standing::alive, fact.by, now_);
+  if (fact.standing == Standing::suspected)
+    table_.mark(*entry, Standing::alive, fact.by, now_);
   order_.add(*entry, random_);
   news_.add(*entry);
   return entry;
@@ -114,7 +122,8 @@
   ++counters_.suspected;
   Fact fact = said;
   fact.standing = Standing::suspected;
-  if (fact.by.empty()) fact.by = sender.name;
+  if (fact.by.empty())
+    fact.by = sender.name;
   table_.set(entry, fact, now_);
   entry.confirmed_by.clear();
   const auto members = table_.there();
@@ -124,9 +133,11 @@
 }
 
 void Membership::confirm(Entry& entry, std::string_view by) {
-  if (!entry.suspicion) return;
+  if (!entry.suspicion)
+    return;
   const Micros before = entry.suspicion->deadline();
-  if (!entry.suspicion->confirm(by)) return;
+  if (!entry.suspicion->confirm(by))
+    return;
   table_.rearm(entry, before);
   entry.confirmed_by = by;
   news_.add(entry);
@@ -151,9 +162,12 @@
 // An upgrade runs for a while beside the process that it replaces. What goes on for long is a mistake of two
 // routers.
 void Membership::older(Entry& entry, const Fact& said, bool first_hand) {
-  if (!first_hand || !entry.fact.there() || said.address == entry.fact.address) return;
-  if (!entry.older_since) entry.older_since = now_;
-  if (entry.older_told || now_ - *entry.older_since < options_.period * limits::twice) return;
+  if (!first_hand || !entry.fact.there() || said.address == entry.fact.address)
+    return;
+  if (!entry.older_since)
+    entry.older_since = now_;
+  if (entry.older_told || now_ - *entry.older_since < options_.period * limits::twice)
+    return;
   entry.older_told = true;
   ++counters_.names_twice;
   notice("two routers are named " + said.name + ": " + entry.fact.address +
@@ -165,7 +179,8 @@
 void Membership::last_calls() {
   while (last_calls_ < limits::last_calls) {
     Entry* entry = table_.uncalled(now_ + options_.period * limits::last_call);
-    if (!entry) return;
+    if (!entry)
+      return;
     ++last_calls_;
     entry->suspicion->called = true;
     send(entry->fact.address, wire::Ping{0, entry->fact.name, table_.digest()}, entry);
--- a/src/peers/membership/random.h
+++ b/src/peers/membership/random.h
@@ -15,7 +15,8 @@
   std::uint32_t word() { return engine_(); }
   template <class T>
   void shuffle(std::vector<T>& items) {
-    for (std::size_t left = items.size(); left > 1; --left) std::swap(items[left - 1], items[below(left)]);
+    for (std::size_t left = items.size(); left > 1; --left)
+      std::swap(items[left - 1], items[below(left)]);
   }
 
  private:
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -9,7 +9,8 @@
 
 Fact told(const Entry& entry) {
   Fact fact = entry.fact;
-  if (fact.standing == Standing::suspected && !entry.confirmed_by.empty()) fact.by = entry.confirmed_by;
+  if (fact.standing == Standing::suspected && !entry.confirmed_by.empty())
+    fact.by = entry.confirmed_by;
   return fact;
 }
 
@@ -20,13 +21,16 @@
   if (std::holds_alternative<wire::Parcel>(packet.body))
     packet.sender.site.clear(), packet.sender.address.clear();
   const std::size_t first = about && about->fact.standing != Standing::alive ? 1 : 0;
-  if (first) packet.facts.push_back(told(*about));  // what is said against the one it goes to
+  if (first)
+    packet.facts.push_back(told(*about));  // what is said against the one it goes to
   if (with_news && !news_.empty()) {
-    for (const Entry* entry : news_.next(table_.there())) packet.facts.push_back(told(*entry));
+    for (const Entry* entry : news_.next(table_.there()))
+      packet.facts.push_back(told(*entry));
   }
   std::size_t count = 0;
   std::string bytes = wire::encode(packet, &count);
-  if (with_news && !news_.empty()) news_.told(count - std::min(count, first));
+  if (with_news && !news_.empty())
+    news_.told(count - std::min(count, first));
   ++counters_.sent;
   counters_.sent_bytes += bytes.size();
   out_.push_back({address, std::move(bytes)});
@@ -50,7 +54,8 @@
   std::size_t used = 0;
   const std::size_t room = limits::plain_bytes - wire::size(packet.sender) - 8;
   const auto flush = [&] {
-    if (packet.facts.empty() || left == 0) return;
+    if (packet.facts.empty() || left == 0)
+      return;
     --left;
     std::string bytes = wire::encode(packet);
     ++counters_.sent;
@@ -62,8 +67,10 @@
   for (std::size_t step = 0; step < buckets.size() && left > 0; ++step)
     table_.each_in(buckets[(from + step) % buckets.size()], [&](const Entry& entry) {
       const auto size = wire::size(entry.fact);
-      if (used + size > room || packet.facts.size() == limits::facts) flush();
-      if (left == 0) return;
+      if (used + size > room || packet.facts.size() == limits::facts)
+        flush();
+      if (left == 0)
+        return;
       packet.facts.push_back(told(entry));
       used += size;
     });
@@ -71,9 +78,11 @@
 }
 
 void Membership::gossip() {
-  if (news_.empty()) return;
+  if (news_.empty())
+    return;
   for (Entry* to : order_.helpers(random_, nullptr, limits::gossip_to)) {
-    if (news_.empty()) return;
+    if (news_.empty())
+      return;
     send(to->fact.address, wire::Facts{});
   }
 }
@@ -92,7 +101,8 @@
 }
 
 void Membership::notice(std::string line) {
-  if (notices_.size() < limits::notices) notices_.push_back(std::move(line));
+  if (notices_.size() < limits::notices)
+    notices_.push_back(std::move(line));
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/suspicion/suspicion.cpp
+++ b/src/peers/membership/suspicion/suspicion.cpp
@@ -39,10 +39,13 @@
   return true;
 }
 
-void Suspicion::shift(Micros late) { started_ += late; }
+void Suspicion::shift(Micros late) {
+  started_ += late;
+}
 
 Micros Suspicion::deadline() const {
-  if (wanted_ == 0) return started_ + least_;
+  if (wanted_ == 0)
+    return started_ + least_;
   const double part = std::log(static_cast<double>(count_)) / std::log(wanted_ + 1.0);
   return started_ + std::max(least_, most_ - times(most_ - least_, part));
 }
--- a/src/peers/membership/table.cpp
+++ b/src/peers/membership/table.cpp
@@ -19,7 +19,9 @@
   return at == entries_.end() ? nullptr : &at->second;
 }
 
-std::size_t Table::bucket_of(std::string_view name) { return membership::hash_of(name) % limits::buckets; }
+std::size_t Table::bucket_of(std::string_view name) {
+  return membership::hash_of(name) % limits::buckets;
+}
 
 void Table::count(const Entry& entry, int sign) {
   if (entry.fact.there()) {
@@ -34,8 +36,10 @@
   if (entries_.size() >= most_) {
     const Entry* oldest = nullptr;
     for (const auto& [name, entry] : entries_)
-      if (!entry.fact.there() && (!oldest || entry.since < oldest->since)) oldest = &entry;
-    if (!oldest) return nullptr;
+      if (!entry.fact.there() && (!oldest || entry.since < oldest->since))
+        oldest = &entry;
+    if (!oldest)
+      return nullptr;
     *evicted = oldest->fact.name;
     return nullptr;  // the caller lets go of it first, then asks again
   }
@@ -50,8 +54,10 @@
 
 void Table::set(Entry& entry, const Fact& fact, Micros now) {
   const bool other = process(entry.fact) != process(fact);
-  if (other || entry.fact.standing != fact.standing) entry.since = now;
-  if (fact.standing != Standing::suspected) clear_suspicion(entry);
+  if (other || entry.fact.standing != fact.standing)
+    entry.since = now;
+  if (fact.standing != Standing::suspected)
+    clear_suspicion(entry);
   if (other) {
     entry.direct_failed = 0;
     entry.unreachable = false;
@@ -71,13 +77,15 @@
 }
 
 void Table::set_unreachable(Entry& entry, bool unreachable) {
-  if (entry.unreachable != unreachable) ++version_;
+  if (entry.unreachable != unreachable)
+    ++version_;
   entry.unreachable = unreachable;
 }
 
 void Table::forget(std::string_view name) {
   const auto at = entries_.find(name);
-  if (at == entries_.end()) return;
+  if (at == entries_.end())
+    return;
   clear_suspicion(at->second);
   count(at->second, -1);
   std::erase(in_bucket_[bucket_of(name)], &at->second);
@@ -109,21 +117,25 @@
 }
 
 void Table::clear_suspicion(Entry& entry) {
-  if (!entry.suspicion) return;
+  if (!entry.suspicion)
+    return;
   deadlines_.erase({entry.suspicion->deadline(), entry.fact.name});
   entry.suspicion.reset();
 }
 
 Entry* Table::expired(Micros now) {
-  if (deadlines_.empty() || deadlines_.begin()->first > now) return nullptr;
+  if (deadlines_.empty() || deadlines_.begin()->first > now)
+    return nullptr;
   return find(deadlines_.begin()->second);
 }
 
 Entry* Table::uncalled(Micros before) {
   for (const auto& [at, name] : deadlines_) {
-    if (at > before) return nullptr;
+    if (at > before)
+      return nullptr;
     Entry* entry = find(name);
-    if (!entry->suspicion->called) return entry;
+    if (!entry->suspicion->called)
+      return entry;
   }
   return nullptr;
 }
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -36,7 +36,8 @@
   static std::size_t bucket_of(std::string_view name);
   template <class F>
   void each_in(std::size_t bucket, F&& visit) {
-    for (auto* entry : in_bucket_[bucket]) visit(*entry);
+    for (auto* entry : in_bucket_[bucket])
+      visit(*entry);
   }
 
   // Members with a deadline that has passed, in order of name for equal times.
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -12,7 +12,8 @@
           options_.period),
       present_(options_.name, options_.period),
       sequence_(random_.word()) {
-  if (options_.seeds.size() > limits::seeds) options_.seeds.resize(limits::seeds);
+  if (options_.seeds.size() > limits::seeds)
+    options_.seeds.resize(limits::seeds);
 }
 
 void Membership::start(Micros now) {
@@ -24,7 +25,8 @@
 }
 
 void Membership::run_due(Micros now) {
-  if (left_ || now < next_tick_) return;
+  if (left_ || now < next_tick_)
+    return;
   now_ = now;
   const Micros tick = options_.period / limits::ticks, late = now - next_tick_;
   if (late > options_.period / 2) {
@@ -39,20 +41,28 @@
   }
   this->tick();
   next_tick_ += tick;
-  if (next_tick_ <= now) next_tick_ = now + tick;  // late ticks are not made up for
+  if (next_tick_ <= now)
+    next_tick_ = now + tick;  // late ticks are not made up for
 }
 
 void Membership::tick() {
   ++tick_;
-  if (probe_ && probe_->ask_at <= tick_ && probe_->asked == 0) ask_helpers();
-  if (probe_ && probe_->judge_at <= tick_) judge_probe();
-  while (auto late = helping_.late(tick_)) send(late->asker_address, wire::Nack{late->theirs, late->of});
+  if (probe_ && probe_->ask_at <= tick_ && probe_->asked == 0)
+    ask_helpers();
+  if (probe_ && probe_->judge_at <= tick_)
+    judge_probe();
+  while (auto late = helping_.late(tick_))
+    send(late->asker_address, wire::Nack{late->theirs, late->of});
   last_calls();
   give_up(now_);
-  if (tick_ >= period_ends_) begin_period();
-  if (!probe_) probe();
-  if (tick_ % 2 == 0) send_aside();
-  if (tick_ % limits::gossip_ticks == 0) gossip();
+  if (tick_ >= period_ends_)
+    begin_period();
+  if (!probe_)
+    probe();
+  if (tick_ % 2 == 0)
+    send_aside();
+  if (tick_ % limits::gossip_ticks == 0)
+    gossip();
 }
 
 void Membership::begin_period() {
@@ -67,11 +77,13 @@
   }
   if (own_.superseded() && own_.later()->address != own_.own().address)
     send(own_.later()->address, wire::Ping{0, own_.own().name, table_.digest()});
-  if (periods_ % 16 == 0) forget_old();
+  if (periods_ % 16 == 0)
+    forget_old();
   if (periods_ % limits::gone_ping == 0 || present_.minority_since())
     if (Entry* gone = order_.draw(random_, Standing::gone))
       send(gone->fact.address, wire::Ping{0, gone->fact.name, table_.digest()}, gone);
-  if (table_.there() <= 1 || periods_ % limits::seed_ping == 0) ping_seed();
+  if (table_.there() <= 1 || periods_ % limits::seed_ping == 0)
+    ping_seed();
   present_.note(table_, now_);
 }
 
@@ -79,7 +91,8 @@
   const Micros before = now_ - options_.period * limits::gone_for;
   std::vector<std::string> old;
   for (const auto& [name, entry] : table_.entries())
-    if (!entry.fact.there() && entry.since < before) old.push_back(name);
+    if (!entry.fact.there() && entry.since < before)
+      old.push_back(name);
   for (const auto& name : old) {
     Entry* entry = table_.find(name);
     order_.remove(*entry);
@@ -89,16 +102,19 @@
 }
 
 void Membership::leave(Micros now) {
-  if (left_) return;
+  if (left_)
+    return;
   now_ = now;
   const bool quiet = own_.superseded();  // the name goes on without this process
   own_.end();
   left_ = true;
-  if (quiet) return;
+  if (quiet)
+    return;
   Entry* self = table_.find(own_.own().name);
   table_.set(*self, own_.own(), now_);
   // To many at once: what is lost on the way to one, others tell it.
-  for (Entry* to : order_.helpers(random_, nullptr, 32)) send(to->fact.address, wire::Facts{}, self);
+  for (Entry* to : order_.helpers(random_, nullptr, 32))
+    send(to->fact.address, wire::Facts{}, self);
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/view/present.cpp
+++ b/src/peers/membership/view/present.cpp
@@ -18,8 +18,10 @@
 
 void Present::note(const Table& table, Micros now) {
   const bool minority = table.there() * 2 < table.there() + table.gone();
-  if (!minority) minority_since_.reset();
-  else if (!minority_since_) minority_since_ = now;
+  if (!minority)
+    minority_since_.reset();
+  else if (!minority_since_)
+    minority_since_ = now;
 }
 
 const View& Present::view(const Table& table, Micros now) {
@@ -30,11 +32,13 @@
     view_.known = static_cast<std::uint32_t>(table.there() + table.gone());
     view_.members.clear();
     view_.members.reserve(table.entries().size());
-    for (const auto& [name, entry] : table.entries()) view_.members.push_back(member_of(entry));
+    for (const auto& [name, entry] : table.entries())
+      view_.members.push_back(member_of(entry));
     return view_;
   }
   std::size_t at = 0;  // only ages have moved
-  for (const auto& [name, entry] : table.entries()) view_.members[at++].heard = entry.heard;
+  for (const auto& [name, entry] : table.entries())
+    view_.members[at++].heard = entry.heard;
   return view_;
 }
 
--- a/src/peers/rider.h
+++ b/src/peers/rider.h
@@ -1,6 +1,7 @@
-// What rides on the datagrams between routers beside membership: pools and the map of kept state. A rider does no
-// I/O and reads no clock; all its calls come from one thread, with times that never go back. Datagrams may be lost,
-// repeated, reordered and late, so what a rider says must bear that (a merge, or a question with its answer).
+// What rides on the datagrams between routers beside membership: pools and the map of kept state. A rider
+// does no I/O and reads no clock; all its calls come from one thread, with times that never go back.
+// Datagrams may be lost, repeated, reordered and late, so what a rider says must bear that (a merge, or a
+// question with its answer).
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -26,7 +27,8 @@
   virtual ~Rider() = default;
   virtual Topic topic() const = 0;
   virtual void viewed(Micros now, const View& view) = 0;  // it has changed; first call before any other
-  // The sender's name is proven by the key; what it says need not be true. What can't be read is counted and dropped.
+  // The sender's name is proven by the key; what it says need not be true. What can't be read is counted and
+  // dropped.
   virtual void receive(Micros now, std::string_view from, std::string_view bytes, Outbox& out) = 0;
   virtual void run_due(Micros now, Outbox& out) = 0;
   virtual Micros next_due() const = 0;
--- a/src/peers/seal/flood.cpp
+++ b/src/peers/seal/flood.cpp
@@ -13,7 +13,8 @@
   const double seconds = std::chrono::duration<double>(std::max(Micros(0), now - at_)).count();
   at_ = std::max(at_, now);
   spent_ = std::max(0.0, spent_ - rate * seconds);
-  if (spent_ + 1 > std::max(1.0, rate / 2)) return false;
+  if (spent_ + 1 > std::max(1.0, rate / 2))
+    return false;
   spent_ += 1;
   return true;
 }
@@ -26,12 +27,14 @@
     proven_.erase(found);
   }
   std::array<unsigned char, crypto_shorthash_BYTES> hash;
-  crypto_shorthash(hash.data(), reinterpret_cast<const unsigned char*>(address.data()), address.size(), secret_.data());
+  crypto_shorthash(hash.data(), reinterpret_cast<const unsigned char*>(address.data()), address.size(),
+                   secret_.data());
   std::uint64_t spread;
   std::memcpy(&spread, hash.data(), sizeof spread);
   auto& bucket = strange_[spread % strange_.size()];
   // A stranger's own part is a tenth, so that ten that flood leave room for one that joins.
-  return bucket.take(now, std::min(rates_.address, rates_.strangers / 10)) && all_strange_.take(now, rates_.strangers);
+  return bucket.take(now, std::min(rates_.address, rates_.strangers / 10)) &&
+         all_strange_.take(now, rates_.strangers);
 }
 
 void Flood::prove(Micros now, std::string_view address) {
@@ -41,10 +44,12 @@
   }
   if (proven_.size() >= most_addresses) {
     // Sweeping costs as much as the table is long, so it is not done for each newcomer.
-    if (now - swept_ < std::chrono::seconds(1)) return;
+    if (now - swept_ < std::chrono::seconds(1))
+      return;
     swept_ = now;
     std::erase_if(proven_, [&](const auto& one) { return now - one.second.proven > remembered; });
-    if (proven_.size() >= most_addresses) return;
+    if (proven_.size() >= most_addresses)
+      return;
   }
   proven_[std::string(address)].proven = now;
 }
--- a/src/peers/seal/flood.h
+++ b/src/peers/seal/flood.h
@@ -1,7 +1,8 @@
 // How much of what arrives is looked at, decided before any computation of a proof. Free of I/O; bounded.
 //
-// The stated cost per second, whoever sends what: `taken` datagrams read from the socket; of those `proven` proofs
-// computed for addresses from which something proven came within `remembered`, and `strangers` for all the others.
+// The stated cost per second, whoever sends what: `taken` datagrams read from the socket; of those `proven`
+// proofs computed for addresses from which something proven came within `remembered`, and `strangers` for all
+// the others.
 #pragma once
 
 #include <array>
--- a/src/peers/seal/key.cpp
+++ b/src/peers/seal/key.cpp
@@ -16,7 +16,8 @@
 struct File {
   explicit File(int opened) : fd(opened) {}
   ~File() {
-    if (fd >= 0) close(fd);
+    if (fd >= 0)
+      close(fd);
   }
   File(const File&) = delete;
   File& operator=(const File&) = delete;
@@ -34,11 +35,13 @@
 }
 
 std::variant<Key, std::string> parse_key(std::string_view text) {
-  while (!text.empty() && std::strchr(" \t\r\n", text.back())) text.remove_suffix(1);
+  while (!text.empty() && std::strchr(" \t\r\n", text.back()))
+    text.remove_suffix(1);
   std::array<unsigned char, Key::size> bytes{};
   std::size_t length = 0;
   const char* end = nullptr;
-  const bool hex = sodium_hex2bin(bytes.data(), bytes.size(), text.data(), text.size(), nullptr, &length, &end) == 0;
+  const bool hex =
+      sodium_hex2bin(bytes.data(), bytes.size(), text.data(), text.size(), nullptr, &length, &end) == 0;
   if (text.size() != digits || !hex || length != bytes.size() || end != text.data() + text.size())
     return "must hold " + std::to_string(digits) + " hexadecimal digits and nothing else";
   return make_key(bytes);
@@ -47,25 +50,32 @@
 std::variant<Key, std::string> read_key(const std::string& path) {
   const File file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));  // never waits, were it a pipe
   struct stat about {};
-  if (file.fd < 0 || fstat(file.fd, &about) != 0) return "can't be read: " + std::string(std::strerror(errno));
-  if (!S_ISREG(about.st_mode)) return "is no plain file";
-  if (about.st_mode & 077) return "may be read or written by others than its owner; chmod 600 mends that";
+  if (file.fd < 0 || fstat(file.fd, &about) != 0)
+    return "can't be read: " + std::string(std::strerror(errno));
+  if (!S_ISREG(about.st_mode))
+    return "is no plain file";
+  if (about.st_mode & 077)
+    return "may be read or written by others than its owner; chmod 600 mends that";
   char text[4 * digits];
   const auto length = read(file.fd, text, sizeof text);
-  if (length < 0) return "can't be read: " + std::string(std::strerror(errno));
+  if (length < 0)
+    return "can't be read: " + std::string(std::strerror(errno));
   return parse_key({text, static_cast<std::size_t>(length)});
 }
 
 std::string write_new_key(const std::string& path) {
-  if (sodium_init() < 0) return "there is no randomness";
+  if (sodium_init() < 0)
+    return "there is no randomness";
   const File file(open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
-  if (file.fd < 0) return errno == EEXIST ? "is there already" : "can't be written: " + std::string(std::strerror(errno));
+  if (file.fd < 0)
+    return errno == EEXIST ? "is there already" : "can't be written: " + std::string(std::strerror(errno));
   unsigned char bytes[Key::size];
   randombytes_buf(bytes, sizeof bytes);
   char text[digits + 1];
   sodium_bin2hex(text, sizeof text, bytes, sizeof bytes);
   text[digits] = '\n';
-  if (write(file.fd, text, sizeof text) == sizeof text && fsync(file.fd) == 0) return "";
+  if (write(file.fd, text, sizeof text) == sizeof text && fsync(file.fd) == 0)
+    return "";
   const std::string why = "can't be written: " + std::string(std::strerror(errno));
   unlink(path.c_str());
   return why;
--- a/src/peers/seal/key.h
+++ b/src/peers/seal/key.h
@@ -1,5 +1,5 @@
-// A key that all routers of a fleet share: 32 bytes, in a file as 64 hexadecimal digits. Whoever holds it is one of
-// them. Several may be in use at once, so that they can be changed without a stop.
+// A key that all routers of a fleet share: 32 bytes, in a file as 64 hexadecimal digits. Whoever holds it is
+// one of them. Several may be in use at once, so that they can be changed without a stop.
 #pragma once
 
 #include <array>
--- a/src/peers/seal/refusals.cpp
+++ b/src/peers/seal/refusals.cpp
@@ -13,10 +13,12 @@
 }
 
 std::optional<std::string> Refusals::line(Micros now) {
-  if (all_ == told_ || (at_ && now - *at_ < between)) return std::nullopt;
+  if (all_ == told_ || (at_ && now - *at_ < between))
+    return std::nullopt;
   std::string text;
   for (std::size_t i = 0; i < kinds; ++i)
-    if (all_[i] > told_[i]) text += (text.empty() ? "" : ", ") + std::to_string(all_[i] - told_[i]) + " " + names[i];
+    if (all_[i] > told_[i])
+      text += (text.empty() ? "" : ", ") + std::to_string(all_[i] - told_[i]) + " " + names[i];
   told_ = all_;
   at_ = now;
   return "peers: datagrams refused: " + text + "; the last one from " + last_from_;
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -2,8 +2,8 @@
 //
 //   version 1 | id of the key 4 | tag of the sender 8 | its start 8 | sequence 8 | sealed text | proof 16
 //
-// Tag, start and sequence are the nonce of XChaCha20-Poly1305, so none is ever used twice with a key; version and id of
-// the key are proven with the text. Free of I/O.
+// Tag, start and sequence are the nonce of XChaCha20-Poly1305, so none is ever used twice with a key; version
+// and id of the key are proven with the text. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -38,8 +38,8 @@
 class Opener {
  public:
   Opener(std::vector<Key> keys, std::size_t most_senders) : keys_(std::move(keys)), windows_(most_senders) {}
-  // The text of a datagram that is proven and has not come before; otherwise why not. What can be told without a
-  // computation of the proof is told first.
+  // The text of a datagram that is proven and has not come before; otherwise why not. What can be told
+  // without a computation of the proof is told first.
   std::optional<std::string> open(std::string_view sealed, Refusal& why);
   std::size_t senders() const { return windows_.size(); }
 
--- a/src/peers/seal/window.cpp
+++ b/src/peers/seal/window.cpp
@@ -8,15 +8,18 @@
 }  // namespace
 
 bool Window::fresh(std::uint64_t sequence) const {
-  if (sequence > newest_) return true;
-  if (sequence == 0 || newest_ - sequence >= width) return false;
+  if (sequence > newest_)
+    return true;
+  if (sequence == 0 || newest_ - sequence >= width)
+    return false;
   return !(seen_[sequence / bits % seen_.size()] >> (sequence % bits) & 1);
 }
 
 void Window::mark(std::uint64_t sequence) {
   if (sequence > newest_) {
     // What the window leaves is wiped for what enters it.
-    if (sequence - newest_ >= width) seen_.fill(0);
+    if (sequence - newest_ >= width)
+      seen_.fill(0);
     else
       for (auto at = newest_ + 1; at <= sequence; ++at)
         seen_[at / bits % seen_.size()] &= ~(std::uint64_t{1} << (at % bits));
--- a/src/peers/seal/window.h
+++ b/src/peers/seal/window.h
@@ -27,8 +27,9 @@
   std::array<std::uint64_t, width / 64> seen_{};
 };
 
-// Danger: whoever is forgotten can be replayed, once. The sender forgotten is the one not heard for the longest time,
-// which with a table twice as large as a view takes thousands of newer processes; membership then knows a newer start.
+// Danger: whoever is forgotten can be replayed, once. The sender forgotten is the one not heard for the
+// longest time, which with a table twice as large as a view takes thousands of newer processes; membership
+// then knows a newer start.
 class Windows {
  public:
   explicit Windows(std::size_t most) : most_(most) {}
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -21,7 +21,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds rest_of_flood{5};  // what is not read meanwhile the kernel drops, once its buffer is full
+constexpr milliseconds rest_of_flood{
+    5};  // what is not read meanwhile the kernel drops, once its buffer is full
 constexpr milliseconds try_home_again{500};
 constexpr std::size_t most_senders = 8192;  // twice the members of a view: a restart is another sender
 
@@ -34,7 +35,9 @@
 std::string with_port(const std::string& address, const std::string& port) {
   return address.substr(0, address.rfind(':') + 1) + port;
 }
-std::string port_of(const std::string& address) { return address.substr(address.rfind(':') + 1); }
+std::string port_of(const std::string& address) {
+  return address.substr(address.rfind(':') + 1);
+}
 
 }  // namespace
 
@@ -53,7 +56,8 @@
         due_(loop_, [this] { guarded([this] { run_due(); }); }),
         rest_(loop_, [this] { resume(); }),
         home_again_(loop_, [this] { take_home(); }) {
-    for (Rider* rider : riders) agent_.add(*rider);
+    for (Rider* rider : riders)
+      agent_.add(*rider);
   }
 
   std::unique_ptr<Udp> open(const std::string& address) {
@@ -64,11 +68,13 @@
     });
   }
   std::unique_ptr<Udp> listen() {
-    if (sodium_init() < 0) throw std::runtime_error("peers: libsodium can't be used");
+    if (sodium_init() < 0)
+      throw std::runtime_error("peers: libsodium can't be used");
     try {
       return open(options_.listen);
     } catch (const std::runtime_error&) {
-      if (!options_.beside_another) throw;
+      if (!options_.beside_another)
+        throw;
     }
     auto socket = open(with_port(options_.listen, "0"));
     logging::info() << "peers: " << options_.listen << " is another process's still, on " << socket->address()
@@ -84,8 +90,10 @@
   // Known once the socket is there.
   const peers::Options& settled() {
     auto& address = options_.agent.address;
-    if (address.empty()) address = with_port(options_.listen, port_of(socket_->address()));
-    else if (away_ || port_of(address) == "0") address = with_port(address, port_of(socket_->address()));
+    if (address.empty())
+      address = with_port(options_.listen, port_of(socket_->address()));
+    else if (away_ || port_of(address) == "0")
+      address = with_port(address, port_of(socket_->address()));
     std::erase(options_.agent.seeds, address);
     service_.address_ = address;
     return options_.agent;
@@ -100,7 +108,8 @@
     }
   }
 
-  // Guards against an exception that would pass through the event loop, which can't bear one, and end what serves.
+  // Guards against an exception that would pass through the event loop, which can't bear one, and end what
+  // serves.
   template <class Work>
   void guarded(Work work) {
     try {
@@ -115,10 +124,12 @@
   void run() {
     guarded([this] {
       agent_.start(clock_.now());
-      if (away_) home_again_.start(try_home_again);
+      if (away_)
+        home_again_.start(try_home_again);
       round();
     });
-    if (!service_.failed_) loop_.run();
+    if (!service_.failed_)
+      loop_.run();
   }
   void woken() {
     const Micros now = clock_.now();
@@ -133,7 +144,8 @@
   }
   void run_due() {
     const Micros now = clock_.now();
-    if (agent_.next_due() <= now) agent_.run_due(now);
+    if (agent_.next_due() <= now)
+      agent_.run_due(now);
     round();
   }
 
@@ -141,7 +153,8 @@
     using seal::Refusals;
     const Micros now = clock_.now();
     const bool more = flood_.take(now);
-    if (!more) rest_.start(rest_of_flood);
+    if (!more)
+      rest_.start(rest_of_flood);
     if (!more || !flood_.look(now, from)) {
       refusals_.count(Refusals::flood, from);
       return more;
@@ -152,8 +165,10 @@
       flood_.prove(now, from);
       ++opened_;
       agent_.receive(now, from, *plain);
-      // One round for all that has come together. Danger: a deferred job would run once more as the loop goes.
-      if (!std::exchange(round_due_, true)) due_.start(Micros(0));
+      // One round for all that has come together. Danger: a deferred job would run once more as the loop
+      // goes.
+      if (!std::exchange(round_due_, true))
+        due_.start(Micros(0));
       return true;
     }
     constexpr Refusals::Kind kinds[] = {Refusals::forged, Refusals::oversize, Refusals::version,
@@ -163,7 +178,8 @@
   }
   void resume() {
     socket_->resume();
-    if (home_) home_->resume();
+    if (home_)
+      home_->resume();
   }
 
   void send() {
@@ -174,23 +190,28 @@
       }
       const auto instead = via().find(datagram.to);
       const std::string& to = instead == via_.end() ? datagram.to : instead->second;
-      if (socket_->send(to, sealer_.seal(datagram.bytes))) ++sent_;
-      else ++unsent_;
+      if (socket_->send(to, sealer_.seal(datagram.bytes)))
+        ++sent_;
+      else
+        ++unsent_;
     }
   }
   const std::unordered_map<std::string, std::string>& via() {
     const View& view = agent_.view();
-    if (options_.via.empty() || std::exchange(via_version_, view.version) == view.version) return via_;
+    if (options_.via.empty() || std::exchange(via_version_, view.version) == view.version)
+      return via_;
     via_.clear();
     for (const auto& [name, address] : options_.via)
-      if (const auto* member = view.find(name)) via_[member->address] = address;
+      if (const auto* member = view.find(name))
+        via_[member->address] = address;
     return via_;
   }
   void round() {
     round_due_ = false;
     send();
     const Micros now = clock_.now();
-    if (const auto line = refusals_.line(now)) logging::warn() << *line;
+    if (const auto line = refusals_.line(now))
+      logging::warn() << *line;
     desk_.round(now, service_);
     due_.start(std::min(agent_.next_due(), desk_.next_due()) - now);
   }
@@ -221,7 +242,8 @@
 Service::~Service() {
   ending_ = true;
   wake();
-  if (thread_.joinable()) thread_.join();
+  if (thread_.joinable())
+    thread_.join();
 }
 
 void Service::start() {
@@ -233,12 +255,18 @@
   pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
-void Service::wake() { parts_->wake_.ring(); }
-const View& Service::view() const { return parts_->agent_.view(); }
+void Service::wake() {
+  parts_->wake_.ring();
+}
+const View& Service::view() const {
+  return parts_->agent_.view();
+}
 
 nlohmann::json Service::describe(Micros now) const {
   auto all = parts_->agent_.describe(now);
-  nlohmann::json datagrams{{"opened", parts_->opened_}, {"sent", parts_->sent_}, {"unsent", parts_->unsent_},
+  nlohmann::json datagrams{{"opened", parts_->opened_},
+                           {"sent", parts_->sent_},
+                           {"unsent", parts_->unsent_},
                            {"too_long", parts_->too_long_}};
   for (std::size_t i = 0; i < seal::Refusals::kinds; ++i)
     datagrams["refused"][seal::Refusals::names[i]] = parts_->refusals_.all()[i];
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -1,5 +1,6 @@
-// An Agent on a UDP socket, on a loop and a thread of its own: datagrams are opened and handed to it, what it says is
-// sealed and sent. Nothing that happens here makes the serving loop wait; should this thread fail, serving goes on.
+// An Agent on a UDP socket, on a loop and a thread of its own: datagrams are opened and handed to it, what it
+// says is sealed and sent. Nothing that happens here makes the serving loop wait; should this thread fail,
+// serving goes on.
 #pragma once
 
 #include <atomic>
@@ -22,23 +23,24 @@
   struct Options {
     peers::Options agent;  // its address empty: where it listens
     std::string listen;
-    // An upgrade: the process before this one still listens there. Then any free port of that address is advertised, and
-    // what comes to the address itself is taken too once it is free.
+    // An upgrade: the process before this one still listens there. Then any free port of that address is
+    // advertised, and what comes to the address itself is taken too once it is free.
     bool beside_another = false;
-    std::vector<seal::Key> keys;             // the first one seals, each one opens
-    std::map<std::string, std::string> via;  // a peer's name: where its datagrams go instead of its own address
+    std::vector<seal::Key> keys;  // the first one seals, each one opens
+    std::map<std::string, std::string>
+        via;  // a peer's name: where its datagrams go instead of its own address
   };
   // What else is done on the thread of the peers.
   class Desk {
    public:
     virtual ~Desk() = default;
-    virtual void woken(Micros now) = 0;                          // after wake(); may be early, and once for many
+    virtual void woken(Micros now) = 0;  // after wake(); may be early, and once for many
     virtual void round(Micros now, const Service& service) = 0;  // after whatever may have changed something
-    virtual Micros next_due() const = 0;                         // when it wants a round, if nothing else happens
+    virtual Micros next_due() const = 0;  // when it wants a round, if nothing else happens
   };
 
-  // All of them outlive the service; the riders and the desk are met on its thread only once it is started. Throws if
-  // the address is taken.
+  // All of them outlive the service; the riders and the desk are met on its thread only once it is started.
+  // Throws if the address is taken.
   Service(Options options, const Clock& clock, const std::vector<Rider*>& riders, Desk& desk);
   ~Service();  // tells the others that this router ends, and ends the thread
   Service(const Service&) = delete;
--- a/src/peers/udp.cpp
+++ b/src/peers/udp.cpp
@@ -34,10 +34,12 @@
     : most_(most), came_(std::move(came)), buffer_(most + 1, '\0') {
   const net::Endpoint at(address);
   fd_ = socket(at.address()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &buffered, sizeof buffered);
+  if (fd_ >= 0)
+    setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &buffered, sizeof buffered);
   if (fd_ < 0 || bind(fd_, at.address(), static_cast<socklen_t>(at.length())) != 0) {
     const std::string why = std::strerror(errno);
-    if (fd_ >= 0) close(fd_);
+    if (fd_ >= 0)
+      close(fd_);
     throw std::runtime_error("peers: can't listen on " + address + ": " + why);
   }
   event_.reset(event_new(
@@ -58,15 +60,20 @@
   return text_of(at);
 }
 
-void Udp::resume() { event_add(event_.get(), nullptr); }
+void Udp::resume() {
+  event_add(event_.get(), nullptr);
+}
 
 void Udp::readable() {
   for (int i = 0; i < at_once; ++i) {
     sockaddr_storage from{};
     socklen_t length = sizeof from;
-    const auto got = recvfrom(fd_, buffer_.data(), buffer_.size(), 0, reinterpret_cast<sockaddr*>(&from), &length);
-    if (got < 0) return;  // nothing more, or an error that the kernel tells of an earlier send
-    if (came_(text_of(from), {buffer_.data(), static_cast<std::size_t>(got)})) continue;
+    const auto got =
+        recvfrom(fd_, buffer_.data(), buffer_.size(), 0, reinterpret_cast<sockaddr*>(&from), &length);
+    if (got < 0)
+      return;  // nothing more, or an error that the kernel tells of an earlier send
+    if (came_(text_of(from), {buffer_.data(), static_cast<std::size_t>(got)}))
+      continue;
     event_del(event_.get());
     return;
   }
@@ -75,7 +82,8 @@
 bool Udp::send(const std::string& to, std::string_view bytes) {
   try {
     const net::Endpoint at(to);
-    return sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, at.address(), static_cast<socklen_t>(at.length())) >= 0;
+    return sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, at.address(),
+                  static_cast<socklen_t>(at.length())) >= 0;
   } catch (const std::invalid_argument&) {
     return false;  // what others say is their address need not be one
   }
