--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -1,5 +1,5 @@
-// A drawn schedule: two processes of one router, the real core and the real Scheduler in each, on one clock, among
-// nodes and clients that do what the seed says. It keeps its own book of what may have run where.
+// A drawn schedule: two processes of one router, the real core and the real Scheduler in each, on one clock,
+// among nodes and clients that do what the seed says. It keeps its own book of what may have run where.
 #pragma once
 
 #include <algorithm>
@@ -15,17 +15,22 @@
 
 using namespace std::chrono_literals;
 
-// How often each path was walked, over all schedules: a property that nothing put to the test would hold as well.
+// How often each path was walked, over all schedules: a property that nothing put to the test would hold as
+// well.
 struct Seen {
-  int once_ran = 0, once_again = 0, safe_again = 0, gone_410 = 0, handed_over = 0, retuned_open = 0, served = 0;
+  int once_ran = 0, once_again = 0, safe_again = 0, gone_410 = 0, handed_over = 0, retuned_open = 0,
+      served = 0;
 };
 
 class Play {
  public:
   Play(std::uint64_t seed, Seen& seen) : seen_(seen), random_(seed), kinds_fixed_(seed % 4 != 0) {
-    for (int i = 0; i < 2; ++i) processes_.push_back(std::make_unique<Process>(*this, seed + static_cast<std::uint64_t>(i)));
-    for (const char* name : {"r1", "r2", "w1", "w2", "w3"}) list(name, Phase::ready);
-    if (one_in(4)) list("m1", Phase::ready);
+    for (int i = 0; i < 2; ++i)
+      processes_.push_back(std::make_unique<Process>(*this, seed + static_cast<std::uint64_t>(i)));
+    for (const char* name : {"r1", "r2", "w1", "w2", "w3"})
+      list(name, Phase::ready);
+    if (one_in(4))
+      list("m1", Phase::ready);
   }
   // The first faults, in words; empty: none.
   std::string run() {
@@ -33,10 +38,13 @@
       turn();
       run_due();
     }
-    for (int i = 0; i < 200 && fault_.empty(); ++i) pass(100ms);
-    if (!fault_.empty()) return fault_;  // played no further, so that much is unanswered
+    for (int i = 0; i < 200 && fault_.empty(); ++i)
+      pass(100ms);
+    if (!fault_.empty())
+      return fault_;  // played no further, so that much is unanswered
     for (const auto& [name, one] : book_)
-      if (!one.left && !one.lost && one.answers != 1) fault(name, std::to_string(one.answers) + " answers");
+      if (!one.left && !one.lost && one.answers != 1)
+        fault(name, std::to_string(one.answers) + " answers");
     return fault_;
   }
 
@@ -53,14 +61,18 @@
   };
 
   struct Run : Call {
-    Run(Play& play, std::string name, Attempt& to, bool serves) : play(play), name(std::move(name)), attempt(to), serves(serves) {
+    Run(Play& play, std::string name, Attempt& to, bool serves)
+        : play(play), name(std::move(name)), attempt(to), serves(serves) {
       play.calls_.push_back(this);
     }
     ~Run() override {
       std::erase(play.calls_, this);
-      if (!over) play.ended(*this, serves);  // given up, and it may run on
+      if (!over)
+        play.ended(*this, serves);  // given up, and it may run on
+    }
+    std::optional<PassedConnection> passable() override {
+      return begun ? std::optional(PassedConnection{3, false}) : std::nullopt;
     }
-    std::optional<PassedConnection> passable() override { return begun ? std::optional(PassedConnection{3, false}) : std::nullopt; }
     void passed() override { over = true; }
     Play& play;
     std::string name;
@@ -73,13 +85,16 @@
     bool event(std::string_view) override { return begun = true; }
     void finish() override { ++play.seen_.served, answer(); }
     void refuse(Micros) override {
-      if (play.book_[name].once && play.book_[name].ran) play.fault(name, "refused after it may have run");
+      if (play.book_[name].once && play.book_[name].ran)
+        play.fault(name, "refused after it may have run");
       answer();
     }
     void fail(Failure) override { answer(); }
     void cut() override { answer(); }
     void answer() { open = false, ++play.book_[name].answers; }
-    std::optional<PassedConnection> passable() override { return begun && open ? std::optional(PassedConnection{4, false}) : std::nullopt; }
+    std::optional<PassedConnection> passable() override {
+      return begun && open ? std::optional(PassedConnection{4, false}) : std::nullopt;
+    }
     void passed() override { open = false; }
     Play& play;
     std::string name;
@@ -88,31 +103,43 @@
   };
 
   struct Process : Nodes {
-    Process(Play& play, std::uint64_t seed) : play(play), settings(play.drawn()), core(settings, {"z"}, kinds, seed, play.clock_, *this) {
+    Process(Play& play, std::uint64_t seed)
+        : play(play), settings(play.drawn()), core(settings, {"z"}, kinds, seed, play.clock_, *this) {
       core.explain([this](const Choice& choice) { heard(choice); });
     }
     ~Process() override { core.explain({}); }
-    // Not only is nothing sent: the module itself chooses nothing for what must not go out again. Where a file turned
-    // kinds about it may, for a node that has left: it knows its role by the new list. The core knows the old one.
+    // Not only is nothing sent: the module itself chooses nothing for what must not go out again. Where a
+    // file turned kinds about it may, for a node that has left: it knows its role by the new list. The core
+    // knows the old one.
     void heard(const Choice& choice) {
       const auto name = names.find(choice.id);
-      if (name == names.end() || choice.chosen == 0 || !play.kinds_fixed_) return;
+      if (name == names.end() || choice.chosen == 0 || !play.kinds_fixed_)
+        return;
       const Page& page = play.book_[name->second];
-      if (page.once && page.ran) play.fault(name->second, "the module chose a node after it may have run");
+      if (page.once && page.ran)
+        play.fault(name->second, "the module chose a node after it may have run");
     }
     std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros, Attempt& attempt) override {
       Page& page = play.book_[prompt.id];
-      if (page.out++ != 0) play.fault(prompt.id, "two attempts out at once");
-      if (page.answers > 0 || page.left) play.fault(prompt.id, "sent after its end");
-      if (page.once && page.ran) play.fault(prompt.id, "sent again after it may have run");
-      if (++page.attempts > page.most) play.fault(prompt.id, "too many attempts");
-      if (page.once && page.attempts > 2) ++play.seen_.once_again;  // its earlier ones prove that they did nothing
-      if (!page.once && page.ran) ++play.seen_.safe_again;
-      const auto kind = static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
+      if (page.out++ != 0)
+        play.fault(prompt.id, "two attempts out at once");
+      if (page.answers > 0 || page.left)
+        play.fault(prompt.id, "sent after its end");
+      if (page.once && page.ran)
+        play.fault(prompt.id, "sent again after it may have run");
+      if (++page.attempts > page.most)
+        play.fault(prompt.id, "too many attempts");
+      if (page.once && page.attempts > 2)
+        ++play.seen_.once_again;  // its earlier ones prove that they did nothing
+      if (!page.once && page.ran)
+        ++play.seen_.safe_again;
+      const auto kind =
+          static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
       return std::make_unique<Run>(play, prompt.id, attempt, settings.kind_role.at(kind) != Role::read);
     }
     std::unique_ptr<Call> adopt(const Node&, const PassedConnection&, Attempt& attempt) override {
-      if (play.one_in(8)) return nullptr;
+      if (play.one_in(8))
+        return nullptr;
       auto call = std::make_unique<Run>(play, play.passing_, attempt, true);
       call->begun = play.adopted_ = true;
       return call;
@@ -135,7 +162,9 @@
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(random_() % n); }
   bool one_in(std::size_t n) { return below(n) == 0; }
   template <class T>
-  const T& any(const std::vector<T>& of) { return of[below(of.size())]; }
+  const T& any(const std::vector<T>& of) {
+    return of[below(of.size())];
+  }
 
   Settings drawn() {
     Settings s;
@@ -164,12 +193,24 @@
   // ---- one step ----
   void turn() {
     switch (below(12)) {
-      case 0: case 1: case 2: return ask();
-      case 3: case 4: case 5: case 6: case 7: return calls_.empty() ? ask() : answer(*calls_[below(calls_.size())]);
-      case 8: return pass(Micros(below(900) * 1000));
-      case 9: return one_in(2) ? change_list() : leave();
-      case 10: return one_in(3) ? retune() : order();
-      default: return hand_over();
+      case 0:
+      case 1:
+      case 2:
+        return ask();
+      case 3:
+      case 4:
+      case 5:
+      case 6:
+      case 7:
+        return calls_.empty() ? ask() : answer(*calls_[below(calls_.size())]);
+      case 8:
+        return pass(Micros(below(900) * 1000));
+      case 9:
+        return one_in(2) ? change_list() : leave();
+      case 10:
+        return one_in(3) ? retune() : order();
+      default:
+        return hand_over();
     }
   }
   void ask() {
@@ -184,8 +225,16 @@
     client_request.prompt_tokens = static_cast<double>(100 + below(5000));
     client_request.shared_tokens = client_request.prompt_tokens / 2;
     const auto& classes = process.settings.classes;
-    const auto at = std::find_if(classes.begin(), classes.end(), [&](auto& one) { return one.name == client_request.kind; });
-    book_[name] = {at != classes.end() && at->effect == Effect::unsafe, false, false, false, 0, process.settings.max_attempts, 0, 0};
+    const auto at = std::find_if(classes.begin(), classes.end(),
+                                 [&](auto& one) { return one.name == client_request.kind; });
+    book_[name] = {at != classes.end() && at->effect == Effect::unsafe,
+                   false,
+                   false,
+                   false,
+                   0,
+                   process.settings.max_attempts,
+                   0,
+                   0};
     Asker& asker = *askers_.back();
     if (process.core.take(client_request, asker, asker.id) == Router::Taken::yes) {
       process.names[asker.id] = name;
@@ -196,10 +245,12 @@
     }
   }
   void answer(Run& call) {
-    if (call.begun) return stream(call);
+    if (call.begun)
+      return stream(call);
     using enum Outcome;
-    const auto outcome = any(call.serves ? std::vector{ok, ok, ok, full, full, error, reset, connect_failed, cancelled}
-                                         : std::vector{read, read, read, read, read, full, error, reset, connect_failed});
+    const auto outcome =
+        any(call.serves ? std::vector{ok, ok, ok, full, full, error, reset, connect_failed, cancelled}
+                        : std::vector{read, read, read, read, read, full, error, reset, connect_failed});
     if (outcome == ok) {
       call.begun = book_[call.name].ran = true;
       return call.attempt.event("a");
@@ -207,22 +258,27 @@
     end(call, {outcome, outcome == full && one_in(2) ? 1u : 0u, {}, {}});
   }
   void stream(Run& call) {
-    if (one_in(3)) return call.attempt.event("b");
+    if (one_in(3))
+      return call.attempt.event("b");
     // A writer that had begun says that there is no state: whatever it says, it has run.
-    const auto outcome = any(std::vector{Outcome::ok, Outcome::ok, Outcome::reset, Outcome::error, Outcome::full});
-    if (outcome == Outcome::full) ++seen_.gone_410;
+    const auto outcome =
+        any(std::vector{Outcome::ok, Outcome::ok, Outcome::reset, Outcome::error, Outcome::full});
+    if (outcome == Outcome::full)
+      ++seen_.gone_410;
     end(call, {outcome, outcome == Outcome::full ? 1u : 0u, {}, {}});
   }
   void end(Run& call, Result result) {
     call.over = true;
-    const bool never = result.outcome == Outcome::full || result.outcome == Outcome::connect_failed || result.outcome == Outcome::read;
+    const bool never = result.outcome == Outcome::full || result.outcome == Outcome::connect_failed ||
+                       result.outcome == Outcome::read;
     ended(call, call.serves && !never);
     call.attempt.done(std::move(result));
   }
   void ended(const Run& call, bool may_have_run) {
     Page& page = book_[call.name];
     --page.out;
-    if (may_have_run && page.once && !page.ran) ++seen_.once_ran;
+    if (may_have_run && page.once && !page.ran)
+      ++seen_.once_ran;
     page.ran |= may_have_run;
   }
 
@@ -230,47 +286,60 @@
     const Micros until = clock_.at + span;
     for (;;) {
       Micros next = until;
-      for (auto& process : processes_) next = std::min(next, process->core.next_due().value_or(until));
+      for (auto& process : processes_)
+        next = std::min(next, process->core.next_due().value_or(until));
       clock_.at = std::max(clock_.at, next);
       run_due();
-      if (clock_.at >= until) return;
+      if (clock_.at >= until)
+        return;
     }
   }
   void run_due() {
-    for (auto& process : processes_) process->core.run_due();
+    for (auto& process : processes_)
+      process->core.run_due();
   }
   void list(const std::string& name, Phase phase, bool restarted = false) {
     for (auto& process : processes_)
-      process->core.update(ListKind::delta, ++version_, {{name, "127.0.0.1:1", "z", name.substr(0, 1), 0, phase, 1, restarted ? clock_.at : Micros(0)}});
+      process->core.update(
+          ListKind::delta, ++version_,
+          {{name, "127.0.0.1:1", "z", name.substr(0, 1), 0, phase, 1, restarted ? clock_.at : Micros(0)}});
   }
   void change_list() {
     const auto name = any(std::vector<std::string>{"r1", "r2", "w1", "w2", "w3", "m1"});
     list(name, any(std::vector{Phase::ready, Phase::ready, Phase::draining, Phase::gone}), one_in(2));
   }
   void leave() {
-    if (askers_.empty()) return;
+    if (askers_.empty())
+      return;
     Asker& asker = *any(askers_);
-    if (!asker.open) return;
+    if (!asker.open)
+      return;
     asker.open = false;
     book_[asker.name].left = true;
     owner_.at(asker.name)->core.gone(asker.id);
   }
   void order() {
     const auto name = any(std::vector<std::string>{"r1", "w1", "w2"});
-    for (auto& process : processes_) one_in(2) ? process->core.take_out(name) : process->core.put_back(name);
+    for (auto& process : processes_)
+      one_in(2) ? process->core.take_out(name) : process->core.put_back(name);
   }
-  // What SIGHUP may bring: other attempts, classes in another order, one of them gone or said to be safe by now; in some
-  // schedules kinds in another order, and other roles for them.
+  // What SIGHUP may bring: other attempts, classes in another order, one of them gone or said to be safe by
+  // now; in some schedules kinds in another order, and other roles for them.
   void retune() {
     Process& process = *any(processes_);
     Settings s = drawn();
     std::shuffle(s.classes.begin(), s.classes.end(), random_);
-    if (one_in(4)) s.classes.pop_back();
-    else if (one_in(4)) s.classes[0].effect = Effect::safe;
-    if (!kinds_fixed_ && one_in(2)) std::reverse(process.kinds.begin(), process.kinds.end());
+    if (one_in(4))
+      s.classes.pop_back();
+    else if (one_in(4))
+      s.classes[0].effect = Effect::safe;
+    if (!kinds_fixed_ && one_in(2))
+      std::reverse(process.kinds.begin(), process.kinds.end());
     std::map<std::string, Role> roles{{"r", Role::read}, {"w", Role::write}, {"m", Role::both}};
-    if (!kinds_fixed_ && one_in(2)) std::swap(roles["r"], roles["w"]);
-    for (std::size_t i = 0; i < process.kinds.size(); ++i) s.kind_role[i] = roles[process.kinds[i]];
+    if (!kinds_fixed_ && one_in(2))
+      std::swap(roles["r"], roles["w"]);
+    for (std::size_t i = 0; i < process.kinds.size(); ++i)
+      s.kind_role[i] = roles[process.kinds[i]];
     process.settings = s;
     seen_.retuned_open += process.core.open() > 0;
     process.core.retune(s, {"z"}, process.kinds);
@@ -278,7 +347,8 @@
   void hand_over() {
     Process &from = *processes_[0], &to = *processes_[1];
     from.core.pass_streams([&](const PassedStream& stream) {
-      if (one_in(6)) return false;
+      if (one_in(6))
+        return false;
       passing_ = stream.id;
       adopted_ = false;
       askers_.push_back(std::make_unique<Asker>(*this, stream.id));
@@ -297,7 +367,8 @@
     });
   }
   void fault(const std::string& name, const std::string& what) {
-    if (fault_.size() < 300) fault_ += (fault_.empty() ? "" : "; ") + name + ": " + what;
+    if (fault_.size() < 300)
+      fault_ += (fault_.empty() ? "" : "; ") + name + ": " + what;
   }
 
   Seen& seen_;
--- a/tests/deployments/once_test.cpp
+++ b/tests/deployments/once_test.cpp
@@ -1,5 +1,6 @@
-// A request whose class must never run twice: whatever nodes, clients, operators and the other process do, no attempt of
-// it goes out after one that may have run, and it is not refused then, since a refusal says that trying again is harmless.
+// A request whose class must never run twice: whatever nodes, clients, operators and the other process do, no
+// attempt of it goes out after one that may have run, and it is not refused then, since a refusal says that
+// trying again is harmless.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -30,9 +31,10 @@
     const auto fault = once::Play(seed, seen).run();
     ASSERT_EQ(fault, "") << "seed " << seed;
   }
-  std::cout << "may have run " << seen.once_ran << ", sent again on proof " << seen.once_again << ", safe ones again "
-            << seen.safe_again << ", no state once begun " << seen.gone_410 << ", handed over " << seen.handed_over
-            << ", retuned while open " << seen.retuned_open << ", served " << seen.served << "\n";
+  std::cout << "may have run " << seen.once_ran << ", sent again on proof " << seen.once_again
+            << ", safe ones again " << seen.safe_again << ", no state once begun " << seen.gone_410
+            << ", handed over " << seen.handed_over << ", retuned while open " << seen.retuned_open
+            << ", served " << seen.served << "\n";
   // The dangerous paths were walked, each of them often.
   EXPECT_GT(seen.once_ran, 2000);
   EXPECT_GT(seen.once_again, 500);
--- a/tests/deployments/silence_test.cpp
+++ b/tests/deployments/silence_test.cpp
@@ -1,5 +1,5 @@
-// The one clock for silence, played on paper: wherever in a call a watch falls silent, and however many of the calls
-// after it do, the list is had again in time. And lists as they may come.
+// The one clock for silence, played on paper: wherever in a call a watch falls silent, and however many of
+// the calls after it do, the list is had again in time. And lists as they may come.
 #include <gtest/gtest.h>
 
 #include "discovery/cadence.h"
@@ -10,21 +10,28 @@
 
 using namespace std::chrono_literals;
 
-// Told from the start of the silence on: 6 s, or 2 s after the wait of the call that was out is over, if that is later.
-Micros told_by(const Cadence::Call& call, Micros silent) { return std::max<Micros>(silent + 6s, call.wait + 2s); }
+// Told from the start of the silence on: 6 s, or 2 s after the wait of the call that was out is over, if that
+// is later.
+Micros told_by(const Cadence::Call& call, Micros silent) {
+  return std::max<Micros>(silent + 6s, call.wait + 2s);
+}
 
-// A call that is out when all goes silent `silent` after its start, and `begun` of them after its answer began to come;
-// the `more` calls that follow are silent too. When is the whole list asked for by a call that is answered?
+// A call that is out when all goes silent `silent` after its start, and `begun` of them after its answer
+// began to come; the `more` calls that follow are silent too. When is the whole list asked for by a call that
+// is answered?
 Micros had_again(bool waits, Micros silent, bool begun, int more, Cadence::Call& first) {
   Cadence cadence;
-  if (waits) cadence.answered(7);
+  if (waits)
+    cadence.answered(7);
   first = cadence.next();
   Micros at = std::min(begun ? silent + Cadence::pause : first.first, first.whole);
   for (;; --more) {
     cadence.failed();
     at += Cadence::again;
-    EXPECT_EQ(cadence.next().wait, Micros(0)) << "what was missed is asked for whole, by a call that does not wait";
-    if (more == 0) return at;
+    EXPECT_EQ(cadence.next().wait, Micros(0))
+        << "what was missed is asked for whole, by a call that does not wait";
+    if (more == 0)
+      return at;
     at += cadence.next().first;
   }
 }
@@ -35,8 +42,10 @@
       for (int more = 0; more <= 3; ++more)
         for (Micros silent = 0us;; silent += 10ms) {
           Cadence cadence;
-          if (waits) cadence.answered(7);
-          if (silent >= cadence.next().first) break;
+          if (waits)
+            cadence.answered(7);
+          if (silent >= cadence.next().first)
+            break;
           Cadence::Call call;
           const Micros at = had_again(waits, silent, begun, more, call);
           ASSERT_LE(at + 500ms, told_by(call, silent)) << waits << begun << more << ' ' << silent.count();
@@ -63,7 +72,9 @@
       {"instanceId":"s-1","hostPort":"10.1.0.18:5000","zone":"a","machineType":"m2","cell":3,"lifecycle":"leaving","weight":1.5,"startedAtMs":17}]})");
   std::string odd = " \t\r\n";
   for (const char c : parsed.dump())
-    odd += std::string("{}[]:,").find(c) != std::string::npos && odd.back() != '8' ? std::string("\r\n\t ") + c + " \n" : std::string(1, c);
+    odd += std::string("{}[]:,").find(c) != std::string::npos && odd.back() != '8'
+               ? std::string("\r\n\t ") + c + " \n"
+               : std::string(1, c);
   odd += "\n\n";
   for (const std::string& text : {parsed.dump(), parsed.dump(4), parsed.dump(1, '\t'), odd}) {
     const NodeList list = parse_list_text(text);
@@ -78,10 +89,15 @@
 
 // A deployment without zones, cells or weights leaves them out, or says null.
 TEST(Lists, MayLeaveOutWhatADeploymentHasNot) {
-  for (const char* entry : {R"({"instanceId":"s","hostPort":"127.0.0.1:5","machineType":"m","lifecycle":"active"})",
-                            R"({"instanceId":"s","hostPort":"127.0.0.1:5","machineType":"m","lifecycle":"active","zone":null,"cell":null,"weight":null,"startedAtMs":null})"}) {
-    const auto node = parse_list_text(std::string(R"({"generation":1,"reset":true,"instances":[)") + entry + "]}").nodes.at(0);
-    EXPECT_EQ(std::tuple(node.zone, node.cell, node.weight, node.started), std::tuple(std::string(), 0, 1.0f, Micros(0)));
+  for (
+      const char* entry :
+      {R"({"instanceId":"s","hostPort":"127.0.0.1:5","machineType":"m","lifecycle":"active"})",
+       R"({"instanceId":"s","hostPort":"127.0.0.1:5","machineType":"m","lifecycle":"active","zone":null,"cell":null,"weight":null,"startedAtMs":null})"}) {
+    const auto node =
+        parse_list_text(std::string(R"({"generation":1,"reset":true,"instances":[)") + entry + "]}")
+            .nodes.at(0);
+    EXPECT_EQ(std::tuple(node.zone, node.cell, node.weight, node.started),
+              std::tuple(std::string(), 0, 1.0f, Micros(0)));
   }
 }
 
--- a/tests/deployments/start_test.cpp
+++ b/tests/deployments/start_test.cpp
@@ -16,7 +16,8 @@
   EXPECT_TRUE(platform.unused.empty());
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].effect, Effect::safe);
-  EXPECT_TRUE(s.may_probe && s.marks_retry && s.report_x0_is_memory && s.report_x1_is_unread && s.tenants.empty());
+  EXPECT_TRUE(s.may_probe && s.marks_retry && s.report_x0_is_memory && s.report_x1_is_unread &&
+              s.tenants.empty());
   EXPECT_EQ(std::tuple(platform.zones.size(), s.zone, s.siblings), std::tuple(3u, 1u, 3u));
   EXPECT_EQ(s.release_within, 1s);
   EXPECT_EQ(platform.known.nodes.at(0).cell, 3);
@@ -46,7 +47,8 @@
   settings["extra"]["resume"] = true;
   settings["limits"]["second-copies"] = true;
   const auto platform = parse_platform(shapes::file(settings));
-  EXPECT_EQ(platform.unused, (std::vector<std::string>{"extra.early-pairing", "extra.resume", "limits.second-copies"}));
+  EXPECT_EQ(platform.unused,
+            (std::vector<std::string>{"extra.early-pairing", "extra.resume", "limits.second-copies"}));
   EXPECT_FALSE(platform.settings.place_ahead || platform.settings.resume || platform.settings.second_copies);
 }
 
@@ -55,14 +57,29 @@
   struct Row {
     const char *path, *value;
   };
-  for (const Row& row : std::initializer_list<Row>{
-           {"/limits/cancel", "false"}, {"/limits/retry-after", "false"}, {"/limits/max-attempts", "1"}, {"/limits/may-tell", "true"},
-           {"/discovery", "\"on_request\""}, {"/report/how", "\"pull\""}, {"/report/how", "\"silent\""}, {"/report/columns", "[]"},
-           {"/extra/read-in-place", "true"}, {"/extra/kind-role", "[\"both\",\"both\"]"}, {"/extra/tokens-by-kind", "[]"},
-           {"/extra/aim-us-per-1000-prompt-tokens", "[]"}, {"/accounts", "null"}, {"/accounts", "\"\""}, {"/me", "5"},
-           {"/siblings", "1"}, {"/lanes/2/idempotency", "\"idempotency_key\""}, {"/lanes/0/name", "\"a class, named freely\""},
-           {"/lanes/0/stream", "false"}, {"/lanes/0/new-key", "{\"deep\":[1,{\"x\":null}]}"}, {"/weight-kind", "\"live\""},
-           {"/safety/cold-us", "0"}, {"/locality", "0"}}) {
+  for (const Row& row : std::initializer_list<Row>{{"/limits/cancel", "false"},
+                                                   {"/limits/retry-after", "false"},
+                                                   {"/limits/max-attempts", "1"},
+                                                   {"/limits/may-tell", "true"},
+                                                   {"/discovery", "\"on_request\""},
+                                                   {"/report/how", "\"pull\""},
+                                                   {"/report/how", "\"silent\""},
+                                                   {"/report/columns", "[]"},
+                                                   {"/extra/read-in-place", "true"},
+                                                   {"/extra/kind-role", "[\"both\",\"both\"]"},
+                                                   {"/extra/tokens-by-kind", "[]"},
+                                                   {"/extra/aim-us-per-1000-prompt-tokens", "[]"},
+                                                   {"/accounts", "null"},
+                                                   {"/accounts", "\"\""},
+                                                   {"/me", "5"},
+                                                   {"/siblings", "1"},
+                                                   {"/lanes/2/idempotency", "\"idempotency_key\""},
+                                                   {"/lanes/0/name", "\"a class, named freely\""},
+                                                   {"/lanes/0/stream", "false"},
+                                                   {"/lanes/0/new-key", "{\"deep\":[1,{\"x\":null}]}"},
+                                                   {"/weight-kind", "\"live\""},
+                                                   {"/safety/cold-us", "0"},
+                                                   {"/locality", "0"}}) {
     auto settings = shapes::three_classes();
     settings[shapes::json::json_pointer(row.path)] = shapes::json::parse(row.value);
     EXPECT_NO_THROW(parse_platform(shapes::file(settings))) << row.path << " " << row.value;
--- a/tests/discovery/cadence_test.cpp
+++ b/tests/discovery/cadence_test.cpp
@@ -1,5 +1,6 @@
-// The one clock for lists, over drawn schedules: what discovery had is with the core in time, counted from when
-// discovery had it and could be reached. And a fleet that loses discovery together does not come back together.
+// The one clock for lists, over drawn schedules: what discovery had is with the core in time, counted from
+// when discovery had it and could be reached. And a fleet that loses discovery together does not come back
+// together.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -13,9 +14,12 @@
 
 Schedule drawn(std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  const auto upto = [&](Micros most) { return Micros(std::uniform_int_distribution<Micros::rep>(0, most.count())(random)); };
+  const auto upto = [&](Micros most) {
+    return Micros(std::uniform_int_distribution<Micros::rep>(0, most.count())(random));
+  };
   const auto spread = [&](std::vector<Micros>& to, Micros least, Micros more) {
-    for (Micros at = least + upto(more); at < day; at += least + upto(more)) to.push_back(at);
+    for (Micros at = least + upto(more); at < day; at += least + upto(more))
+      to.push_back(at);
   };
   Schedule s;
   spread(s.changes, 50ms, 3s);
@@ -24,30 +28,37 @@
     s.troubles.push_back({at, to, static_cast<Trouble>(random() % static_cast<int>(Trouble::kinds))});
     at = to + (random() % 4 ? upto(9s) : upto(300ms)) + 1ms;
   }
-  if (random() % 2) spread(s.silences, 7s, 10s);
-  if (random() % 2) spread(s.restarts, 9s, 20s);
-  if (random() % 2) spread(s.moves, 9s, 20s);
+  if (random() % 2)
+    spread(s.silences, 7s, 10s);
+  if (random() % 2)
+    spread(s.restarts, 9s, 20s);
+  if (random() % 2)
+    spread(s.moves, 9s, 20s);
   s.answers_in = random() % 2 ? 300us : 20ms;
   s.indented = random() % 2;
   return s;
 }
 
-// The longest that any change waited, of the time in which discovery had it and could be reached without a break.
+// The longest that any change waited, of the time in which discovery had it and could be reached without a
+// break.
 Micros worst(const Schedule& s, const World& world) {
   Micros longest{};
   std::vector<std::pair<Micros, Micros>> open;  // when it could be reached, at one address
   Micros from{};
-  for (const auto& one : s.troubles) open.emplace_back(std::exchange(from, one.to), one.from);
+  for (const auto& one : s.troubles)
+    open.emplace_back(std::exchange(from, one.to), one.from);
   open.emplace_back(from, day);
   for (std::size_t i = 0; i < s.changes.size(); ++i) {
     const Micros told = world.told(i).value_or(day);
     for (const auto& [begin, end] : open) {
       std::vector<Micros> cuts{std::max(begin, s.changes[i])};
       for (const Micros moved : s.moves)
-        if (moved > cuts.front() && moved < end) cuts.push_back(moved);
+        if (moved > cuts.front() && moved < end)
+          cuts.push_back(moved);
       cuts.push_back(end);
       for (std::size_t c = 0; c + 1 < cuts.size(); ++c)
-        if (cuts[c] < told) longest = std::max(longest, std::min(told, cuts[c + 1]) - cuts[c]);
+        if (cuts[c] < told)
+          longest = std::max(longest, std::min(told, cuts[c + 1]) - cuts[c]);
     }
   }
   return longest;
@@ -74,17 +85,21 @@
     const Micros here = worst(s, world);
     longest = std::max(longest, here);
     ASSERT_LE(here, bound) << "seed " << seed;
-    for (std::size_t i = 0; i < s.changes.size(); ++i) told += world.told(i).has_value();
+    for (std::size_t i = 0; i < s.changes.size(); ++i)
+      told += world.told(i).has_value();
   }
-  std::cout << "longest " << longest.count() / 1000 << " ms of " << bound.count() / 1000 << ", changes told " << told << "\n";
+  std::cout << "longest " << longest.count() / 1000 << " ms of " << bound.count() / 1000 << ", changes told "
+            << told << "\n";
   EXPECT_GT(told, 8000u);
 }
-// Pushed: the longest call that fails (an answer by drops, 1.5 s), a rest and an answer; asked: the page's 6 s.
+// Pushed: the longest call that fails (an answer by drops, 1.5 s), a rest and an answer; asked: the page's 6
+// s.
 INSTANTIATE_TEST_SUITE_P(Lists, Clock,
                          testing::Values(Row{Lists::pushed, 500ms, 1700ms}, Row{Lists::pushed, 0ms, 1700ms},
                                          Row{Lists::asked, 500ms, 6s}));
 
-// One disturbance of each kind and length, from any moment on: how long after its end the core has what happened in it.
+// One disturbance of each kind and length, from any moment on: how long after its end the core has what
+// happened in it.
 Micros after(Lists lists, Micros grace, Trouble what, Micros length, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   const Micros from = 2s + Micros(random() % 2000000), to = from + length;
@@ -100,7 +115,8 @@
 // What the agent gets at the return counts as told at once, so the list has to be had well within the grace.
 TEST(Outage, ItsEndIsNoticedWithinTheGrace) {
   for (const Micros grace : {250ms, 500ms})
-    for (const Trouble what : {Trouble::refused, Trouble::never_up, Trouble::silent, Trouble::reset, Trouble::status, Trouble::unreadable})
+    for (const Trouble what : {Trouble::refused, Trouble::never_up, Trouble::silent, Trouble::reset,
+                               Trouble::status, Trouble::unreadable})
       for (const Micros length : {1000ms, 1300ms, 8000ms})
         for (std::uint64_t seed = 1; seed <= 40; ++seed)
           ASSERT_LE(after(Lists::pushed, grace, what, length, seed), grace / 2 + 5ms)
@@ -111,7 +127,8 @@
   for (int what = 0; what < static_cast<int>(Trouble::kinds); ++what)
     for (const Micros length : {100ms, 3000ms, 8000ms, 50000ms})
       for (std::uint64_t seed = 1; seed <= 50; ++seed)
-        ASSERT_LE(after(Lists::asked, 500ms, static_cast<Trouble>(what), length, seed), 5s) << what << ' ' << seed;
+        ASSERT_LE(after(Lists::asked, 500ms, static_cast<Trouble>(what), length, seed), 5s)
+            << what << ' ' << seed;
 }
 
 // Wherever in its call a watch falls silent, what it misses is had a second later.
@@ -134,7 +151,8 @@
   std::sort(times.begin(), times.end());
   std::size_t most = 0;
   for (std::size_t i = 0, j = 0; i < times.size(); ++i) {
-    while (times[i] - times[j] > width) ++j;
+    while (times[i] - times[j] > width)
+      ++j;
     most = std::max(most, i - j + 1);
   }
   return {most, times.back() - times.front()};
@@ -175,18 +193,21 @@
     EXPECT_LE(most, 40u);
     EXPECT_GE(apart, 150ms);
   }
-  EXPECT_EQ(crowd(first_calls(s, Lists::pushed, 501ms, true), 10ms).first, 300u) << "it is the seed that parts them";
+  EXPECT_EQ(crowd(first_calls(s, Lists::pushed, 501ms, true), 10ms).first, 300u)
+      << "it is the seed that parts them";
 }
 
 // Where calls have their price: few of them in an outage, and no whole list for a watch that broke.
 TEST(Fleet, AsksSparinglyWhereListsCost) {
   Schedule s;
-  for (Micros at = 100ms; at < 30s; at += 1s) s.changes.push_back(at);
+  for (Micros at = 100ms; at < 30s; at += 1s)
+    s.changes.push_back(at);
   s.troubles = {{10s, 30s, Trouble::refused}};
   s.answers_in = 300us;
   World world(s, Cadence(Lists::asked, 500ms, 7));
   world.play(40s);
-  const auto within = std::count_if(world.starts().begin(), world.starts().end(), [](Micros at) { return at > 10s && at < 30s; });
+  const auto within = std::count_if(world.starts().begin(), world.starts().end(),
+                                    [](Micros at) { return at > 10s && at < 30s; });
   EXPECT_LE(within, 30);
   EXPECT_EQ(world.whole_lists(), 1u);
   EXPECT_EQ(world.held(), world.listed(40s));
@@ -197,7 +218,8 @@
   Cadence cadence;
   cadence.next();
   EXPECT_EQ(cadence.take(200, R"({"generation":4,"reset":true,"instances":[]})", 1ms).rest, 0us);
-  for (const char* again : {R"({"generation":4,"reset":false,"instances":[]})", R"({"generation":4,"reset":true,"instances":[]})"}) {
+  for (const char* again : {R"({"generation":4,"reset":false,"instances":[]})",
+                            R"({"generation":4,"reset":true,"instances":[]})"}) {
     cadence.next();
     const Micros rest = cadence.take(200, again, 1ms).rest;
     EXPECT_GE(rest, 50ms);
@@ -207,7 +229,8 @@
   }
 }
 
-// Discovery that was started anew counts from the beginning; what it calls changes are none of the list held here.
+// Discovery that was started anew counts from the beginning; what it calls changes are none of the list held
+// here.
 TEST(Agent, ThatCountsBackIsAskedForTheWholeList) {
   Cadence cadence;
   cadence.answered(41);
--- a/tests/discovery/keys_test.cpp
+++ b/tests/discovery/keys_test.cpp
@@ -1,4 +1,5 @@
-// Every key of a configuration is used, or said not to be; none that is unknown, null or merely allowed stops the start.
+// Every key of a configuration is used, or said not to be; none that is unknown, null or merely allowed stops
+// the start.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +15,9 @@
 using shapes::json;
 using Keys = std::vector<std::string>;
 
-json whole(const json& settings) { return json::parse(shapes::file(settings)); }
+json whole(const json& settings) {
+  return json::parse(shapes::file(settings));
+}
 
 // All that the platform's page names, each with a value of its kind.
 json every_key() {
@@ -35,11 +38,30 @@
 TEST(Keys, AreUsedOrSaidNotToBe) {
   const Unread left = unread(whole(every_key()));
   EXPECT_EQ(left.unknown, Keys{});
-  EXPECT_EQ(left.unused,
-            (Keys{"/limits.cores", "/limits.memory_mb", "accounts[].share", "clients.marks-retry", "extra.cross-cell-price",
-                  "extra.read-in-place", "lanes[].late-worth", "lanes[].stream", "limits.cpu-us-per-request", "limits.cpu-us-per-s",
-                  "limits.may-tell", "limits.multiplex", "limits.open-cap", "limits.probes", "prices", "report.how",
-                  "safety.answer-slack-us", "safety.ask-every-us", "score-parts", "tier", "tiers", "weight-kind", "workload", "worth-by"}));
+  EXPECT_EQ(left.unused, (Keys{"/limits.cores",
+                               "/limits.memory_mb",
+                               "accounts[].share",
+                               "clients.marks-retry",
+                               "extra.cross-cell-price",
+                               "extra.read-in-place",
+                               "lanes[].late-worth",
+                               "lanes[].stream",
+                               "limits.cpu-us-per-request",
+                               "limits.cpu-us-per-s",
+                               "limits.may-tell",
+                               "limits.multiplex",
+                               "limits.open-cap",
+                               "limits.probes",
+                               "prices",
+                               "report.how",
+                               "safety.answer-slack-us",
+                               "safety.ask-every-us",
+                               "score-parts",
+                               "tier",
+                               "tiers",
+                               "weight-kind",
+                               "workload",
+                               "worth-by"}));
 }
 
 TEST(Keys, UnknownOnesAreSaidOnceAndStopNothing) {
@@ -47,13 +69,15 @@
   settings["new-thing"] = {{"deep", {1, json({{"x", nullptr}})}}};
   settings["extra"]["block"] = 16;
   settings["limits"]["gone"] = nullptr;
-  for (auto& lane : settings["lanes"]) lane["colour"] = json::array({json({{"a", 1}}), nullptr});
+  for (auto& lane : settings["lanes"])
+    lane["colour"] = json::array({json({{"a", 1}}), nullptr});
   json config = whole(settings);
   config["region"] = "south";
   config["limits"]["disk_mb"] = 5;
   Platform platform;
   ASSERT_NO_THROW(platform = parse_platform(config.dump()));
-  EXPECT_EQ(platform.unknown, (Keys{"/limits.disk_mb", "/region", "extra.block", "lanes[].colour", "limits.gone", "new-thing"}));
+  EXPECT_EQ(platform.unknown, (Keys{"/limits.disk_mb", "/region", "extra.block", "lanes[].colour",
+                                    "limits.gone", "new-thing"}));
   EXPECT_EQ(platform.settings.classes.size(), 3u);
 }
 
@@ -63,14 +87,16 @@
   int taken = 0;
   const json flat = config.flatten();
   for (const auto& [path, value] : flat.items()) {
-    if (path.ends_with("/0") || path.ends_with("/1") || path.ends_with("/2") || path.ends_with("/3")) continue;  // an item of a list
+    if (path.ends_with("/0") || path.ends_with("/1") || path.ends_with("/2") || path.ends_with("/3"))
+      continue;  // an item of a list
     json null = config, absent = config;
     const json::json_pointer at(path);
     null[at] = nullptr;
     absent[at.parent_pointer()].erase(at.back());
     std::string faults[2];
     Platform platforms[2];
-    for (int i = 0; i < 2; ++i) try {
+    for (int i = 0; i < 2; ++i)
+      try {
         platforms[i] = parse_platform((i ? absent : null).dump());
       } catch (const ConfigError& error) {
         faults[i] = error.what();
@@ -113,8 +139,9 @@
   cli::say_unused(platform);
   const std::string said = testing::internal::GetCapturedStderr();
   EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1);
-  for (const char* part : {"allowed by the settings and not used here: extra.early-pairing, extra.resume;", "stated and not used: /limits.cores,",
-                           "worth-by; not known, and left out: extra.block\n"})
+  for (const char* part :
+       {"allowed by the settings and not used here: extra.early-pairing, extra.resume;",
+        "stated and not used: /limits.cores,", "worth-by; not known, and left out: extra.block\n"})
     EXPECT_NE(said.find(part), std::string::npos) << said;
 }
 
--- a/tests/discovery/world.h
+++ b/tests/discovery/world.h
@@ -1,6 +1,6 @@
-// Discovery, the network to it and a watch on paper: what each call comes to is worked out from the schedule, and the
-// Cadence is told of it as discovery::Watch tells it. The worst is taken throughout: a call that has met a disturbance
-// is never answered, even if that ends while the call is out.
+// Discovery, the network to it and a watch on paper: what each call comes to is worked out from the schedule,
+// and the Cadence is told of it as discovery::Watch tells it. The worst is taken throughout: a call that has
+// met a disturbance is never answered, even if that ends while the call is out.
 #pragma once
 
 #include <algorithm>
@@ -24,12 +24,12 @@
 };
 
 struct Schedule {
-  std::vector<Micros> changes;           // discovery has something newer
-  std::vector<Disturbance> troubles;     // in order, none touching
-  std::vector<Micros> silences;          // a watch that is open then is never heard of again
-  std::vector<Micros> restarts;          // discovery counts anew, from a lower figure
-  std::vector<Micros> moves;             // SIGHUP to another address, which counts otherwise
-  Micros answers_in{};                   // a call that goes well
+  std::vector<Micros> changes;        // discovery has something newer
+  std::vector<Disturbance> troubles;  // in order, none touching
+  std::vector<Micros> silences;       // a watch that is open then is never heard of again
+  std::vector<Micros> restarts;       // discovery counts anew, from a lower figure
+  std::vector<Micros> moves;          // SIGHUP to another address, which counts otherwise
+  Micros answers_in{};                // a call that goes well
   bool indented = false;
 };
 
@@ -40,7 +40,8 @@
   // Plays up to `end`. Told times are those of the changes, in their order.
   void play(Micros end) {
     Micros at{};
-    while (at < end) at = call(at, cadence_.next());
+    while (at < end)
+      at = call(at, cadence_.next());
   }
   std::optional<Micros> told(std::size_t change) const {
     const auto found = told_.find(change);
@@ -49,7 +50,8 @@
   const std::map<std::string, int>& held() const { return held_; }
   std::map<std::string, int> listed(Micros at) const {  // node -> the change that touched it last
     std::map<std::string, int> nodes;
-    for (std::size_t i = 0; i < s_.changes.size() && s_.changes[i] <= at; ++i) nodes[name(i)] = static_cast<int>(i);
+    for (std::size_t i = 0; i < s_.changes.size() && s_.changes[i] <= at; ++i)
+      nodes[name(i)] = static_cast<int>(i);
     return nodes;
   }
   std::size_t calls() const { return starts_.size(); }
@@ -60,7 +62,8 @@
   static std::string name(std::size_t change) { return "n" + std::to_string(change % 5); }
   const Disturbance* trouble(Micros at) const {
     for (const auto& one : s_.troubles)
-      if (one.from <= at && at < one.to) return &one;
+      if (one.from <= at && at < one.to)
+        return &one;
     return nullptr;
   }
   static Micros next_of(const std::vector<Micros>& times, Micros after) {
@@ -72,17 +75,24 @@
   }
   // Each restart and each move begins a numbering of its own; a restart's is below what was held.
   std::uint32_t offset(Micros at) const {
-    return static_cast<std::uint32_t>(10000 - 100 * count(s_.restarts, at) + 1000 * (count(s_.moves, at) % 3));
+    return static_cast<std::uint32_t>(10000 - 100 * count(s_.restarts, at) +
+                                      1000 * (count(s_.moves, at) % 3));
+  }
+  std::uint32_t version(Micros at) const {
+    return offset(at) + static_cast<std::uint32_t>(count(s_.changes, at));
   }
-  std::uint32_t version(Micros at) const { return offset(at) + static_cast<std::uint32_t>(count(s_.changes, at)); }
 
   std::string text(Micros at, std::optional<std::uint32_t> index) {
-    nlohmann::json list{{"generation", version(at)}, {"reset", !index}, {"instances", nlohmann::json::array()}};
+    nlohmann::json list{
+        {"generation", version(at)}, {"reset", !index}, {"instances", nlohmann::json::array()}};
     whole_lists_ += !index;
     for (const auto& [node, change] : listed(at))
       if (!index || offset(at) + static_cast<std::uint32_t>(change) >= *index)
-        list["instances"].push_back({{"instanceId", node}, {"hostPort", "127.0.0.1:1"}, {"machineType", "m"},
-                                     {"lifecycle", "active"}, {"startedAtMs", change}});
+        list["instances"].push_back({{"instanceId", node},
+                                     {"hostPort", "127.0.0.1:1"},
+                                     {"machineType", "m"},
+                                     {"lifecycle", "active"},
+                                     {"startedAtMs", change}});
     return list.dump(s_.indented ? 4 : -1);
   }
 
@@ -91,22 +101,30 @@
     starts_.push_back(at);
     const Micros moved = next_of(s_.moves, at);
     const auto index = cadence_.has_list() ? std::optional(held_version_) : std::nullopt;
-    if (const auto* met = trouble(at)) return std::min(comes_to(at, at, call, met->what, moved), Micros::max());
+    if (const auto* met = trouble(at))
+      return std::min(comes_to(at, at, call, met->what, moved), Micros::max());
     // When discovery answers, if nothing comes between.
     Micros answered = at + call.wait;
-    if (!index || *index != version(at)) answered = index && *index > version(at) ? answered : at;
-    else answered = std::min(answered, next_of(s_.changes, at));
+    if (!index || *index != version(at))
+      answered = index && *index > version(at) ? answered : at;
+    else
+      answered = std::min(answered, next_of(s_.changes, at));
     answered = std::max(answered, at);
     const Micros silent = call.wait > 0us ? next_of(s_.silences, at) : Micros::max();
     Micros troubled = Micros::max();
     Trouble what{};
     for (const auto& one : s_.troubles)
-      if (one.from > at && one.from < troubled) troubled = one.from, what = one.what;
-    if (moved <= std::min({silent, troubled, answered})) return moved + cadence_.moved();
-    if (silent <= std::min(troubled, answered)) return comes_to(at, silent, call, Trouble::silent, moved);
-    if (troubled <= answered + s_.answers_in) return comes_to(at, troubled, call, what, moved);
+      if (one.from > at && one.from < troubled)
+        troubled = one.from, what = one.what;
+    if (moved <= std::min({silent, troubled, answered}))
+      return moved + cadence_.moved();
+    if (silent <= std::min(troubled, answered))
+      return comes_to(at, silent, call, Trouble::silent, moved);
+    if (troubled <= answered + s_.answers_in)
+      return comes_to(at, troubled, call, what, moved);
     const Micros end = answered + s_.answers_in;
-    if (s_.answers_in > call.first || end - at > call.whole) return lost(at + std::min(call.first, call.whole), moved);
+    if (s_.answers_in > call.first || end - at > call.whole)
+      return lost(at + std::min(call.first, call.whole), moved);
     return take(at, end, text(answered, index), index.has_value(), count(s_.changes, answered));
   }
 
@@ -115,20 +133,28 @@
     const Micros given_up = std::min(call.first, call.whole);
     switch (what) {
       case Trouble::refused:
-      case Trouble::reset: return lost(met, moved);
-      case Trouble::stops: return lost(std::min(met + Cadence::pause, at + call.whole), moved);
-      case Trouble::drops: return lost(at + call.whole, moved);
-      case Trouble::status: return spoilt(std::max(met, at), 503, "{}", moved);
-      case Trouble::unreadable: return spoilt(std::max(met, at), 200, "{\"generation\":41,\"reset\":true,\"inst", moved);
-      default: return lost(at + given_up, moved);
+      case Trouble::reset:
+        return lost(met, moved);
+      case Trouble::stops:
+        return lost(std::min(met + Cadence::pause, at + call.whole), moved);
+      case Trouble::drops:
+        return lost(at + call.whole, moved);
+      case Trouble::status:
+        return spoilt(std::max(met, at), 503, "{}", moved);
+      case Trouble::unreadable:
+        return spoilt(std::max(met, at), 200, "{\"generation\":41,\"reset\":true,\"inst", moved);
+      default:
+        return lost(at + given_up, moved);
     }
   }
   Micros lost(Micros at, Micros moved) {
-    if (moved <= at) return moved + cadence_.moved();
+    if (moved <= at)
+      return moved + cadence_.moved();
     return rested(at, cadence_.failed(Cadence::Fault::no_answer), moved);
   }
   Micros spoilt(Micros at, int status, const std::string& text, Micros moved) {
-    if (moved <= at) return moved + cadence_.moved();
+    if (moved <= at)
+      return moved + cadence_.moved();
     try {
       cadence_.take(status, text, 0us);
     } catch (const ListError&) {
@@ -142,22 +168,27 @@
 
   Micros take(Micros at, Micros end, const std::string& text, bool changes, std::size_t known) {
     const Micros moved = next_of(s_.moves, at);
-    if (moved <= end) return moved + cadence_.moved();
+    if (moved <= end)
+      return moved + cadence_.moved();
     Cadence::Answer answer;
     try {
       answer = cadence_.take(200, text, end - at);
     } catch (const ListError&) {
-      if (!changes) std::abort();  // a whole list is always taken
+      if (!changes)
+        std::abort();  // a whole list is always taken
       return rested(end, cadence_.failed(), moved);
     }
     held_version_ = answer.list.version;
-    if (answer.kind == ListKind::full) held_.clear();
+    if (answer.kind == ListKind::full)
+      held_.clear();
     if (answer.kind)
-      for (const auto& node : answer.list.nodes) held_[node.name] = static_cast<int>(node.started / 1ms);
+      for (const auto& node : answer.list.nodes)
+        held_[node.name] = static_cast<int>(node.started / 1ms);
     // What is held is what tells: a version alone would not.
     for (std::size_t i = 0; i < known; ++i) {
       const auto have = held_.find(name(i));
-      if (have != held_.end() && have->second >= static_cast<int>(i)) told_.emplace(i, end);
+      if (have != held_.end() && have->second >= static_cast<int>(i))
+        told_.emplace(i, end);
     }
     return rested(end, answer.rest, moved);
   }
--- a/tests/edges/descriptors.cpp
+++ b/tests/edges/descriptors.cpp
@@ -1,30 +1,30 @@
 // Places and descriptors under pressure: who has to go, and who gets the last ones.
-#include "sockets.h"
-
 #include <fcntl.h>
 #include <sys/prctl.h>
 #include <sys/syscall.h>
 #include <sys/wait.h>
 
-#include <cstdarg>
-#include <csignal>
-
 #include <algorithm>
+#include <csignal>
+#include <cstdarg>
 #include <iostream>
 
 #include "discovery/watch.h"
+#include "sockets.h"
 
 using namespace lemonroute;
 using namespace lemonroute::test;
 
-// The kernel's limit, played here: with none left at all the sanitizers' own checks, which open pipes, take sound objects
-// for broken ones. The calls that make descriptors fail as they would.
+// The kernel's limit, played here: with none left at all the sanitizers' own checks, which open pipes, take
+// sound objects for broken ones. The calls that make descriptors fail as they would.
 namespace {
 int most_descriptors = 1 << 16;
 bool full() {
   int used = 0;
-  for (int fd = 0; fd < 256; ++fd) used += fcntl(fd, F_GETFD) >= 0;
-  if (used < most_descriptors) return false;
+  for (int fd = 0; fd < 256; ++fd)
+    used += fcntl(fd, F_GETFD) >= 0;
+  if (used < most_descriptors)
+    return false;
   errno = EMFILE;
   return true;
 }
@@ -45,8 +45,8 @@
 
 namespace {
 
-// Of connections at rest the one that has rested longest goes first, and none before its time; of such that have not
-// asked likewise; none that is busy ever does.
+// Of connections at rest the one that has rested longest goes first, and none before its time; of such that
+// have not asked likewise; none that is busy ever does.
 void oldest_first() {
   struct Peer : net::Admission::Peer {
     std::string name;
@@ -62,10 +62,12 @@
   std::chrono::steady_clock::time_point at{};
   bool paused = false;
   std::string gone;
-  net::Admission admission(loop, 5, [&](bool on) { paused = on; }, [&] { return at; });
+  net::Admission admission(
+      loop, 5, [&](bool on) { paused = on; }, [&] { return at; });
   Peer a("a", gone, admission), b("b", gone, admission), c("c", gone, admission), d("d", gone, admission),
       e("e", gone, admission), f("f", gone, admission);
-  for (auto* one : {&a, &b, &c, &d}) admission.arrived(*one);
+  for (auto* one : {&a, &b, &c, &d})
+    admission.arrived(*one);
   admission.busy(a);
   admission.at_rest(b);
   at += 1s;
@@ -101,7 +103,8 @@
     admission.busy(guests[i]);
   }
   assert(paused && admission.free() == 0);
-  for (int i = 0; i < 4; ++i) admission.leaving(guests[i]);
+  for (int i = 0; i < 4; ++i)
+    admission.leaving(guests[i]);
   assert(!paused && admission.free() == 4);
   assert(guests[0].gone && guests[1].gone && !guests[2].gone && !guests[3].gone);
 }
@@ -109,7 +112,8 @@
 // Another process, whose descriptors are its own: clients that ask once and stay, to rest or to wait.
 pid_t crowd(std::uint16_t port, int clients, bool waits) {
   const pid_t child = fork();
-  if (child != 0) return child;
+  if (child != 0)
+    return child;
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   most_descriptors = 1 << 16;
   std::vector<int> held;
@@ -119,16 +123,18 @@
     to.sin_family = AF_INET;
     to.sin_port = htons(port);
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    const std::string hello = waits ? Door::request("q" + std::to_string(i)) : "GET /healthz HTTP/1.1\r\n\r\n";
+    const std::string hello =
+        waits ? Door::request("q" + std::to_string(i)) : "GET /healthz HTTP/1.1\r\n\r\n";
     if (fd >= 0 && connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0)
       (void)!write(fd, hello.data(), hello.size());
     held.push_back(fd);
   }
-  for (;;) pause();
+  for (;;)
+    pause();
 }
 
-// Clients take every descriptor that they can have while discovery is down. Once it is back the watch gets its
-// connection; the clients never get what is kept back, be they at rest or busy, when none can be let go.
+// Clients take every descriptor that they can have while discovery is down. Once it is back the watch gets
+// its connection; the clients never get what is kept back, be they at rest or busy, when none can be let go.
 void watch_reopens(bool waits) {
   most_descriptors = 64;
   Door door(1000);  // places enough: only descriptors are short
@@ -153,12 +159,16 @@
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     most_descriptors = 1 << 16;
     for (int fd = 3; fd < 256; ++fd)
-      if (fd != asked[1] && fd != agents) close(fd);
-    if (listen(agents, 8) != 0) _exit(1);
+      if (fd != asked[1] && fd != agents)
+        close(fd);
+    if (listen(agents, 8) != 0)
+      _exit(1);
     const int one = accept(agents, nullptr, nullptr);
     char got[256];
-    if (one >= 0 && ::read(one, got, sizeof got) > 0) (void)!write(asked[1], "y", 1);
-    for (;;) pause();
+    if (one >= 0 && ::read(one, got, sizeof got) > 0)
+      (void)!write(asked[1], "y", 1);
+    for (;;)
+      pause();
   }
   close(asked[1]);
   fcntl(asked[0], F_SETFL, O_NONBLOCK);
@@ -177,9 +187,11 @@
   net::Loop loop;
   loop.reserve().keep(4);
   int handed = 0;
-  while (loop.reserve().lend(net::Purpose::nodes)) ++handed;
+  while (loop.reserve().lend(net::Purpose::nodes))
+    ++handed;
   assert(handed == 2);
-  while (loop.reserve().lend(net::Purpose::discovery)) ++handed;
+  while (loop.reserve().lend(net::Purpose::discovery))
+    ++handed;
   assert(handed == 4);
   assert(loop.reserve().whole());
   assert(loop.reserve().lend(net::Purpose::management));
@@ -191,5 +203,6 @@
   oldest_first();
   leaving();
   reserve();
-  for (const bool waits : {false, true}) watch_reopens(waits);
+  for (const bool waits : {false, true})
+    watch_reopens(waits);
 }
--- a/tests/edges/ends.cpp
+++ b/tests/edges/ends.cpp
@@ -1,8 +1,8 @@
 // Bytes in the very moment in which the front ends a connection.
-#include "sockets.h"
-
 #include <iostream>
 
+#include "sockets.h"
+
 using namespace lemonroute;
 using namespace lemonroute::test;
 
@@ -10,8 +10,8 @@
 
 const std::string hello = "GET /healthz HTTP/1.1\r\n\r\n";
 
-// A request that comes behind the last answer stays unread, goes to no node, and resets nothing: the client has the
-// answer whole, then an end, and may send the request again on a new connection.
+// A request that comes behind the last answer stays unread, goes to no node, and resets nothing: the client
+// has the answer whole, then an end, and may send the request again on a new connection.
 void behind_the_last_answer() {
   Door door;
   Plug client = door.client();
@@ -66,7 +66,8 @@
   assert(client.ended && client.error == 0 && door.sent() == 2);
 }
 
-// A resting connection that brings a request as it is ended: read before the end it is served, else left unread.
+// A resting connection that brings a request as it is ended: read before the end it is served, else left
+// unread.
 void at_rest() {
   for (const bool before : {true, false}) {
     Door door;
@@ -74,9 +75,11 @@
     client.send(hello);
     door.settle();
     client.read();
-    if (before) client.send(Door::request("q1"));
+    if (before)
+      client.send(Door::request("q1"));
     door.front.stop_accepting();
-    if (!before) client.send(Door::request("q1"));
+    if (!before)
+      client.send(Door::request("q1"));
     door.settle();
     assert(door.sent() == (before ? 1u : 0u));
     client.read();
@@ -137,7 +140,8 @@
     taken = std::make_unique<net::Connection>(loop, fd, note);
   });
   net::Connection to(loop, net::Endpoint("127.0.0.1:" + std::to_string(listener.port())), note);
-  while (!taken) loop.run_once();
+  while (!taken)
+    loop.run_once();
   assert(is_on(to) && is_on(*taken));
 }
 
--- a/tests/edges/floods.cpp
+++ b/tests/edges/floods.cpp
@@ -1,10 +1,9 @@
 // Senders without end, log lines and figures about bad peers.
-#include "sockets.h"
-
 #include <iostream>
 #include <sstream>
 
 #include "base/log.h"
+#include "sockets.h"
 
 using namespace lemonroute;
 using namespace lemonroute::test;
@@ -12,8 +11,8 @@
 
 namespace {
 
-// What is sent behind an open request waits its turn up to a bound; beyond it the request is answered all the same, and
-// the connection ends with that answer.
+// What is sent behind an open request waits its turn up to a bound; beyond it the request is answered all the
+// same, and the connection ends with that answer.
 void sent_ahead() {
   Door door;
   Plug client = door.client();
@@ -27,7 +26,8 @@
   door.done(Outcome::ok);
   door.settle();
   const std::string got = client.read();
-  assert(got.find("Connection: close") != std::string::npos && got.find("\r\n0\r\n\r\n") != std::string::npos);
+  assert(got.find("Connection: close") != std::string::npos &&
+         got.find("\r\n0\r\n\r\n") != std::string::npos);
   assert(client.ended && client.error == 0 && door.sent() == 2);
 }
 
@@ -57,14 +57,16 @@
   }
 }
 
-// Answers that nobody takes do not pile up: a client that sends request behind request is done with at a bound.
+// Answers that nobody takes do not pile up: a client that sends request behind request is done with at a
+// bound.
 void answers_untaken() {
   http::Front::Options options;
   options.sending = 100ms;
   Door door(16, options);
   Plug client = door.client(4096);  // it never reads
   std::string many;
-  for (int i = 0; i < 1000; ++i) many += "GET /healthz HTTP/1.1\r\n\r\n";
+  for (int i = 0; i < 1000; ++i)
+    many += "GET /healthz HTTP/1.1\r\n\r\n";
   for (int i = 0; i < 200 && !door.front.idle(); ++i) {
     client.send(many);
     door.settle();
@@ -95,7 +97,8 @@
       ++refused;
     }
     clients.push_back(std::move(client));
-    if (refused > 2) break;
+    if (refused > 2)
+      break;
   }
   assert(refused > 2 && door.loop.tally().counted(Overdone::no_memory) == refused);
   clients.clear();
@@ -112,7 +115,8 @@
   auto* const before = std::clog.rdbuf(log.rdbuf());
   std::chrono::steady_clock::time_point at{};
   net::Tally tally([&] { return at; });
-  for (int i = 0; i < 100; ++i) tally.note(Overdone::not_understood, "400");
+  for (int i = 0; i < 100; ++i)
+    tally.note(Overdone::not_understood, "400");
   tally.note(Overdone::too_slow);
   at += 999ms;
   tally.note(Overdone::not_understood, "413");
@@ -121,7 +125,8 @@
   std::clog.rdbuf(before);
   const std::string text = log.str();
   assert(std::count(text.begin(), text.end(), '\n') == 3);
-  assert(text.find("not understood: 400\n") != std::string::npos && text.find("whole in time\n") != std::string::npos);
+  assert(text.find("not understood: 400\n") != std::string::npos &&
+         text.find("whole in time\n") != std::string::npos);
   assert(text.find("not understood: 431 (100 more since the last such line)") != std::string::npos);
   assert(tally.counted(Overdone::not_understood) == 102 && tally.counted(Overdone::too_slow) == 1);
 }
--- a/tests/edges/gone.cpp
+++ b/tests/edges/gone.cpp
@@ -1,8 +1,9 @@
-// A client that closes its connection is seen to go, and the core told, while nothing of what it sent is looked at.
-#include "sockets.h"
-
+// A client that closes its connection is seen to go, and the core told, while nothing of what it sent is
+// looked at.
 #include <iostream>
 
+#include "sockets.h"
+
 using namespace lemonroute;
 using namespace lemonroute::test;
 
@@ -11,7 +12,9 @@
 enum class Goes { ends, resets };
 constexpr Goes ways[] = {Goes::ends, Goes::resets};
 
-void go(Plug& client, Goes how) { how == Goes::ends ? client.close() : client.reset(); }
+void go(Plug& client, Goes how) {
+  how == Goes::ends ? client.close() : client.reset();
+}
 
 void seen(Door& door, Plug& client, Goes how) {
   assert(door.core.open() == 1 && door.out());
@@ -49,7 +52,8 @@
     client.close();
     door.settle();
     assert(door.core.open() == 0 && !door.out() && door.sent() == before);
-    if (outcome == Outcome::read) assert(door.nodes.released.size() == 1);  // what the cut read may have left
+    if (outcome == Outcome::read)
+      assert(door.nodes.released.size() == 1);  // what the cut read may have left
   }
 }
 
--- a/tests/edges/sockets.h
+++ b/tests/edges/sockets.h
@@ -1,5 +1,5 @@
-// A front on loopback before the core of the test's own clock and nodes, and clients that are plain sockets: what the
-// kernel says of them is what is looked at.
+// A front on loopback before the core of the test's own clock and nodes, and clients that are plain sockets:
+// what the kernel says of them is what is looked at.
 #pragma once
 
 #include <arpa/inet.h>
@@ -21,8 +21,10 @@
 
 class Plug {
  public:
-  explicit Plug(std::uint16_t port, int receive_buffer = 0) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    if (receive_buffer) setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
+  explicit Plug(std::uint16_t port, int receive_buffer = 0)
+      : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    if (receive_buffer)
+      setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     sockaddr_in to{};
     to.sin_family = AF_INET;
     to.sin_port = htons(port);
@@ -44,13 +46,15 @@
       const auto got = recv(fd_, part, sizeof part, MSG_DONTWAIT);
       ended = got == 0;
       error = got < 0 && errno != EAGAIN ? errno : 0;
-      if (got <= 0) return all;
+      if (got <= 0)
+        return all;
       all.append(part, static_cast<std::size_t>(got));
     }
   }
   void end_sending() { shutdown(fd_, SHUT_WR); }
   void close() {
-    if (fd_ >= 0) ::close(std::exchange(fd_, -1));
+    if (fd_ >= 0)
+      ::close(std::exchange(fd_, -1));
   }
   void reset() {
     const linger at_once{1, 0};
@@ -73,7 +77,8 @@
   }
   // Loopback hands bytes on at once: a few rounds without waiting see everything that is under way.
   void settle() {
-    for (int i = 0; i < 200; ++i) event_base_loop(loop.base(), EVLOOP_NONBLOCK);
+    for (int i = 0; i < 200; ++i)
+      event_base_loop(loop.base(), EVLOOP_NONBLOCK);
   }
   Plug client(int receive_buffer = 0) {
     Plug plug(front.port(), receive_buffer);
@@ -85,7 +90,8 @@
   bool until(Holds holds, std::chrono::milliseconds most) {
     const auto end = std::chrono::steady_clock::now() + most;
     while (!holds()) {
-      if (std::chrono::steady_clock::now() > end) return false;
+      if (std::chrono::steady_clock::now() > end)
+        return false;
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
     }
     return true;
--- a/tests/failure_test.cpp
+++ b/tests/failure_test.cpp
@@ -9,7 +9,8 @@
 TEST(Overdue, TinyEstimateDoesNotMakeAnAttemptOverdue) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  for (int i = 0; i < 6; ++i) bed.serve(bed.request(4000, 0, 77), 20ms, 4000);
+  for (int i = 0; i < 6; ++i)
+    bed.serve(bed.request(4000, 0, 77), 20ms, 4000);
   bed.feed(bed.request(4010, 0, 77));  // ten tokens to read
   EXPECT_EQ(Bed::find<Cancel>(bed.pass(bed.now + 200ms)), nullptr);
 }
@@ -17,7 +18,8 @@
 TEST(Overdue, StuckReadIsCalledOffWhenAnotherReaderIsSooner) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  for (int i = 0; i < 20; ++i) bed.serve(bed.request(4000));
+  for (int i = 0; i < 20; ++i)
+    bed.serve(bed.request(4000));
   const Request r = bed.request(4000);
   const HostId stuck = bed.sent(bed.feed(r));
   const auto actions = bed.pass(bed.now + 2s);
@@ -30,8 +32,10 @@
 TEST(Overdue, ReadWithoutItsMatchIsLetEnd) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  for (int i = 0; i < 12; ++i) bed.serve(bed.request(40000), 1s);  // 25 us a token
-  for (int i = 0; i < 12; ++i) bed.serve(bed.request(40010, 0, 0, 5, 40000), 1s, 0);  // evicted: only guessed
+  for (int i = 0; i < 12; ++i)
+    bed.serve(bed.request(40000), 1s);  // 25 us a token
+  for (int i = 0; i < 12; ++i)
+    bed.serve(bed.request(40010, 0, 0, 5, 40000), 1s, 0);  // evicted: only guessed
   bed.pass(bed.now + 100ms);
   bed.feed(bed.request(40010, 0, 0, 5, 40000));
   const Micros sent = bed.now;
@@ -42,7 +46,8 @@
 TEST(Overdue, UnsafeAtAWriterIsNeverCalledOff) {
   Bed bed;
   bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
-  for (int i = 0; i < 20; ++i) bed.serve(bed.request(4000));
+  for (int i = 0; i < 20; ++i)
+    bed.serve(bed.request(4000));
   const Request r = bed.request(4000, 2);
   bed.feed(r);
   ASSERT_NE(bed.sent(bed.complete(r.id, 0, 1, Outcome::read)), 0u);
@@ -52,7 +57,8 @@
 TEST(QuickFailures, HostThatFailsFastIsAvoidedThenTriedAgain) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(9, writer_kind)});
-  for (int i = 0; i < 30; ++i) bed.serve(bed.request(4000));
+  for (int i = 0; i < 30; ++i)
+    bed.serve(bed.request(4000));
   int failures = 0;
   const auto once = [&] {
     const Request r = bed.request(4000);
@@ -69,12 +75,14 @@
     EXPECT_NE(reader, 2u);
     bed.feed(Abandoned{r.id});
   };
-  for (int i = 0; i < 60; ++i) once();
+  for (int i = 0; i < 60; ++i)
+    once();
   EXPECT_GE(failures, 1);
   EXPECT_LE(failures, 3) << "a host that answers at once with an error must not draw the traffic";
   bed.now += 30s;
   int again = 0;
-  for (int i = 0; i < 9; ++i) again += bed.sent(bed.feed(bed.request(4000))) == 2;  // at one time
+  for (int i = 0; i < 9; ++i)
+    again += bed.sent(bed.feed(bed.request(4000))) == 2;  // at one time
   EXPECT_GT(again, 0) << "without probes it must come back by itself";
 }
 
@@ -106,7 +114,8 @@
 TEST(ForgottenTexts, KeptFarBelowCreditVoidsTheTable) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  for (Key session = 1; session <= 8; ++session) bed.serve(bed.request(4000, 0, session), 100ms, 0);
+  for (Key session = 1; session <= 8; ++session)
+    bed.serve(bed.request(4000, 0, session), 100ms, 0);
   bed.now += 3s;
   for (Key session = 1; session <= 8; ++session)
     bed.serve(bed.request(4100, 0, session), 100ms, 0);  // all forgotten
@@ -137,14 +146,16 @@
   const auto serve = [&](float reported) {
     const Request r = bed.request(8000, 0, 5);
     const auto actions = bed.feed(r);
-    if (!bed.sent(actions)) return false;
+    if (!bed.sent(actions))
+      return false;
     bed.now += 30ms;
     bed.complete(r.id, 0, 1, Outcome::read, 30ms, 7800, false, {reported});
     bed.first(r.id, 1, 9);
     bed.complete(r.id, 1, 9, Outcome::ok, 300ms, 0, true);
     return true;
   };
-  for (int i = 0; i < 60; ++i) ASSERT_TRUE(serve(0));
+  for (int i = 0; i < 60; ++i)
+    ASSERT_TRUE(serve(0));
   ASSERT_TRUE(serve(40));
   EXPECT_TRUE(serve(40)) << "40,000 reported tokens are 1,000 to read";
 }
@@ -152,13 +163,15 @@
 TEST(LeftOut, ReaderWithNoConnectionDoesNotDrawTheTraffic) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(9, writer_kind)});
-  for (int i = 0; i < 10; ++i) bed.serve(bed.request(4000));
+  for (int i = 0; i < 10; ++i)
+    bed.serve(bed.request(4000));
   int refused_connections = 0;
   for (int i = 0; i < 60; ++i) {  // the others have queues: their reads do not end
     const Request r = bed.request(1000);
     const HostId reader = bed.sent(bed.feed(r));
     bed.now += 5ms;
-    if (reader != 3) continue;
+    if (reader != 3)
+      continue;
     ++refused_connections;
     bed.complete(r.id, 0, 3, Outcome::connect_failed, 1ms);
   }
@@ -170,7 +183,8 @@
   bed.list({host(1, reader_kind), host(5, mixed_kind), host(9, writer_kind)});
   bed.serve(bed.request(4000), 300ms);
   std::vector<HostId> used;
-  for (int i = 0; i < 6; ++i) used.push_back(bed.sent(bed.feed(bed.request(4000))));
+  for (int i = 0; i < 6; ++i)
+    used.push_back(bed.sent(bed.feed(bed.request(4000))));
   EXPECT_NE(std::count(used.begin(), used.end(), 5u), 0);
 }
 
@@ -185,7 +199,8 @@
     const Request r = bed.request(4000);
     const HostId reader = bed.sent(bed.feed(r));
     bed.now += 50ms;
-    if (!reader) continue;
+    if (!reader)
+      continue;
     ++sent;
     bed.first(r.id, 0, reader, 300ms);
     bed.complete(r.id, 0, reader, Outcome::ok, 350ms, 0, true);
@@ -223,8 +238,8 @@
   EXPECT_EQ(late.size(), 4u) << "half of all arrivals would half fill all four readers";
 }
 
-// Found by an expectation: with prompts shorter than the class's usual work the choice let a cold reader pass and the
-// send did not, so the request was refused while a warm reader stood idle.
+// Found by an expectation: with prompts shorter than the class's usual work the choice let a cold reader pass
+// and the send did not, so the request was refused while a warm reader stood idle.
 TEST(FailureCold, WhatTheColdReaderMayNotTakeGoesToTheWarmOne) {
   Bed bed;
   bed.list({host(1, reader_kind), host(9, writer_kind)});
@@ -250,8 +265,8 @@
   EXPECT_GE(at_warm, 12);
 }
 
-// Found by an expectation: the holder of a conversation fell silent, was called off as overdue and, having read nearly
-// all of the prompt before, was asked again and again until the deadline.
+// Found by an expectation: the holder of a conversation fell silent, was called off as overdue and, having
+// read nearly all of the prompt before, was asked again and again until the deadline.
 TEST(FailureStuck, AReaderCalledOffIsNotTheNextOneAsked) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
--- a/tests/fleet/faults/link.h
+++ b/tests/fleet/faults/link.h
@@ -1,4 +1,5 @@
-// What becomes of each datagram on one link in one direction. Free of I/O; the same seed gives the same fates.
+// What becomes of each datagram on one link in one direction. Free of I/O; the same seed gives the same
+// fates.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +12,11 @@
 
 struct Faults {
   bool cut = false;
-  Micros slow{};  // on top of the way itself
+  Micros slow{};                                          // on top of the way itself
   double lose = 0, repeat = 0, reorder = 0, corrupt = 0;  // parts of all datagrams, 0 to 1
-  bool none() const { return !cut && slow == Micros(0) && lose == 0 && repeat == 0 && reorder == 0 && corrupt == 0; }
+  bool none() const {
+    return !cut && slow == Micros(0) && lose == 0 && repeat == 0 && reorder == 0 && corrupt == 0;
+  }
 };
 
 class Link {
--- a/tests/fleet/faults/links.cpp
+++ b/tests/fleet/faults/links.cpp
@@ -6,19 +6,33 @@
 namespace {
 
 std::uint64_t mixed(std::uint64_t seed, const std::string& text) {  // FNV-1a: the same on every machine
-  for (const unsigned char c : text + "\n") seed = (seed ^ c) * 0x100000001b3u;
+  for (const unsigned char c : text + "\n")
+    seed = (seed ^ c) * 0x100000001b3u;
   return seed;
 }
 
 void set(Faults& faults, const Step& step) {
   switch (step.verb) {
-    case Verb::cut: faults.cut = true; break;
-    case Verb::slow: faults.slow = step.span; break;
-    case Verb::lose: faults.lose = step.part; break;
-    case Verb::repeat: faults.repeat = step.part; break;
-    case Verb::reorder: faults.reorder = step.part; break;
-    case Verb::corrupt: faults.corrupt = step.part; break;
-    default: faults = {};
+    case Verb::cut:
+      faults.cut = true;
+      break;
+    case Verb::slow:
+      faults.slow = step.span;
+      break;
+    case Verb::lose:
+      faults.lose = step.part;
+      break;
+    case Verb::repeat:
+      faults.repeat = step.part;
+      break;
+    case Verb::reorder:
+      faults.reorder = step.part;
+      break;
+    case Verb::corrupt:
+      faults.corrupt = step.part;
+      break;
+    default:
+      faults = {};
   }
 }
 
@@ -31,11 +45,13 @@
 
 void Links::apply(const Step& step) {
   if (step.names.empty())
-    for (auto& [pair, link] : links_) set(link.faults, step);
+    for (auto& [pair, link] : links_)
+      set(link.faults, step);
   for (const auto& a : step.names)
     for (const auto& b : step.others) {
       set(between(a, b).faults, step);
-      if (step.both_ways) set(between(b, a).faults, step);
+      if (step.both_ways)
+        set(between(b, a).faults, step);
     }
 }
 
--- a/tests/fleet/play/asker.cpp
+++ b/tests/fleet/play/asker.cpp
@@ -11,13 +11,15 @@
  public:
   Call(Asker& owner, std::string address, const std::string& target, Answer answer)
       : owner_(owner), address_(std::move(address)), answer_(std::move(answer)) {
-    exchange_ = owner_.client_.start(address_, "GET " + target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n", {}, *this);
+    exchange_ = owner_.client_.start(
+        address_, "GET " + target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n", {}, *this);
   }
 
  private:
   void head(const http::Head& head) override { status_ = head.status; }
   void body(std::string_view piece) override {
-    if (body_.size() + piece.size() <= most_answer) body_ += piece;
+    if (body_.size() + piece.size() <= most_answer)
+      body_ += piece;
   }
   void ended(http::Ending how) override {
     owner_.forget(address_);  // this call lives until the loop is back
--- a/tests/fleet/play/asker.h
+++ b/tests/fleet/play/asker.h
@@ -18,7 +18,8 @@
   ~Asker();
 
   bool busy(const std::string& address) const { return calls_.count(address) > 0; }
-  void ask(const std::string& address, const std::string& target, Answer answer);  // one call to an address at a time
+  void ask(const std::string& address, const std::string& target,
+           Answer answer);                  // one call to an address at a time
   void forget(const std::string& address);  // the process is frozen or gone
 
  private:
--- a/tests/fleet/play/clients.h
+++ b/tests/fleet/play/clients.h
@@ -24,10 +24,10 @@
   using Find = std::function<std::optional<Door>(const std::string& router)>;
   Clients(net::Loop& loop, const Clock& clock, Ledger& ledger, std::uint64_t seed, Find find);
 
-  void load(const Step& step);  // rate 0: off
-  void ask(const Step& step);   // so many at once, in turns
+  void load(const Step& step);              // rate 0: off
+  void ask(const Step& step);               // so many at once, in turns
   void dropped(const std::string& router);  // its process ended or froze: whoever waits there goes
-  void run_due();  // clients that have waited past their time go
+  void run_due();                           // clients that have waited past their time go
   // How long first events took, of all that were served; in the order of their coming.
   const std::vector<Micros>& waits() const { return waits_; }
 
--- a/tests/fleet/play/fleet.h
+++ b/tests/fleet/play/fleet.h
@@ -1,5 +1,5 @@
-// The processes of a scene and all that surrounds them: relays between them, devices, discovery. What it is told to do
-// it does at once; nothing here waits.
+// The processes of a scene and all that surrounds them: relays between them, devices, discovery. What it is
+// told to do it does at once; nothing here waits.
 #pragma once
 
 #include <filesystem>
@@ -20,11 +20,11 @@
 namespace lemonroute::rig {
 
 struct Options {
-  std::string program;         // lemonroute
-  bool peers = true;           // whether routers know each other
-  bool keep = false;           // the folder with files and logs stays
-  bool talks = false;          // each step is said
-  double patience = 4;         // by which bounds are stretched: a step that holds costs nothing of it
+  std::string program;  // lemonroute
+  bool peers = true;    // whether routers know each other
+  bool keep = false;    // the folder with files and logs stays
+  bool talks = false;   // each step is said
+  double patience = 4;  // by which bounds are stretched: a step that holds costs nothing of it
   std::optional<std::uint64_t> seed;
 };
 
@@ -54,7 +54,8 @@
     bool ends = false;  // it was told to
   };
 
-  Fleet(net::Loop& loop, const Clock& clock, const Scene& scene, const Options& options, Ledger& ledger, Cells& cells);
+  Fleet(net::Loop& loop, const Clock& clock, const Scene& scene, const Options& options, Ledger& ledger,
+        Cells& cells);
 
   void start(const std::string& router, bool state_lost = false);
   void kill(const std::string& router);
--- a/tests/fleet/play/player.h
+++ b/tests/fleet/play/player.h
@@ -26,7 +26,8 @@
   void hold(const Step& step);
   void wait(double periods);
   void end();  // all processes end by themselves, and owe nothing
-  void until(double periods, const std::function<std::string()>& lacking);  // throws Failure with the last of it
+  void until(double periods,
+             const std::function<std::string()>& lacking);  // throws Failure with the last of it
   void beat();
   void ask_all();
   void take(const std::string& name, const std::string& fleet);
--- a/tests/fleet/relay/datagrams.h
+++ b/tests/fleet/relay/datagrams.h
@@ -1,5 +1,5 @@
-// Carries datagrams between two routers, as the links between them let it. A router is told this relay's address
-// in place of the other one's. What the other one sends to that address goes back the way it came.
+// Carries datagrams between two routers, as the links between them let it. A router is told this relay's
+// address in place of the other one's. What the other one sends to that address goes back the way it came.
 #pragma once
 
 #include <event2/event.h>
--- a/tests/fleet/relay/streams.cpp
+++ b/tests/fleet/relay/streams.cpp
@@ -41,13 +41,18 @@
     Faults& faults() { return pipe.faults(*this); }
     // A cut leaves bytes, and the end of the connection too, where they are.
     void carry() {
-      if (faults().cut || pipe.over_) return;
+      if (faults().cut || pipe.over_)
+        return;
       const auto now = Steady::now();
-      if (const std::string bytes = drained(connection.input()); !bytes.empty()) waiting.emplace_back(now + faults().slow, bytes);
+      if (const std::string bytes = drained(connection.input()); !bytes.empty())
+        waiting.emplace_back(now + faults().slow, bytes);
       End& other = pipe.other(*this);
-      for (; !waiting.empty() && waiting.front().first <= now; waiting.pop_front()) other.connection.write(waiting.front().second);
-      if (!waiting.empty()) return due.start(std::chrono::duration_cast<Micros>(waiting.front().first - now) + Micros(1));
-      if (!ended) return;
+      for (; !waiting.empty() && waiting.front().first <= now; waiting.pop_front())
+        other.connection.write(waiting.front().second);
+      if (!waiting.empty())
+        return due.start(std::chrono::duration_cast<Micros>(waiting.front().first - now) + Micros(1));
+      if (!ended)
+        return;
       other.connection.push();
       pipe.over_ = true;
       pipe.relay_.drop(pipe);
@@ -61,25 +66,34 @@
   End& other(End& one) { return &one == &near_ ? far_ : near_; }
   Faults& faults(End& from) {
     return (&from == &near_ ? relay_.links_.between(relay_.router_, relay_.device_)
-                            : relay_.links_.between(relay_.device_, relay_.router_)).faults;
+                            : relay_.links_.between(relay_.device_, relay_.router_))
+        .faults;
   }
   StreamRelay& relay_;
   bool over_ = false;
   End near_, far_;
 };
 
-StreamRelay::StreamRelay(net::Loop& loop, const std::string& host, Links& links, std::string router, std::string device)
-    : loop_(loop), links_(links), host_(host), router_(std::move(router)), device_(std::move(device)),
+StreamRelay::StreamRelay(net::Loop& loop, const std::string& host, Links& links, std::string router,
+                         std::string device)
+    : loop_(loop),
+      links_(links),
+      host_(host),
+      router_(std::move(router)),
+      device_(std::move(device)),
       listener_(std::make_unique<net::Listener>(loop, host + ":0", [this](evutil_socket_t fd) {
         pipes_.push_back(std::make_unique<Pipe>(*this, fd));
-        if (pipes_.back()->over()) drop(*pipes_.back());  // the device refused at once
+        if (pipes_.back()->over())
+          drop(*pipes_.back());  // the device refused at once
       })) {}
 StreamRelay::~StreamRelay() = default;
 
 void StreamRelay::relinked() {
   std::vector<Pipe*> all;  // one of them may drop itself
-  for (auto& pipe : pipes_) all.push_back(pipe.get());
-  for (auto* pipe : all) pipe->relinked();
+  for (auto& pipe : pipes_)
+    all.push_back(pipe.get());
+  for (auto* pipe : all)
+    pipe->relinked();
 }
 
 void StreamRelay::drop(Pipe& pipe) {
--- a/tests/fleet/relay/streams.h
+++ b/tests/fleet/relay/streams.h
@@ -1,5 +1,5 @@
-// Carries the connections of one router to one device. A cut leaves connections as they are and carries nothing,
-// the way a cable that was pulled does; a slow link delays bytes by the same span each way.
+// Carries the connections of one router to one device. A cut leaves connections as they are and carries
+// nothing, the way a cable that was pulled does; a slow link delays bytes by the same span each way.
 #pragma once
 
 #include <list>
@@ -17,7 +17,9 @@
   StreamRelay(net::Loop& loop, const std::string& host, Links& links, std::string router, std::string device);
   ~StreamRelay();
   std::string address() const { return host_ + ":" + std::to_string(listener_->port()); }
-  void aim(std::string address) { to_ = std::move(address); }  // where the device is; new connections go there
+  void aim(std::string address) {
+    to_ = std::move(address);
+  }                 // where the device is; new connections go there
   void relinked();  // faults have changed: what was held may go on
 
  private:
--- a/tests/fleet/scene/fact.cpp
+++ b/tests/fleet/scene/fact.cpp
@@ -14,28 +14,36 @@
     const std::string word = line.take("what");
     const auto equals = word.find('=');
     const std::string key = word.substr(0, equals), value = word.substr(equals + 1);
-    if (standings.count(key) || key == "there" || key == "known") line.whole(value, 0, 1000);
-    else if (!scene.router(key)) line.fault("'" + key + "' is neither a standing nor a router");
+    if (standings.count(key) || key == "there" || key == "known")
+      line.whole(value, 0, 1000);
+    else if (!scene.router(key))
+      line.fault("'" + key + "' is neither a standing nor a router");
     else if (!standings.count(value) && value != "none" && value != "unreachable")
       line.fault("'" + value + "' is no standing: alive, suspected, gone, left, none, unreachable");
     fact.wanted[key] = value;
   }
-  if (fact.wanted.empty()) line.fault("what is seen is missing, as in alive=3 or c2=gone");
+  if (fact.wanted.empty())
+    line.fault("what is seen is missing, as in alive=3 or c2=gone");
 }
 
 void read_compare(Line& line, Fact& fact, bool number) {
-  if (line.skip(">=")) fact.compare = Compare::at_least;
-  else if (line.skip("<=")) fact.compare = Compare::at_most;
-  else if (!line.skip("=")) line.fault("'=', '>=' or '<=' is missing");
+  if (line.skip(">="))
+    fact.compare = Compare::at_least;
+  else if (line.skip("<="))
+    fact.compare = Compare::at_most;
+  else if (!line.skip("="))
+    line.fault("'=', '>=' or '<=' is missing");
   fact.to = line.take("a value");
-  if (number || fact.compare != Compare::equal) line.whole(fact.to, 0, 4000000000u);
+  if (number || fact.compare != Compare::equal)
+    line.whole(fact.to, 0, 4000000000u);
 }
 
 }  // namespace
 
 Fact read_fact(const Scene& scene, Line& line) {
   Fact fact;
-  if (line.skip("rules")) return fact;
+  if (line.skip("rules"))
+    return fact;
   if (line.skip("answers")) {  // answers served >= 20
     fact.kind = FactKind::answers;
     fact.what = line.take("how");
@@ -53,26 +61,36 @@
   if (line.skip("pool")) {  // pool P owner R at NAMES
     fact.kind = FactKind::owner;
     fact.what = line.take("a pool");
-    if (!line.skip("owner")) line.fault("'owner' is missing");
+    if (!line.skip("owner"))
+      line.fault("'owner' is missing");
     fact.to = line.take("a region");
-    if (!line.skip("at")) line.fault("'at' and routers are missing");
+    if (!line.skip("at"))
+      line.fault("'at' and routers are missing");
     fact.at = read_names(scene, line, false);
     return fact;
   }
   fact.at = read_names(scene, line, false);
   const std::string verb = line.take("what is expected");
-  if (verb == "sees") read_sees(scene, line, fact);
-  else if (verb == "agree") fact.kind = FactKind::agree;
-  else if (verb == "minority") fact.kind = FactKind::minority;
-  else if (verb == "majority") fact.kind = FactKind::majority;
-  else if (verb == "ready") fact.kind = FactKind::ready;
-  else if (verb == "ended") fact.kind = FactKind::ended;
+  if (verb == "sees")
+    read_sees(scene, line, fact);
+  else if (verb == "agree")
+    fact.kind = FactKind::agree;
+  else if (verb == "minority")
+    fact.kind = FactKind::minority;
+  else if (verb == "majority")
+    fact.kind = FactKind::majority;
+  else if (verb == "ready")
+    fact.kind = FactKind::ready;
+  else if (verb == "ended")
+    fact.kind = FactKind::ended;
   else if (verb == "has") {  // c1 has /tiers/keys >= 3
     fact.kind = FactKind::value;
     fact.what = line.take("a JSON pointer");
-    if (fact.what[0] != '/') line.fault("'" + fact.what + "' is no JSON pointer, as in /members/0/name");
+    if (fact.what[0] != '/')
+      line.fault("'" + fact.what + "' is no JSON pointer, as in /members/0/name");
     read_compare(line, fact, false);
-  } else line.fault("'" + verb + "' can't be expected");
+  } else
+    line.fault("'" + verb + "' can't be expected");
   return fact;
 }
 
--- a/tests/fleet/scene/line.cpp
+++ b/tests/fleet/scene/line.cpp
@@ -6,9 +6,11 @@
 
 namespace lemonroute::rig {
 
-Line::Line(const std::string& path, std::size_t number, const std::string& text) : path_(path), number_(number) {
+Line::Line(const std::string& path, std::size_t number, const std::string& text)
+    : path_(path), number_(number) {
   std::istringstream in(text);
-  for (std::string word; in >> word && word[0] != '#';) words_.push_back(word);
+  for (std::string word; in >> word && word[0] != '#';)
+    words_.push_back(word);
 }
 
 void Line::fault(const std::string& why) const {
@@ -21,30 +23,36 @@
 }
 
 std::string Line::take(const char* what) {
-  if (empty()) fault(std::string(what) + " is missing");
+  if (empty())
+    fault(std::string(what) + " is missing");
   return words_[at_++];
 }
 
 bool Line::skip(const std::string& word) {
-  if (peek() != word) return false;
+  if (peek() != word)
+    return false;
   ++at_;
   return true;
 }
 
 void Line::end() const {
-  if (!empty()) fault("'" + peek() + "' is too much");
+  if (!empty())
+    fault("'" + peek() + "' is too much");
 }
 
 std::string Line::rest() {
   std::string text;
-  while (!empty()) text += (text.empty() ? "" : " ") + words_[at_++];
+  while (!empty())
+    text += (text.empty() ? "" : " ") + words_[at_++];
   return text;
 }
 
 std::optional<std::string> Line::option(const std::string& key) {
-  if (!peek().starts_with(key + "=")) return std::nullopt;
+  if (!peek().starts_with(key + "="))
+    return std::nullopt;
   std::string value = words_[at_++].substr(key.size() + 1);
-  if (value.empty()) fault(key + "= has no value");
+  if (value.empty())
+    fault(key + "= has no value");
   return value;
 }
 
@@ -65,24 +73,30 @@
 }
 
 double Line::part(const std::string& word) const {
-  if (!word.ends_with('%')) fault("'" + word + "' is no part, as in 30%");
+  if (!word.ends_with('%'))
+    fault("'" + word + "' is no part, as in 30%");
   const double value = number(word.substr(0, word.size() - 1), "part");
-  if (value < 0 || value > 100) fault("'" + word + "' is not from 0% to 100%");
+  if (value < 0 || value > 100)
+    fault("'" + word + "' is not from 0% to 100%");
   return value / 100;
 }
 
 double Line::rate(const std::string& word) const {
-  if (!word.ends_with("/s")) fault("'" + word + "' is no rate, as in 20/s");
+  if (!word.ends_with("/s"))
+    fault("'" + word + "' is no rate, as in 20/s");
   const double value = number(word.substr(0, word.size() - 2), "rate");
-  if (value <= 0 || value > 100000) fault("'" + word + "' is not above 0/s and up to 100000/s");
+  if (value <= 0 || value > 100000)
+    fault("'" + word + "' is not above 0/s and up to 100000/s");
   return value;
 }
 
 Micros Line::span(const std::string& word) const {
   const double scale = word.ends_with("ms") ? 1e3 : word.ends_with("s") ? 1e6 : 0;
-  if (scale == 0) fault("'" + word + "' is no span, as in 200ms or 3s");
+  if (scale == 0)
+    fault("'" + word + "' is no span, as in 200ms or 3s");
   const double value = scale * number(word.substr(0, word.size() - (scale == 1e3 ? 2 : 1)), "span");
-  if (std::abs(value) > 86400e6) fault("'" + word + "' is more than a day");
+  if (std::abs(value) > 86400e6)
+    fault("'" + word + "' is more than a day");
   return Micros(static_cast<Micros::rep>(value));
 }
 
@@ -90,21 +104,26 @@
   Names names;
   std::istringstream in(word);
   for (std::string one; std::getline(in, one, ',');) {
-    if (one.empty()) fault("'" + word + "' has an empty name");
-    if (const auto many = range(one)) names.insert(names.end(), many->begin(), many->end());
-    else names.push_back(one);
+    if (one.empty())
+      fault("'" + word + "' has an empty name");
+    if (const auto many = range(one))
+      names.insert(names.end(), many->begin(), many->end());
+    else
+      names.push_back(one);
   }
   return names;
 }
 
 std::optional<Names> Line::range(const std::string& word) {
   const auto dots = word.find("..");
-  if (dots == std::string::npos) return std::nullopt;
+  if (dots == std::string::npos)
+    return std::nullopt;
   const std::string first = word.substr(0, dots), last = word.substr(dots + 2);
   const auto digits = first.find_last_not_of("0123456789") + 1;
   const std::string stem = first.substr(0, digits);
-  if (digits == first.size() || !last.starts_with(stem) || first.size() - digits > 4 || last.size() - digits > 4 ||
-      last.size() == digits || last.find_first_not_of("0123456789", digits) != std::string::npos)
+  if (digits == first.size() || !last.starts_with(stem) || first.size() - digits > 4 ||
+      last.size() - digits > 4 || last.size() == digits ||
+      last.find_first_not_of("0123456789", digits) != std::string::npos)
     return std::nullopt;
   Names names;
   for (int i = std::stoi(first.substr(digits)); i <= std::stoi(last.substr(digits)); ++i)
--- a/tests/fleet/stand_ins/device.cpp
+++ b/tests/fleet/stand_ins/device.cpp
@@ -21,13 +21,15 @@
 }
 
 std::int64_t unix_ms() {
-  return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
+  return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch())
+      .count();
 }
 
 }  // namespace
 
 struct Device::Visit : Server {
-  Visit(Device& of, evutil_socket_t fd) : Server(of.loop_, fd), device(of), timer(of.loop_, [this] { next(); }) {}
+  Visit(Device& of, evutil_socket_t fd)
+      : Server(of.loop_, fd), device(of), timer(of.loop_, [this] { next(); }) {}
   void whole() override { device.request(*this); }
   void gone() override {
     end();
@@ -35,7 +37,8 @@
   }
   void end() {  // of the attempt, if one is out here
     timer.stop();
-    if (std::exchange(open, false)) device.cells_.over(running, device.name_);
+    if (std::exchange(open, false))
+      device.cells_.over(running, device.name_);
   }
   void next() {
     if (device.reader_) {
@@ -46,7 +49,8 @@
     }
     if (word == 0) {
       device.let_go(running);  // fetched from its reader
-      connection.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
+      connection.write(
+          "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
     if (word++ < words) {
       connection.write(chunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"atti \"}}]}\n\n"));
@@ -78,10 +82,12 @@
 
 void Device::request(Visit& visit) {
   if (visit.method == "DELETE") {
-    let_go(visit.target.substr(std::min<std::size_t>(7, visit.target.size())));  // /state/ID, taken by any device
+    let_go(visit.target.substr(
+        std::min<std::size_t>(7, visit.target.size())));  // /state/ID, taken by any device
     return visit.connection.write("HTTP/1.1 204 No Content\r\n\r\n");
   }
-  if (visit.method == "GET") return visit.answer("200 OK", "");
+  if (visit.method == "GET")
+    return visit.answer("200 OK", "");
   visit.running = visit.id;
   visit.open = true;
   visit.word = 0;
@@ -90,7 +96,8 @@
     visit.end();
     return visit.answer("410 Gone", "", "Srv-Declined: 1\r\n");
   }
-  if (!reader_) return visit.timer.start(first_token);
+  if (!reader_)
+    return visit.timer.start(first_token);
   const Prompt prompt = cells_.prompt(visit.id);
   visit.cached = keep(prompt);
   cells_.read(name_, prompt, visit.cached);
@@ -101,7 +108,8 @@
 std::uint32_t Device::keep(const Prompt& prompt) {
   std::uint32_t there = 0;
   const auto take = [&](const std::string& key, std::uint32_t tokens) {
-    if (key.empty()) return;
+    if (key.empty())
+      return;
     auto& kept = texts_[key];
     there = std::max(there, std::min(kept, tokens));
     kept = std::max(kept, tokens);
@@ -113,7 +121,8 @@
 
 void Device::let_go(const std::string& request) {
   const auto held = cells_.held.find(request);
-  if (held == cells_.held.end()) return;
+  if (held == cells_.held.end())
+    return;
   const std::string holder = held->second;
   cells_.held.erase(held);
   cells_.freed(request, holder);
@@ -130,8 +139,10 @@
   texts_.clear();
   std::vector<std::string> lost;
   for (const auto& [request, holder] : cells_.held)
-    if (holder == name_) lost.push_back(request);
-  for (const auto& request : lost) let_go(request);
+    if (holder == name_)
+      lost.push_back(request);
+  for (const auto& request : lost)
+    let_go(request);
 }
 
 void Device::restart() {
@@ -140,6 +151,8 @@
   listen();
 }
 
-void Device::flush() { texts_.clear(); }
+void Device::flush() {
+  texts_.clear();
+}
 
 }  // namespace lemonroute::rig
--- a/tests/fleet/stand_ins/device.h
+++ b/tests/fleet/stand_ins/device.h
@@ -1,5 +1,5 @@
-// A reader or a writer: it keeps texts by key and says how much of a prompt it had. It can die, come back as a new
-// process, and lose its texts without a word.
+// A reader or a writer: it keeps texts by key and says how much of a prompt it had. It can die, come back as
+// a new process, and lose its texts without a word.
 #pragma once
 
 #include <functional>
@@ -24,7 +24,7 @@
 struct Cells {
   std::map<std::string, std::string> held;  // request: the reader that holds its state
   std::function<Prompt(const std::string& request)> prompt;
-  std::function<void(const std::string& request, const std::string& device)> begun, over, holds, freed;
+  std::function<void(const std::string&request, const std::string&device)> begun, over, holds, freed;
   std::function<void(const std::string& device, const Prompt&, std::uint32_t cached)> read;
 };
 
--- a/tests/fleet/stand_ins/discovery.h
+++ b/tests/fleet/stand_ins/discovery.h
@@ -1,5 +1,5 @@
-// The agent that tells one router of devices: whole lists, and a watch that waits for changes. Each router has its
-// own, so that what each was told, and when, is known.
+// The agent that tells one router of devices: whole lists, and a watch that waits for changes. Each router
+// has its own, so that what each was told, and when, is known.
 #pragma once
 
 #include <functional>
@@ -20,7 +20,8 @@
 
 class Discovery {
  public:
-  using Told = std::function<void(const std::string& device, const Listing&)>;  // it has been written to the router
+  using Told =
+      std::function<void(const std::string& device, const Listing&)>;  // it has been written to the router
   Discovery(net::Loop& loop, const std::string& host, Told told);
   ~Discovery();
   std::string address() const { return host_ + ":" + std::to_string(listener_->port()); }
--- a/tests/fleet/stand_ins/server.cpp
+++ b/tests/fleet/stand_ins/server.cpp
@@ -11,11 +11,13 @@
 void Server::on_readable() {
   evbuffer* input = connection.input();
   const auto scan = http::scan_head(input, http::Kind::request, scanned_);
-  if (scan.state != http::Scan::head) return;
+  if (scan.state != http::Scan::head)
+    return;
   const auto length = scan.head.field("Content-Length");
   std::size_t body = 0;
   std::from_chars(length.data(), length.data() + length.size(), body);
-  if (evbuffer_get_length(input) < scan.length + body) return;
+  if (evbuffer_get_length(input) < scan.length + body)
+    return;
   method = scan.head.method;
   target = scan.head.target;
   id = scan.head.field("Req-Id");
@@ -25,7 +27,8 @@
 }
 
 void Server::answer(const std::string& status, const std::string& body, const std::string& fields) {
-  connection.write("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+  connection.write("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
+                   "\r\n\r\n" + body);
 }
 
 void Server::reset() {
--- a/tests/fleet/unit/links_test.cpp
+++ b/tests/fleet/unit/links_test.cpp
@@ -1,10 +1,11 @@
-// Links: what each fault does to datagrams, that a seed gives the same fates again, and that a heal mends all.
+// Links: what each fault does to datagrams, that a seed gives the same fates again, and that a heal mends
+// all.
+#include "faults/links.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
-#include "faults/links.h"
-
 namespace lemonroute::rig {
 namespace {
 
@@ -21,7 +22,8 @@
     const auto copies = link.pass(text);
     sum.arrived += !copies.empty();
     sum.repeated += copies.size() > 1;
-    for (const auto& copy : copies) sum.late += copy.after > Micros(0), sum.spoilt += copy.bytes != text;
+    for (const auto& copy : copies)
+      sum.late += copy.after > Micros(0), sum.spoilt += copy.bytes != text;
   }
   return sum;
 }
--- a/tests/fleet/watch/facts.h
+++ b/tests/fleet/watch/facts.h
@@ -16,7 +16,8 @@
 };
 using AllKnown = std::map<std::string, Known>;  // by router
 
-// Empty: it holds. Otherwise what is there instead, for whoever waits for it. Facts of the ledger are not judged here.
+// Empty: it holds. Otherwise what is there instead, for whoever waits for it. Facts of the ledger are not
+// judged here.
 std::string missing(const Fact& fact, const AllKnown& known);
 std::string summary(const std::string& name, const Known& known);  // one line on what it sees
 bool compares(std::uint64_t is, Compare how, std::uint64_t wanted);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,8 +1,4 @@
 // What one router of hundreds can know of a fleet: openings and homes.
-#include "fleet/homes.h"
-#include "fleet/learned.h"
-#include "fleet/openings.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,6 +6,10 @@
 #include <numeric>
 #include <random>
 
+#include "fleet/homes.h"
+#include "fleet/learned.h"
+#include "fleet/openings.h"
+
 namespace lemonroute::fleet {
 namespace {
 
@@ -19,18 +19,22 @@
   Openings few, many;
   std::mt19937 random(1);
   std::discrete_distribution<int> popular({20, 10, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5});
-  for (int i = 0; i < 15; ++i) few.count(1 + static_cast<Key>(popular(random)));
-  for (int i = 0; i < 15; ++i) many.count(static_cast<Key>(1000 + i));  // never the same twice
+  for (int i = 0; i < 15; ++i)
+    few.count(1 + static_cast<Key>(popular(random)));
+  for (int i = 0; i < 15; ++i)
+    many.count(static_cast<Key>(1000 + i));  // never the same twice
   few.count(99);
   many.count(99);
   EXPECT_GT(few.part(99), 2 * many.part(99)) << "an opening not seen before, where openings are shared a lot";
 }
 
-// The estimate comes to the true part as arrivals come, whatever the popularity, and stays a part at any time.
+// The estimate comes to the true part as arrivals come, whatever the popularity, and stays a part at any
+// time.
 TEST(Openings, ComesToTheTruePart) {
   for (const double exponent : {0.6, 1.0, 1.3}) {
     std::vector<double> weights;
-    for (int i = 1; i <= 40; ++i) weights.push_back(std::pow(i, -exponent));
+    for (int i = 1; i <= 40; ++i)
+      weights.push_back(std::pow(i, -exponent));
     const double all = std::accumulate(weights.begin(), weights.end(), 0.0);
     std::mt19937 random(7);
     std::discrete_distribution<int> draw(weights.begin(), weights.end());
@@ -42,7 +46,8 @@
       ASSERT_GT(openings.part(1), 0);
       ASSERT_LE(openings.part(1), 1);
       ASSERT_LE(openings.known(), 2 * Openings::most);
-      if (i < 1000) continue;
+      if (i < 1000)
+        continue;
       sum += openings.part(1);
       ++counted;
     }
@@ -52,7 +57,8 @@
 
 TEST(Openings, EndlessNewOnesAreForgotten) {
   Openings openings;
-  for (Key key = 1; key < 100000; ++key) openings.count(key);
+  for (Key key = 1; key < 100000; ++key)
+    openings.count(key);
   EXPECT_LE(openings.known(), 2 * Openings::most);
 }
 
@@ -61,10 +67,13 @@
 std::vector<Member> members(const std::vector<int>& of_zone, HostId from = 100) {
   std::vector<Member> all;
   for (std::uint32_t zone = 0; zone < of_zone.size(); ++zone)
-    for (int i = 0; i < of_zone[zone]; ++i) all.push_back({from * (zone + 1) + static_cast<HostId>(i), zone});
+    for (int i = 0; i < of_zone[zone]; ++i)
+      all.push_back({from * (zone + 1) + static_cast<HostId>(i), zone});
   return all;
 }
-std::uint32_t zone_of(HostId id) { return id / 100 - 1; }
+std::uint32_t zone_of(HostId id) {
+  return id / 100 - 1;
+}
 
 // Of 1,000 openings, those at home in each zone.
 std::vector<int> spread(Seat seat, const std::vector<int>& readers, const std::vector<int>& writers) {
@@ -101,15 +110,16 @@
 TEST(Homes, AColdZoneBearsItsPartOnly) {
   auto readers = members({10, 10});
   for (auto& one : readers)
-    if (one.zone == 0) one.able = 0.25;
+    if (one.zone == 0)
+      one.able = 0.25;
   int here = 0;
   for (Key opening = 1; opening <= 1000; ++opening)
     here += zone_of(homes(opening, 1, 0, {0, 300}, readers, members({5, 5}, 1000)).front()) == 0;
   EXPECT_NEAR(here, 400, 60);  // 2.5 of 12.5 readers, for half of the traffic
 }
 
-// Routers that count homes differently agree for most sessions; each opening's sessions spread evenly over its
-// homes; and as many homes as the opening would half fill are given.
+// Routers that count homes differently agree for most sessions; each opening's sessions spread evenly over
+// its homes; and as many homes as the opening would half fill are given.
 TEST(Homes, AgreeSpreadAndGrowWithThePart) {
   const auto all = members({16, 16}), writers = members({9, 9}, 1000);
   std::map<HostId, int> first;
@@ -123,7 +133,8 @@
     agreed += few.front() == more.front();
   }
   EXPECT_GT(agreed, 2000 * 0.75);
-  for (const auto& [id, count] : first) EXPECT_NEAR(count, 500, 100);
+  for (const auto& [id, count] : first)
+    EXPECT_NEAR(count, 500, 100);
   EXPECT_EQ(homes(42, 1, 1, {0, 300}, all, writers).size(), 16u);
   EXPECT_EQ(homes(42, 1, 0, {0, 300}, all, writers).size(), 1u);
   EXPECT_TRUE(homes(42, 1, 0.1, {0, 300}, {}, writers).empty());
--- a/tests/grpc_limits_test.cpp
+++ b/tests/grpc_limits_test.cpp
@@ -1,4 +1,5 @@
-// What one client connection may do (Guard), and which node connection takes a call (Pool): both without sockets.
+// What one client connection may do (Guard), and which node connection takes a call (Pool): both without
+// sockets.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,15 +12,28 @@
 
 using namespace std::chrono_literals;
 
-enum Frame : std::uint8_t { data, headers, priority, rst, settings, push, ping, goaway, window, continuation };
+enum Frame : std::uint8_t {
+  data,
+  headers,
+  priority,
+  rst,
+  settings,
+  push,
+  ping,
+  goaway,
+  window,
+  continuation
+};
 
 struct Defence : ::testing::Test {
   Guard guard{Guard::Limits{}};
   Guard::Clock::time_point now{1h};
   // How many such frames pass before the connection would end.
-  int passes(std::uint8_t type, std::uint8_t flags, std::size_t length, Guard::Clock::duration every, int most = 5000) {
+  int passes(std::uint8_t type, std::uint8_t flags, std::size_t length, Guard::Clock::duration every,
+             int most = 5000) {
     for (int i = 0; i < most; ++i, now += every)
-      if (guard.frame(now, type, flags, length)) return i;
+      if (guard.frame(now, type, flags, length))
+        return i;
     return most;
   }
 };
@@ -30,16 +44,19 @@
     std::uint8_t type, flags;
     std::size_t length;
   };
-  for (const auto& row : {Row{Abuse::pings, ping, 0, 8}, Row{Abuse::settings, settings, 0, 0}, Row{Abuse::empty_frames, data, 0, 0},
-                          Row{Abuse::empty_frames, headers, 4, 0}, Row{Abuse::continuations, continuation, 0, 100},
-                          Row{Abuse::windows, window, 0, 4}, Row{Abuse::priorities, priority, 0, 5}, Row{Abuse::priorities, 0xfa, 0, 5}}) {
+  for (const auto& row : {Row{Abuse::pings, ping, 0, 8}, Row{Abuse::settings, settings, 0, 0},
+                          Row{Abuse::empty_frames, data, 0, 0}, Row{Abuse::empty_frames, headers, 4, 0},
+                          Row{Abuse::continuations, continuation, 0, 100}, Row{Abuse::windows, window, 0, 4},
+                          Row{Abuse::priorities, priority, 0, 5}, Row{Abuse::priorities, 0xfa, 0, 5}}) {
     Guard one{Guard::Limits{}};
     std::optional<Abuse> found;
     int i = 0;
-    for (; i < 5000 && !found; ++i) found = one.frame(now, row.type, row.flags, row.length);
+    for (; i < 5000 && !found; ++i)
+      found = one.frame(now, row.type, row.flags, row.length);
     ASSERT_TRUE(found) << word(row.abuse);
     EXPECT_EQ(*found, row.abuse);
-    EXPECT_EQ(i, static_cast<int>(Guard::Limits{}.buckets[static_cast<std::size_t>(row.abuse)].burst) + 1) << word(row.abuse);
+    EXPECT_EQ(i, static_cast<int>(Guard::Limits{}.buckets[static_cast<std::size_t>(row.abuse)].burst) + 1)
+        << word(row.abuse);
   }
 }
 
@@ -48,7 +65,8 @@
   EXPECT_EQ(passes(settings, 0, 6, 1s), 5000);
   EXPECT_EQ(passes(data, 0, 0, 63ms), 5000);
   EXPECT_EQ(passes(window, 0, 4, 4ms), 5000);
-  for (int i = 0; i < 5000; ++i, now += 16ms) EXPECT_FALSE(guard.reset_early(now));
+  for (int i = 0; i < 5000; ++i, now += 16ms)
+    EXPECT_FALSE(guard.reset_early(now));
 }
 
 TEST_F(Defence, AnswersAndWholeFramesCostNothing) {
@@ -72,18 +90,21 @@
   Guard one{Guard::Limits{}};
   for (int block = 0; block < 1000; ++block) {
     EXPECT_FALSE(one.frame(now, headers, 0, 100));
-    for (int i = 0; i < 3; ++i) EXPECT_FALSE(one.frame(now, continuation, i == 2 ? 4 : 0, 100));
+    for (int i = 0; i < 3; ++i)
+      EXPECT_FALSE(one.frame(now, continuation, i == 2 ? 4 : 0, 100));
   }
 }
 
 TEST_F(Defence, RapidReset) {
   int resets = 0;
-  while (resets < 1000 && !guard.reset_early(now)) ++resets;
+  while (resets < 1000 && !guard.reset_early(now))
+    ++resets;
   EXPECT_EQ(resets, 256) << "a client that cancels all of its 128 calls may, twice over";
 }
 
 TEST_F(Defence, TimeThatGoesBackGivesNothing) {
-  for (int i = 0; i < 20; ++i) EXPECT_FALSE(guard.frame(now, ping, 0, 8));
+  for (int i = 0; i < 20; ++i)
+    EXPECT_FALSE(guard.frame(now, ping, 0, 8));
   EXPECT_TRUE(guard.frame(now - 1h, ping, 0, 8));
 }
 
@@ -103,7 +124,8 @@
         pool.up(now, id);
         pool.allows(id, streams);
       }
-    if (route.answer == Answer::nowhere) return 0;
+    if (route.answer == Answer::nowhere)
+      return 0;
     pool.began(route.id);
     return route.id;
   }
@@ -111,12 +133,14 @@
 
 TEST_F(Connections, TheFirstCallOpensOneAndTheNextUseIt) {
   EXPECT_EQ(call(100), 1u);
-  for (int i = 0; i < 50; ++i) EXPECT_EQ(call(100), 1u);
+  for (int i = 0; i < 50; ++i)
+    EXPECT_EQ(call(100), 1u);
   EXPECT_EQ(pool.size(), 1u);
 }
 
 TEST_F(Connections, NothingIsOpenedBesideOneThatHasNotProvenItself) {
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(call(), 1u);
+  for (int i = 0; i < 4; ++i)
+    EXPECT_EQ(call(), 1u);
   EXPECT_EQ(call(), 1u) << "it waits there";
   EXPECT_EQ(pool.size(), 1u);
   pool.ended(now, 1, true);
@@ -127,7 +151,8 @@
 TEST_F(Connections, AnotherIsOpenedWhileTheLastFills) {
   call(8);
   pool.ended(now, 1, true);
-  for (int i = 0; i < 6; ++i) EXPECT_EQ(call(8), 1u);
+  for (int i = 0; i < 6; ++i)
+    EXPECT_EQ(call(8), 1u);
   EXPECT_EQ(pool.size(), 1u);
   EXPECT_EQ(call(8), 1u) << "the seventh still goes to the first,";
   EXPECT_EQ(pool.size(), 2u) << "and the second comes up meanwhile";
@@ -136,7 +161,8 @@
 TEST_F(Connections, OneAtATime) {
   call();
   pool.ended(now, 1, true);
-  for (int i = 0; i < 4; ++i) call();
+  for (int i = 0; i < 4; ++i)
+    call();
   const auto first = pool.route(now, true);
   if (first.answer == Answer::open || first.also_open) {
     const auto again = pool.route(now, true);
@@ -148,7 +174,8 @@
 TEST_F(Connections, NoMoreThanAllowed) {
   for (int i = 0; i < 500; ++i) {
     const auto id = call(2);
-    if (id && pool.calls() == 1) pool.ended(now, id, true), pool.began(id);
+    if (id && pool.calls() == 1)
+      pool.ended(now, id, true), pool.began(id);
   }
   EXPECT_EQ(pool.size(), limits.connections);
   EXPECT_EQ(call(2), 0u) << "waiting is bounded";
@@ -159,19 +186,22 @@
   EXPECT_EQ(call(4, false), 0u);
   EXPECT_EQ(call(4, true), 1u);
   pool.ended(now, 1, true);
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(call(4, false), 1u);
+  for (int i = 0; i < 20; ++i)
+    EXPECT_EQ(call(4, false), 1u);
   EXPECT_EQ(pool.size(), 1u);
 }
 
 TEST_F(Connections, ALimitThatShrinks) {
   call(100);
   pool.ended(now, 1, true);
-  for (int i = 0; i < 10; ++i) call(100);
+  for (int i = 0; i < 10; ++i)
+    call(100);
   pool.allows(1, 1);
   EXPECT_EQ(call(100), 2u) << "calls beyond it go on, new ones go elsewhere";
   pool.allows(1, 0);
   pool.allows(2, 0);
-  for (int i = 0; i < 3; ++i) call(0);
+  for (int i = 0; i < 3; ++i)
+    call(0);
   EXPECT_EQ(call(0), 0u) << "a node that allows none gets none";
 }
 
@@ -202,7 +232,8 @@
   pool.limit(limits);
   call(10);
   pool.ended(now, 1, true);
-  for (int i = 0; i < 7; ++i) call(10);
+  for (int i = 0; i < 7; ++i)
+    call(10);
   ASSERT_EQ(pool.size(), 2u);
   now += limits.idle;
   EXPECT_EQ(pool.retire(now), std::vector<Pool::Id>{2});
@@ -222,7 +253,8 @@
   int knocks = 0;
   for (const auto end = now + 10s; now < end; now += 1ms) {
     const auto route = pool.route(now, true);
-    if (route.answer != Answer::open) continue;
+    if (route.answer != Answer::open)
+      continue;
     ++knocks;
     pool.gone(now, route.id);
   }
@@ -236,7 +268,8 @@
   EXPECT_EQ(pool.route(now, true).answer, Answer::open) << "it came up: the back-off is over";
 }
 
-// Whatever happens in whatever order, the bounds hold and no call is given to a connection that may have none.
+// Whatever happens in whatever order, the bounds hold and no call is given to a connection that may have
+// none.
 TEST_F(Connections, RandomEventsKeepTheBounds) {
   std::mt19937_64 random(7);
   struct Known {
@@ -247,25 +280,51 @@
   for (int i = 0; i < 200000; ++i) {
     now += std::chrono::milliseconds(random() % 20);
     std::vector<Pool::Id> ids;
-    for (const auto& [id, one] : known) ids.push_back(id);
+    for (const auto& [id, one] : known)
+      ids.push_back(id);
     const Pool::Id some = ids.empty() ? 0 : ids[random() % ids.size()];
     switch (random() % 10) {
-      case 0: if (some) pool.up(now, some), known[some].up = true; break;
-      case 1: if (some) pool.allows(some, static_cast<std::uint32_t>(random() % 5)); break;
-      case 2: if (some && random() % 4 == 0) pool.drains(some), known[some].drains = true; break;
-      case 3: if (some && random() % 2) pool.silent(some), known[some].silent = true; break;
-      case 4: if (some) pool.heard(some), known[some].silent = false; break;
-      case 5: if (some && random() % 3 == 0) pool.gone(now, some), known.erase(some); break;
-      case 6: case 7: if (some && known[some].calls) {
+      case 0:
+        if (some)
+          pool.up(now, some), known[some].up = true;
+        break;
+      case 1:
+        if (some)
+          pool.allows(some, static_cast<std::uint32_t>(random() % 5));
+        break;
+      case 2:
+        if (some && random() % 4 == 0)
+          pool.drains(some), known[some].drains = true;
+        break;
+      case 3:
+        if (some && random() % 2)
+          pool.silent(some), known[some].silent = true;
+        break;
+      case 4:
+        if (some)
+          pool.heard(some), known[some].silent = false;
+        break;
+      case 5:
+        if (some && random() % 3 == 0)
+          pool.gone(now, some), known.erase(some);
+        break;
+      case 6:
+      case 7:
+        if (some && known[some].calls) {
           const bool answered = random() % 2;
           pool.ended(now, some, answered), --known[some].calls;
-          if (answered) known[some].silent = false;
-        } break;
+          if (answered)
+            known[some].silent = false;
+        }
+        break;
       default: {
         const auto route = pool.route(now, random() % 8 != 0);
-        if (route.also_open) known[*route.also_open];
-        if (route.answer == Answer::nowhere) break;
-        if (route.answer == Answer::open) known[route.id];
+        if (route.also_open)
+          known[*route.also_open];
+        if (route.answer == Answer::nowhere)
+          break;
+        if (route.answer == Answer::open)
+          known[route.id];
         ASSERT_TRUE(known.count(route.id));
         ASSERT_FALSE(known[route.id].drains || known[route.id].silent);
         pool.began(route.id);
@@ -274,8 +333,10 @@
     }
     ASSERT_LE(pool.size(), limits.connections);
     ASSERT_EQ(pool.size(), known.size());
-    for (const auto& [id, one] : known) ASSERT_LE(one.calls, limits.unheard + limits.waiting + 1);
-    for (const auto id : pool.retire(now)) ASSERT_EQ(known.at(id).calls, 0u);
+    for (const auto& [id, one] : known)
+      ASSERT_LE(one.calls, limits.unheard + limits.waiting + 1);
+    for (const auto id : pool.retire(now))
+      ASSERT_EQ(known.at(id).calls, 0u);
   }
 }
 
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -1,11 +1,12 @@
 // Routers' peers on real sockets and threads, all on one serving loop. Waits are for facts, never for a time.
+#include "guide/fleet.h"
+
 #include <gtest/gtest.h>
 
 #include <atomic>
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "guide/fleet.h"
 #include "peers/seal/seal.h"
 #include "peers/udp.h"
 
@@ -22,8 +23,8 @@
 
 struct Router {
   Router(net::Loop& loop, const Clock& clock, const std::string& name, std::vector<std::string> seeds,
-            std::vector<peers::seal::Key> keys, std::vector<Guest> guests = {}, std::string listen = "127.0.0.1:0",
-            bool beside = false)
+         std::vector<peers::seal::Key> keys, std::vector<Guest> guests = {},
+         std::string listen = "127.0.0.1:0", bool beside = false)
       : fleet(loop, clock, options(clock, name, std::move(seeds), std::move(keys), std::move(listen), beside),
               std::move(guests), [this](auto newer) { siblings = newer->siblings(); }) {}
   static Fleet::Options options(const Clock& clock, const std::string& name, std::vector<std::string> seeds,
@@ -39,7 +40,9 @@
     to.service.keys = std::move(keys);
     return to;
   }
-  nlohmann::json json() const { return fleet.text() ? nlohmann::json::parse(*fleet.text()) : nlohmann::json::object(); }
+  nlohmann::json json() const {
+    return fleet.text() ? nlohmann::json::parse(*fleet.text()) : nlohmann::json::object();
+  }
   std::uint64_t refused(const char* why) const {
     const auto all = json();
     return all.empty() ? 0 : all["datagrams"]["refused"][why].get<std::uint64_t>();
@@ -108,10 +111,12 @@
   const auto sealed = sealer.seal("no packet");
   auto forged = sealer.seal("forged");
   forged.back() = static_cast<char>(forged.back() ^ 1);
-  for (const auto& junk : {sealed, sealed, forged, std::string("\2 what"), std::string(1500, '\1'), std::string()})
+  for (const auto& junk :
+       {sealed, sealed, forged, std::string("\2 what"), std::string(1500, '\1'), std::string()})
     EXPECT_TRUE(stranger.send(one.fleet.address(), junk));
   std::mt19937 random(1);
-  for (int i = 0; i < 300; ++i) stranger.send(one.fleet.address(), std::string(random() % 200, char(random())));
+  for (int i = 0; i < 300; ++i)
+    stranger.send(one.fleet.address(), std::string(random() % 200, char(random())));
   EXPECT_TRUE(comes([&] {
     return one.refused("replayed") == 1 && one.refused("forged") >= 1 && one.refused("oversize") == 1 &&
            one.refused("flood") > 20 && one.refused("unknown_version") >= 1;
@@ -127,13 +132,16 @@
   peers::Topic topic() const override { return peers::Topic::tiers; }
   void viewed(Micros, const peers::View& view) override {
     for (const auto& member : view.members)
-      if (member.name != view.me) other = member.name;
+      if (member.name != view.me)
+        other = member.name;
   }
   void receive(Micros, std::string_view, std::string_view bytes, peers::Outbox&) override {
-    if (bytes == "lost") guide = std::make_shared<const Away>();
+    if (bytes == "lost")
+      guide = std::make_shared<const Away>();
   }
   void run_due(Micros now, peers::Outbox& out) override {
-    if (std::exchange(told, false)) out.send(topic(), other, "lost");
+    if (std::exchange(told, false))
+      out.send(topic(), other, "lost");
     due = now + milliseconds(20);
   }
   Micros next_due() const override { return due; }
@@ -171,13 +179,15 @@
 TEST_F(World, a_fault_on_the_thread_of_the_peers_ends_them_and_not_what_serves) {
   std::vector<Guest> guests;
   guests.push_back(guest_of(std::make_unique<Broken>(), [](const Broken& at) { return at.guide; }));
-  Router one(loop, clock, "one", {}, keys, std::move(guests)), two(loop, clock, "two", {one.fleet.address()}, keys);
+  Router one(loop, clock, "one", {}, keys, std::move(guests)),
+      two(loop, clock, "two", {one.fleet.address()}, keys);
   ASSERT_TRUE(comes([&] { return one.siblings == 2 && two.there() == 2; }));
   Node node;
   one.fleet.observer().listed({node}, clock.now());
   one.fleet.observer().lost(node, clock.now());
   EXPECT_TRUE(comes([&] { return one.json().value("failed", false); }));
-  for (std::size_t i = 0; i < 2 * Notes::room; ++i) one.fleet.observer().kept(node, i, 0, 1, 0, clock.now());
+  for (std::size_t i = 0; i < 2 * Notes::room; ++i)
+    one.fleet.observer().kept(node, i, 0, 1, 0, clock.now());
   EXPECT_EQ(one.siblings, 2u);  // what was known last
   EXPECT_TRUE(comes([&] { return two.there() == 1; }));
 }
--- a/tests/guide/notes_test.cpp
+++ b/tests/guide/notes_test.cpp
@@ -1,3 +1,5 @@
+#include "guide/notes.h"
+
 #include <gtest/gtest.h>
 
 #include <map>
@@ -5,7 +7,6 @@
 #include <thread>
 
 #include "guide/fleet_guide.h"
-#include "guide/notes.h"
 
 namespace lemonroute::guide {
 namespace {
@@ -26,7 +27,9 @@
     text += " lost " + node.name;
     ++losses;
   }
-  void listed(const std::vector<Node>& nodes, Micros) override { text += " listed " + std::to_string(nodes.size()); }
+  void listed(const std::vector<Node>& nodes, Micros) override {
+    text += " listed " + std::to_string(nodes.size());
+  }
   void demand(const Demand& demand, Micros) override { taken += demand.taken; }
   std::string text;
   std::uint64_t kepts = 0, losses = 0, taken = 0;
@@ -53,10 +56,13 @@
   Notes notes([] {});
   Heard heard;
   notes.listed({node(1, "a")}, Micros(1));
-  for (std::size_t i = 0; i < 3 * Notes::room; ++i) notes.kept(node(1, "a"), i, 0, 1, 0, Micros(2));
+  for (std::size_t i = 0; i < 3 * Notes::room; ++i)
+    notes.kept(node(1, "a"), i, 0, 1, 0, Micros(2));
   EXPECT_GT(notes.dropped(), 2 * Notes::room - 10);
-  for (int i = 0; i < 10; ++i) notes.lost(node(1, "a"), Micros(3));
-  for (int i = 0; i < 5; ++i) notes.listed({node(1, "a"), node(2, "b")}, Micros(4));
+  for (int i = 0; i < 10; ++i)
+    notes.lost(node(1, "a"), Micros(3));
+  for (int i = 0; i < 5; ++i)
+    notes.listed({node(1, "a"), node(2, "b")}, Micros(4));
   const auto before = notes.dropped();
   notes.lost(node(2, "b"), Micros(5));
   EXPECT_EQ(notes.dropped(), before);
@@ -74,9 +80,11 @@
   constexpr std::uint64_t many = 200'000;
   notes.listed({node(1, "a")}, Micros(1));
   std::thread writer([&] {
-    for (std::uint64_t i = 0; i < many; ++i) notes.demand({0, 0, 1, 0, 1}, Micros(2));
+    for (std::uint64_t i = 0; i < many; ++i)
+      notes.demand({0, 0, 1, 0, 1}, Micros(2));
   });
-  while (heard.taken + notes.dropped() < many) notes.read({&heard});
+  while (heard.taken + notes.dropped() < many)
+    notes.read({&heard});
   writer.join();
   notes.read({&heard});
   EXPECT_EQ(heard.taken + notes.dropped(), many);
@@ -99,8 +107,9 @@
   EXPECT_EQ(none.siblings(), 3u);
   EXPECT_FALSE(none.lay(node(1, "a")).away);
   EXPECT_EQ(none.lay(node(1, "a")).until, Micros::max());
-  const FleetGuide both(3, {std::make_shared<Fixed>(Guide::Laid{true, Micros(5), Micros(90)}, "a", Micros(0)),
-                            std::make_shared<Fixed>(Guide::Laid{false, Micros(7), Micros(80)}, "b", Micros(4))});
+  const FleetGuide both(3,
+                        {std::make_shared<Fixed>(Guide::Laid{true, Micros(5), Micros(90)}, "a", Micros(0)),
+                         std::make_shared<Fixed>(Guide::Laid{false, Micros(7), Micros(80)}, "b", Micros(4))});
   const auto laid = both.lay(node(1, "a"));
   EXPECT_TRUE(laid.away);
   EXPECT_EQ(laid.started, Micros(7));
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -11,7 +11,8 @@
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(9, writer_kind)});
   const HostId first = bed.serve(bed.request(4000, 0, 77));
-  for (int turn = 0; turn < 5; ++turn) EXPECT_EQ(bed.serve(bed.request(4500, 0, 77), 20ms, 4000), first);
+  for (int turn = 0; turn < 5; ++turn)
+    EXPECT_EQ(bed.serve(bed.request(4500, 0, 77), 20ms, 4000), first);
 }
 
 TEST(ReaderChoice, SharedBeginningMatchesOtherSessions) {
@@ -42,7 +43,8 @@
 std::vector<Key> sessions_at(Bed& bed, HostId home) {
   std::vector<Key> found;
   for (Key session = 1; session <= 60; ++session)
-    if (bed.serve(bed.request(1000, 0, session), 50ms) == home) found.push_back(session);
+    if (bed.serve(bed.request(1000, 0, session), 50ms) == home)
+      found.push_back(session);
   return found;
 }
 
@@ -65,7 +67,8 @@
   const HostId home = bed.serve(bed.request(1000), 50ms);
   for (const Key session : sessions_at(bed, home)) {
     const Request r = bed.request(2500, 0, session);
-    if (bed.sent(bed.feed(r)) == home) continue;
+    if (bed.sent(bed.feed(r)) == home)
+      continue;
     // The one that took the overflow now holds the session too: its next turn goes there, past the queue.
     bed.complete(r.id, 0, 3 - home, Outcome::read, 100ms);
     EXPECT_EQ(bed.sent(bed.feed(bed.request(2600, 0, session))), 3 - home);
@@ -87,7 +90,8 @@
     bed.complete(r.id, 1, writer, Outcome::ok, 500ms, 0, true);
   }
   int slow = 0;
-  for (int i = 0; i < 10; ++i) slow += bed.serve(bed.request(4000)) == 1;
+  for (int i = 0; i < 10; ++i)
+    slow += bed.serve(bed.request(4000)) == 1;
   EXPECT_LE(slow, 2);
 }
 
@@ -161,7 +165,8 @@
 TEST(EarlyRefusal, NothingBeforeARateIsKnown) {
   Bed bed;
   bed.list({host(1, reader_kind), host(9, writer_kind)}, ListKind::cached);
-  for (int i = 0; i < 25; ++i) EXPECT_EQ(bed.sent(bed.feed(bed.request())), 1u) << i;
+  for (int i = 0; i < 25; ++i)
+    EXPECT_EQ(bed.sent(bed.feed(bed.request())), 1u) << i;
 }
 
 TEST(EarlyRefusal, WritersThatLookFull) {
--- a/tests/monitor_test.cpp
+++ b/tests/monitor_test.cpp
@@ -1,8 +1,8 @@
 // The monitor of the rules: each broken in each way that it knows, and what is allowed left alone.
-#include <gtest/gtest.h>
-
 #include "rules/monitor.h"
 
+#include <gtest/gtest.h>
+
 namespace lemonroute::rules {
 namespace {
 
@@ -19,13 +19,15 @@
   }
   Monitor m{limits()};
   void SetUp() override {
-    for (const char* node : {"r", "r2", "w"}) m.listed(0s, node, Phase::ready, 0s, 10000);
+    for (const char* node : {"r", "r2", "w"})
+      m.listed(0s, node, Phase::ready, 0s, 10000);
     m.taken(100s, "q", 106s, 3);
   }
   // Every rule broken so far, as its numbers.
   std::string broken() const {
     std::string all;
-    for (const auto& one : m.breaches()) all += std::to_string(static_cast<int>(one.rule));
+    for (const auto& one : m.breaches())
+      all += std::to_string(static_cast<int>(one.rule));
     return all;
   }
   void served() {
@@ -161,7 +163,8 @@
     EXPECT_EQ(one.breaches()[0].request, "q");
     EXPECT_EQ(one.breaches()[0].node, "r");
     EXPECT_NE(one.breaches()[0].text(100s).find("rule 3"), std::string::npos);
-    EXPECT_NE(one.breaches()[0].text(100s).find("at 601 ms, request q, node r"), std::string::npos) << one.breaches()[0].text(100s);
+    EXPECT_NE(one.breaches()[0].text(100s).find("at 601 ms, request q, node r"), std::string::npos)
+        << one.breaches()[0].text(100s);
   }
 }
 TEST_F(Watch, WorkToANodeThatIsReadyAgain) {
@@ -266,7 +269,8 @@
   EXPECT_EQ(broken(), "5");
 }
 
-// Sends of regions a and b to one pool, and what is published of its owner; each is told 100 ms after the last one.
+// Sends of regions a and b to one pool, and what is published of its owner; each is told 100 ms after the
+// last one.
 struct PoolCase {
   const char* name;
   std::vector<std::string> told;  // "a": a sends; "a=3": a owns it at epoch 3
@@ -278,28 +282,34 @@
   Micros at = 100s;
   for (const auto& word : GetParam().told) {
     at += 100ms;
-    if (word.size() > 1) m.owns(at, "p", word.substr(0, 1), std::stoull(word.substr(2)));
-    else m.sent(at, "q", "w", 1, word);
+    if (word.size() > 1)
+      m.owns(at, "p", word.substr(0, 1), std::stoull(word.substr(2)));
+    else
+      m.sent(at, "q", "w", 1, word);
     m.over(at, "q", "w");
   }
   m.advance(at);
-  EXPECT_EQ(m.breaches().size(), std::count_if(m.breaches().begin(), m.breaches().end(), [](auto& one) { return one.rule != Rule::pool; }))
+  EXPECT_EQ(m.breaches().size(), std::count_if(m.breaches().begin(), m.breaches().end(),
+                                               [](auto& one) { return one.rule != Rule::pool; }))
       << "what is published may yet come";
   m.advance(at + 2s);
   std::string turns;
   for (const auto& one : m.breaches())
-    if (one.rule == Rule::pool) turns += one.what.substr(7, 1);
+    if (one.rule == Rule::pool)
+      turns += one.what.substr(7, 1);
   EXPECT_EQ(turns, GetParam().broken);
 }
-INSTANTIATE_TEST_SUITE_P(Cases, PoolTurns, ::testing::Values(
-    PoolCase{"Moves", {"a=1", "a", "a", "b=2", "b", "b"}, ""},
-    PoolCase{"MovesThereAndBack", {"a=1", "a", "b=2", "b", "a=3", "a"}, ""},
-    PoolCase{"ToldLate", {"a", "b", "a", "a=3", "b=2", "a=1"}, ""},
-    PoolCase{"SendsOnAfterTheMove", {"a=1", "a", "b=2", "b", "a", "a"}, "a"},
-    PoolCase{"BothInTurns", {"a=1", "a", "b=2", "b", "a", "b"}, "ab"},
-    PoolCase{"NeverOwned", {"a=1", "a", "b"}, "b"},
-    PoolCase{"OlderEpoch", {"a=5", "a", "b=4", "b"}, "b"},
-    PoolCase{"NobodySays", {"a"}, "a"}), [](auto& one) { return one.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    Cases, PoolTurns,
+    ::testing::Values(PoolCase{"Moves", {"a=1", "a", "a", "b=2", "b", "b"}, ""},
+                      PoolCase{"MovesThereAndBack", {"a=1", "a", "b=2", "b", "a=3", "a"}, ""},
+                      PoolCase{"ToldLate", {"a", "b", "a", "a=3", "b=2", "a=1"}, ""},
+                      PoolCase{"SendsOnAfterTheMove", {"a=1", "a", "b=2", "b", "a", "a"}, "a"},
+                      PoolCase{"BothInTurns", {"a=1", "a", "b=2", "b", "a", "b"}, "ab"},
+                      PoolCase{"NeverOwned", {"a=1", "a", "b"}, "b"},
+                      PoolCase{"OlderEpoch", {"a=5", "a", "b=4", "b"}, "b"},
+                      PoolCase{"NobodySays", {"a"}, "a"}),
+    [](auto& one) { return one.param.name; });
 TEST_F(Watch, SendsToNodesOfNoPoolAreNobodysTurn) {
   m.sent(100s, "q", "w", 1, "a");
   m.over(100s, "q", "w");
@@ -327,8 +337,8 @@
   }
 };
 TEST_F(Repeats, AsTheClassAllows) {
-  const Terms once{Effect::unsafe, Group::all, 0s}, all{Effect::keyed, Group::all, 2s}, zone{Effect::keyed, Group::zone, 2s},
-      cell{Effect::keyed, Group::cell, 2s};
+  const Terms once{Effect::unsafe, Group::all, 0s}, all{Effect::keyed, Group::all, 2s},
+      zone{Effect::keyed, Group::zone, 2s}, cell{Effect::keyed, Group::cell, 2s};
   EXPECT_EQ(after({}, "w3", 4s), "");
   EXPECT_NE(after(once, "w", 1s), "");
   EXPECT_EQ(after(once, "w", 1s, false), "");
--- a/tests/net/core_bed.h
+++ b/tests/net/core_bed.h
@@ -32,11 +32,13 @@
   bool many = false;  // several requests under way
   std::vector<std::pair<HostId, std::function<void(bool)>>> released;
   std::unique_ptr<Call> begin(const Node& node, const Prompt&, Micros, Attempt& attempt) override {
-    for (const auto& one : begun) assert(many || !one.open);  // never two attempts out at once
+    for (const auto& one : begun)
+      assert(many || !one.open);  // never two attempts out at once
     begun.push_back({node.id, &attempt, true});
     return std::make_unique<NoteCall>([this, i = begun.size() - 1] { begun[i].open = false; });
   }
-  std::unique_ptr<Call> release(const Node& node, const std::string&, std::function<void(bool)> done) override {
+  std::unique_ptr<Call> release(const Node& node, const std::string&,
+                                std::function<void(bool)> done) override {
     released.emplace_back(node.id, std::move(done));
     return std::make_unique<NoteCall>([] {});
   }
@@ -94,7 +96,8 @@
   explicit Bed(std::vector<std::string> names = {"r", "w"}, Settings limits = settings())
       : core(std::move(limits), {"a"}, {"r", "w"}, 1, clock, nodes) {
     std::vector<Router::Listed> list;
-    for (const auto& name : names) list.push_back(node(name));
+    for (const auto& name : names)
+      list.push_back(node(name));
     core.update(ListKind::full, 1, list);
   }
   std::size_t unhealthy() const { return core.figures().unhealthy; }
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -39,7 +39,8 @@
     bed.pass(100ms);
     assert(bed.nodes.released.size() == tries + 1);
   }
-  for (std::size_t i = 1; i < 4; ++i) assert(bed.nodes.released[i].first != bed.nodes.begun[0].host);
+  for (std::size_t i = 1; i < 4; ++i)
+    assert(bed.nodes.released[i].first != bed.nodes.begun[0].host);
   assert(bed.nodes.released[1].first != bed.nodes.released[2].first);
   assert(bed.nodes.released[4].first == bed.nodes.begun[0].host);
   assert(!bed.core.idle());
@@ -59,12 +60,13 @@
   bed.pass(100ms);
   assert(bed.nodes.released.size() == 2);
   assert(bed.nodes.released[1].first != bed.nodes.released[0].first);
-  for (int i = 0; i < 40; ++i) bed.pass(200ms);
+  for (int i = 0; i < 40; ++i)
+    bed.pass(200ms);
   assert(bed.core.idle());  // and not for ever
 }
 
-// A machine that vanished is listed for seconds more. Whichever two nodes are lost, the holder one of them, a third is
-// asked while there is time, and as long as any is left the lost ones don't take up every other try.
+// A machine that vanished is listed for seconds more. Whichever two nodes are lost, the holder one of them, a
+// third is asked while there is time, and as long as any is left the lost ones don't take up every other try.
 void release_past_lost_nodes() {
   const std::vector<std::string> names{"r", "r2", "w", "w2"};
   for (const auto& name : names) {
@@ -86,13 +88,14 @@
   }
 }
 
-// A process that is about to be killed ends what waits while its answer still goes out and the state is let go, at
-// every stage; a stream is left alone.
+// A process that is about to be killed ends what waits while its answer still goes out and the state is let
+// go, at every stage; a stream is left alone.
 void waits_end() {
   for (const int stage : {0, 1}) {
     Bed bed;
     bed.take();
-    if (stage == 1) bed.done(Outcome::read);
+    if (stage == 1)
+      bed.done(Outcome::read);
     bed.core.end_waits(bed.clock.at + 3200ms);
     bed.pass(3199ms);
     assert(bed.client.answers == 0 && bed.nodes.begun.back().open);
@@ -115,7 +118,8 @@
   assert(bed.client.seen == "a|failed" && bed.nodes.begun.size() == 2);
 }
 
-// The writer that a process which knows nothing else takes for its first request, once `told` has told it something.
+// The writer that a process which knows nothing else takes for its first request, once `told` has told it
+// something.
 std::string first_writer(const std::function<void(Bed&, TestClient&)>& told) {
   Settings s = settings();
   s.report_x0_is_memory = true;
@@ -127,8 +131,8 @@
   return bed.core.name_of(bed.nodes.begun.back().host);
 }
 
-// A new process hears of a writer's load by the ends of streams alone, and all that run were begun by the old one:
-// what those ends tell counts, and so does what the old process tells of its last reports.
+// A new process hears of a writer's load by the ends of streams alone, and all that run were begun by the old
+// one: what those ends tell counts, and so does what the old process tells of its last reports.
 void learns_from_the_other_process() {
   const std::string usual = first_writer([](Bed&, TestClient&) {});
   const auto adopted = [&](Result end) {
@@ -152,8 +156,9 @@
   };
   assert(told({usual, "active=40,x0=0.8", 400ms, false}) != usual);
   assert(told({usual, {}, 0ms, true}) != usual);
-  for (const NodeReport& useless : {NodeReport{usual, "active=40,x0=0.8", 4s, false}, NodeReport{usual, "active=40,x0=0.8", -400ms, false},
-                               NodeReport{"unlisted", "active=40,x0=0.8", 0ms, true}})
+  for (const NodeReport& useless : {NodeReport{usual, "active=40,x0=0.8", 4s, false},
+                                    NodeReport{usual, "active=40,x0=0.8", -400ms, false},
+                                    NodeReport{"unlisted", "active=40,x0=0.8", 0ms, true}})
     assert(told(useless) == usual);
 }
 
@@ -168,7 +173,8 @@
   bed.pass(1s);
   const auto of = [&](const std::string& name) {
     for (const auto& one : bed.core.handover_state().nodes)
-      if (one.node == name) return one;
+      if (one.node == name)
+        return one;
     return NodeReport{};
   };
   assert(of("w").load == "active=2,x0=0.3" && of("w").age == 1s && of("w").sent > 0);
@@ -189,15 +195,17 @@
   assert(of("w").load.empty());
 }
 
-// The first read of a process that takes over in a jam waits behind what the process knows nothing of. It took that time
-// for the readers' rate, and refused whoever came while another one was read; told of the usual rate it goes on.
+// The first read of a process that takes over in a jam waits behind what the process knows nothing of. It
+// took that time for the readers' rate, and refused whoever came while another one was read; told of the
+// usual rate it goes on.
 void takes_over_in_a_jam() {
   const auto refused = [](bool told) {
     Settings s = settings();
     s.report_columns = {"active", "x0", "x1"};
     s.report_x1_is_unread = true;
     Bed bed({"r", "w", "w2"}, s);
-    if (told) bed.core.take_over({{}, {{Role::read, 50}}});
+    if (told)
+      bed.core.take_over({{}, {{Role::read, 50}}});
     bed.take();
     bed.pass(2s);
     bed.nodes.begun.back().attempt->done({Outcome::read, 0, "active=1,x0=0.1,x1=0", {}});
@@ -247,7 +255,8 @@
   for (const Outcome outcome : {Outcome::reset, Outcome::error}) {
     Bed bed;
     bed.take();
-    for (int i = 0; i < 5; ++i) bed.done(outcome);
+    for (int i = 0; i < 5; ++i)
+      bed.done(outcome);
     assert(bed.nodes.begun.size() == 5 && bed.client.answers == 1);
     assert(bed.nodes.released.size() == 1);
   }
@@ -277,8 +286,8 @@
   assert(bed.core.ready_nodes() == 1);
 }
 
-// Two processes share the bans through a file: an order to either holds for both, is there after a restart, and a
-// file that can't be read changes nothing.
+// Two processes share the bans through a file: an order to either holds for both, is there after a restart,
+// and a file that can't be read changes nothing.
 void bans_are_shared() {
   const std::string path = "core_test.bans";
   std::remove(path.c_str());
@@ -294,7 +303,8 @@
     new_one.core.refresh_bans();
     old_one.core.refresh_bans();
     assert(old_one.unhealthy() == 3 && new_one.unhealthy() == 3);
-    assert(new_one.core.put_back("w") == Ordered::done && new_one.core.take_out("x") == Ordered::never_listed);
+    assert(new_one.core.put_back("w") == Ordered::done &&
+           new_one.core.take_out("x") == Ordered::never_listed);
     old_one.core.refresh_bans();
     assert(old_one.unhealthy() == 2 && old_one.core.ready_nodes() == 1);
     // Not while the other writes; and without effect then.
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -1,6 +1,6 @@
-// grpc_faults [STREAMS] [CALLS] [SEED] [strict]: that many calls open at once over gRPC, to nodes that decline, fail, stall, drop
-// their connections and die by a seeded plan. The monitor of the rules watches the router's edges; at the end every
-// call has had one status, and memory and descriptors have come back.
+// grpc_faults [STREAMS] [CALLS] [SEED] [strict]: that many calls open at once over gRPC, to nodes that
+// decline, fail, stall, drop their connections and die by a seeded plan. The monitor of the rules watches the
+// router's edges; at the end every call has had one status, and memory and descriptors have come back.
 #undef NDEBUG
 #include <cassert>
 #include <csignal>
@@ -26,12 +26,14 @@
 using std::string;
 
 std::size_t descriptors() {
-  return static_cast<std::size_t>(std::distance(std::filesystem::directory_iterator("/proc/self/fd"), std::filesystem::directory_iterator()));
+  return static_cast<std::size_t>(std::distance(std::filesystem::directory_iterator("/proc/self/fd"),
+                                                std::filesystem::directory_iterator()));
 }
 std::size_t memory_kib() {
   std::ifstream status("/proc/self/status");
   for (string line; std::getline(status, line);)
-    if (line.starts_with("VmRSS:")) return std::stoul(line.substr(6));
+    if (line.starts_with("VmRSS:"))
+      return std::stoul(line.substr(6));
   return 0;
 }
 
@@ -49,13 +51,17 @@
 // A node behind a real gRPC server.
 class FaultyNode : grpc::Service {
  public:
-  FaultyNode(World& world, string name) : world_(world), name_(std::move(name)), again_(world.loop, [this] { start(); }) { start(); }
+  FaultyNode(World& world, string name)
+      : world_(world), name_(std::move(name)), again_(world.loop, [this] { start(); }) {
+    start();
+  }
   string address() const { return "127.0.0.1:" + std::to_string(port_); }
   bool reader() const { return name_[0] == 'r'; }
   const string& name() const { return name_; }
   // Its process dies; another one is there after a while, at the same address, with nothing kept.
   void die(std::chrono::milliseconds away) {
-    if (!server_) return;  // it is dead already
+    if (!server_)
+      return;  // it is dead already
     ++world_.faults["died"];
     server_.reset();
     for (auto it = world_.held.begin(); it != world_.held.end();) {
@@ -69,7 +75,8 @@
     again_.start(away);
   }
   void leave() {  // GOAWAY on every connection; those that come next are served
-    if (!server_) return;
+    if (!server_)
+      return;
     ++world_.faults["went away"];
     server_->stop_accepting();
     old_.push_back(std::move(server_));
@@ -78,7 +85,8 @@
 
  private:
   struct Run : grpc::Method {
-    Run(FaultyNode& of, grpc::ServerCall& by, bool runs) : node(of), call(by), is_run(runs), timer(of.world_.loop, [this] { next(); }) {}
+    Run(FaultyNode& of, grpc::ServerCall& by, bool runs)
+        : node(of), call(by), is_run(runs), timer(of.world_.loop, [this] { next(); }) {}
     void message(std::string_view bytes) override {
       v1::RunRequest request;
       assert(request.ParseFromString(string(bytes)));
@@ -92,10 +100,14 @@
         call.send_message(v1::ReleaseReply());
         return call.finish(grpc::Status::ok, "");
       }
-      if (w.chance(5)) return fault("declined", grpc::Status::unavailable, {{"srv-declined", "1"}});
-      if (w.chance(5)) return fault("failed", grpc::Status::internal, {});
-      if (w.chance(3)) return void(++w.faults["stalled"]);
-      if (!node.reader() && !w.held.count(id)) return fault("had no state", grpc::Status::failed_precondition, {{"srv-declined", "1"}});
+      if (w.chance(5))
+        return fault("declined", grpc::Status::unavailable, {{"srv-declined", "1"}});
+      if (w.chance(5))
+        return fault("failed", grpc::Status::internal, {});
+      if (w.chance(3))
+        return void(++w.faults["stalled"]);
+      if (!node.reader() && !w.held.count(id))
+        return fault("had no state", grpc::Status::failed_precondition, {{"srv-declined", "1"}});
       timer.start(std::chrono::milliseconds(5 + w.random() % 40));
     }
     void fault(const char* what, grpc::Status status, const grpc::Headers& more) {
@@ -118,8 +130,10 @@
       }
       event.set_data("word");
       call.send_message(event);
-      if (++sent == 8) return call.finish(grpc::Status::ok, "");
-      if (w.chance(1)) return fault("broke a stream", grpc::Status::internal, {});
+      if (++sent == 8)
+        return call.finish(grpc::Status::ok, "");
+      if (w.chance(1))
+        return fault("broke a stream", grpc::Status::internal, {});
       timer.start(std::chrono::milliseconds(10 + w.random() % 20));
     }
     FaultyNode& node;
@@ -129,7 +143,8 @@
     string id;
     net::Timer timer;
   };
-  std::unique_ptr<grpc::Method> open(std::string_view path, const grpc::Headers&, grpc::ServerCall& call) override {
+  std::unique_ptr<grpc::Method> open(std::string_view path, const grpc::Headers&,
+                                     grpc::ServerCall& call) override {
     return std::make_unique<Run>(*this, call, path.ends_with("/Run"));
   }
   void start() {
@@ -157,7 +172,8 @@
     std::unique_ptr<Call> call;
     ~Out() override { end(); }
     void end() {
-      if (!std::exchange(over, true)) world->monitor.over(world->now(), id, node);
+      if (!std::exchange(over, true))
+        world->monitor.over(world->now(), id, node);
     }
     void written() override { to->written(); }
     void event(std::string_view data) override { to->event(data); }
@@ -167,7 +183,8 @@
     }
     void hold_back(bool on) override { call->hold_back(on); }
   };
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within, Attempt& attempt) override {
+  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
+                              Attempt& attempt) override {
     auto out = std::make_unique<Out>();
     out->world = &world_;
     out->to = &attempt;
@@ -177,8 +194,12 @@
     out->call = to_.begin(node, prompt, within, *out);
     return out;
   }
-  std::unique_ptr<Call> release(const Node& node, const string& id, std::function<void(bool)> done) override { return to_.release(node, id, std::move(done)); }
-  std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) override { return to_.probe(node, std::move(done)); }
+  std::unique_ptr<Call> release(const Node& node, const string& id, std::function<void(bool)> done) override {
+    return to_.release(node, id, std::move(done));
+  }
+  std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) override {
+    return to_.probe(node, std::move(done));
+  }
   void hang_up(const Node& node) override { to_.hang_up(node); }
   void limit(const Limits& limits) override { to_.limit(limits); }
 
@@ -206,34 +227,46 @@
 }
 
 struct Load {
-  Load(World& w, std::uint16_t port, std::size_t streams, std::size_t calls) : world(w), address("127.0.0.1:" + std::to_string(port)), left(calls) {
-    for (std::size_t i = 0; i < (streams + 99) / 100; ++i) clients.push_back(std::make_unique<Client>(*this));
-    for (std::size_t i = 0; i < streams && left > 0; ++i) ask(*clients[i % clients.size()]);
+  Load(World& w, std::uint16_t port, std::size_t streams, std::size_t calls)
+      : world(w), address("127.0.0.1:" + std::to_string(port)), left(calls) {
+    for (std::size_t i = 0; i < (streams + 99) / 100; ++i)
+      clients.push_back(std::make_unique<Client>(*this));
+    for (std::size_t i = 0; i < streams && left > 0; ++i)
+      ask(*clients[i % clients.size()]);
   }
   struct Client : grpc::SessionOwner {
-    explicit Client(Load& of) : load(of), session(new grpc::Session(of.world.loop, of.address, *this, grpc::Session::Limits{})) {}
-    void closed(grpc::Session&) override { assert(load.done); }  // nobody here breaks a rule: the server must keep it
+    explicit Client(Load& of)
+        : load(of), session(new grpc::Session(of.world.loop, of.address, *this, grpc::Session::Limits{})) {}
+    void closed(grpc::Session&) override {
+      assert(load.done);
+    }  // nobody here breaks a rule: the server must keep it
     Load& load;
     std::unique_ptr<grpc::Session> session;
   };
   struct Question : grpc::StreamEvents {
     void headers(const grpc::Headers& headers) override {
-      if (const auto text = grpc::find(headers, "grpc-status"); !text.empty()) status = text, ++statuses;
+      if (const auto text = grpc::find(headers, "grpc-status"); !text.empty())
+        status = text, ++statuses;
     }
     void data(std::string_view) override {
-      if (std::exchange(heard, true)) return;
+      if (std::exchange(heard, true))
+        return;
       load->world.monitor.first(load->world.now(), id);
     }
     void closed(std::uint32_t, bool) override {
       World& w = load->world;
-      if (left) w.monitor.left(w.now(), id);
-      else w.monitor.answered(w.now(), id, status);
+      if (left)
+        w.monitor.left(w.now(), id);
+      else
+        w.monitor.answered(w.now(), id, status);
       assert(left || statuses == 1);  // each call gets one status
       ++load->answers[left ? "cancelled" : status];
       w.loop.defer([load = load, id = id, client = client] {
         load->open.erase(id);
-        if (load->left > 0) load->ask(*client);
-        else if (load->open.empty()) load->finished();
+        if (load->left > 0)
+          load->ask(*client);
+        else if (load->open.empty())
+          load->finished();
       });
     }
     Load* load;
@@ -256,8 +289,14 @@
     request.set_prompt_tokens(100);
     request.set_body("{}");
     world.monitor.taken(world.now(), one->id, world.now() + 5s, 6);
-    one->stream = client.session->request({{":method", "POST"}, {":scheme", "http"}, {":path", "/lemonroute.v1.Drafting/Generate"}, {":authority", "x"},
-                                           {"content-type", "application/grpc"}, {"te", "trailers"}, {"grpc-timeout", "5S"}}, grpc::frame(request), *one);
+    one->stream = client.session->request({{":method", "POST"},
+                                           {":scheme", "http"},
+                                           {":path", "/lemonroute.v1.Drafting/Generate"},
+                                           {":authority", "x"},
+                                           {"content-type", "application/grpc"},
+                                           {"te", "trailers"},
+                                           {"grpc-timeout", "5S"}},
+                                          grpc::frame(request), *one);
     if (world.chance(4)) {  // the client goes, at any point of it
       one->leaves = std::make_unique<net::Timer>(world.loop, [this, q = one.get()] {
         q->left = true;
@@ -270,8 +309,10 @@
     open[one->id] = std::move(one);
   }
   void finished() {
-    if (std::exchange(done, true)) return;
-    if (on_finished) on_finished();
+    if (std::exchange(done, true))
+      return;
+    if (on_finished)
+      on_finished();
   }
   World& world;
   string address;
@@ -288,11 +329,13 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   logging::set_level(logging::Level::error);
-  const std::size_t streams = argc > 1 ? std::stoul(argv[1]) : 150, calls = argc > 2 ? std::stoul(argv[2]) : 1500;
+  const std::size_t streams = argc > 1 ? std::stoul(argv[1]) : 150,
+                    calls = argc > 2 ? std::stoul(argv[2]) : 1500;
   World world;
   world.random.seed(argc > 3 ? std::stoul(argv[3]) : 1);
-  // Everything is in one process here, and a machine that is busy delays all of it alike. So the times are only held to
-  // their figures where that is asked for; what is counted (answers, attempts, copies, states) always is.
+  // Everything is in one process here, and a machine that is busy delays all of it alike. So the times are
+  // only held to their figures where that is asked for; what is counted (answers, attempts, copies, states)
+  // always is.
   rules::Limits limits;
   const bool strict = argc > 4;
   limits.answer_slack = strict ? 1s : 30s;
@@ -300,17 +343,22 @@
   limits.told_late = strict ? 1s : 30s;
   world.monitor.limit(limits);
   std::vector<std::unique_ptr<FaultyNode>> nodes;
-  for (const char* name : {"r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"}) nodes.push_back(std::make_unique<FaultyNode>(world, name));
+  for (const char* name : {"r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"})
+    nodes.push_back(std::make_unique<FaultyNode>(world, name));
   grpc::NodeClient client(world.loop, grpc::Session::Limits{});
   Watched watched(world, client);
   Router core(settings(), {"a"}, {"r", "w"}, 1, world.clock, watched);
   std::vector<Router::Listed> list;
-  for (const auto& node : nodes) list.push_back({node->name(), node->address(), "a", node->name().substr(0, 1), 0, Phase::ready, 1, Micros(0)});
+  for (const auto& node : nodes)
+    list.push_back(
+        {node->name(), node->address(), "a", node->name().substr(0, 1), 0, Phase::ready, 1, Micros(0)});
   core.update(ListKind::full, 1, list);
   net::Timer due(world.loop, [&] { core.run_due(); });
   core.on_change = [&] {
-    if (const auto next = core.next_due()) due.start(*next - world.clock.now());
-    else due.stop();
+    if (const auto next = core.next_due())
+      due.start(*next - world.clock.now());
+    else
+      due.stop();
   };
   grpc::Front front(core);
   grpc::Server server(world.loop, "127.0.0.1:0", 64);
@@ -322,8 +370,10 @@
   std::size_t most_open = 0, most_descriptors = 0, most_memory = 0;
   net::Timer plan(world.loop, [&] {
     FaultyNode& node = *nodes[world.random() % nodes.size()];
-    if (world.chance(60)) node.leave();
-    else node.die(std::chrono::milliseconds(50 + world.random() % 300));
+    if (world.chance(60))
+      node.leave();
+    else
+      node.die(std::chrono::milliseconds(50 + world.random() % 300));
     most_open = std::max(most_open, core.open());
     most_descriptors = std::max(most_descriptors, descriptors());
     most_memory = std::max(most_memory, memory_kib());
@@ -344,18 +394,25 @@
   world.monitor.finish(world.now());
   std::size_t shown = 0;
   for (const auto& breach : world.monitor.breaches())
-    if (++shown <= 20) std::cout << breach.text(begun) << '\n';
+    if (++shown <= 20)
+      std::cout << breach.text(begun) << '\n';
   std::cout << load.asked << " calls, at most " << most_open << " open at once; statuses:";
-  for (const auto& [status, count] : load.answers) std::cout << ' ' << status << ": " << count;
+  for (const auto& [status, count] : load.answers)
+    std::cout << ' ' << status << ": " << count;
   std::cout << "\nfaults:";
-  for (const auto& [what, count] : world.faults) std::cout << ' ' << what << ": " << count << ';';
+  for (const auto& [what, count] : world.faults)
+    std::cout << ' ' << what << ": " << count << ';';
   load.clients.clear();
-  for (int i = 0; i < 200; ++i) event_base_loop(world.loop.base(), EVLOOP_NONBLOCK);
-  std::cout << "\ndescriptors " << descriptors_before << " before, " << most_descriptors << " at most, " << descriptors() << " after; memory at most " << most_memory
-            << " KiB, all parts in one process\nrules broken: " << world.monitor.breaches().size() << std::endl;
+  for (int i = 0; i < 200; ++i)
+    event_base_loop(world.loop.base(), EVLOOP_NONBLOCK);
+  std::cout << "\ndescriptors " << descriptors_before << " before, " << most_descriptors << " at most, "
+            << descriptors() << " after; memory at most " << most_memory
+            << " KiB, all parts in one process\nrules broken: " << world.monitor.breaches().size()
+            << std::endl;
   assert(load.asked == calls && load.open.empty());
   assert(core.idle() && core.open() == 0 && world.held.empty());
-  assert(descriptors() <= descriptors_before + 2 * 4 * nodes.size());  // both ends of the connections that a pool keeps
+  assert(descriptors() <=
+         descriptors_before + 2 * 4 * nodes.size());  // both ends of the connections that a pool keeps
   core.on_change = nullptr;
   return world.monitor.breaches().empty() ? 0 : 1;
 }
--- a/tests/net/guide_test.cpp
+++ b/tests/net/guide_test.cpp
@@ -1,4 +1,5 @@
-// What routers know together, as the core uses it: pools laid over the list, hints, losses, and what it tells.
+// What routers know together, as the core uses it: pools laid over the list, hints, losses, and what it
+// tells.
 #include <cassert>
 #include <iostream>
 #include <map>
@@ -18,10 +19,13 @@
   std::uint32_t siblings() const override { return count; }
   Laid lay(const Node& node) const override { return laid.count(node.name) ? laid.at(node.name) : Laid{}; }
   std::vector<KeptAt> kept(Key, Key) const override { return keeps; }
-  Micros lost(const Node& node) const override { return losses.count(node.name) ? losses.at(node.name) : Micros(0); }
+  Micros lost(const Node& node) const override {
+    return losses.count(node.name) ? losses.at(node.name) : Micros(0);
+  }
 };
 
-// A writer of a pool that is away gets no new work, whatever discovery lists, and serves again once it is back.
+// A writer of a pool that is away gets no new work, whatever discovery lists, and serves again once it is
+// back.
 void lent_away() {
   Bed bed({"r", "w"});
   auto told = std::make_shared<Told>();
@@ -35,8 +39,8 @@
   assert(bed.core.ready_nodes() == 2);
 }
 
-// Guards a pool against a process that was frozen while its right ran out: the first event after it finds the writer
-// draining, although no newer guide has come. Without the check before each event this sends to it.
+// Guards a pool against a process that was frozen while its right ran out: the first event after it finds the
+// writer draining, although no newer guide has come. Without the check before each event this sends to it.
 void run_out() {
   for (const Micros frozen : {Micros(0), Micros(999999), Micros(1s), Micros(1h)}) {
     Bed bed({"r", "w"});
@@ -52,18 +56,21 @@
   }
 }
 
-// A pool taken over is cold: of two requests within a window the second finds no room, unlike at a warm writer.
+// A pool taken over is cold: of two requests within a window the second finds no room, unlike at a warm
+// writer.
 void taken_over() {
   for (const bool cold : {false, true}) {
     Bed bed({"r", "w"});
     auto told = std::make_shared<Told>();
-    if (cold) told->laid["w"].started = bed.clock.at;
+    if (cold)
+      told->laid["w"].started = bed.clock.at;
     bed.core.guide(told);
     for (const char* name : {"q1", "q2"}) {
       bed.next_id = name;
       bed.take();
       bed.done(Outcome::read);
-      if (bed.nodes.begun.back().open) bed.done(Outcome::ok);
+      if (bed.nodes.begun.back().open)
+        bed.done(Outcome::ok);
       bed.pass(1ms);
     }
     assert(bed.nodes.begun.size() == (cold ? 3 : 4));
--- a/tests/net/parser_test.cpp
+++ b/tests/net/parser_test.cpp
@@ -73,14 +73,16 @@
       assert(result.state == http::Scan::fault && static_cast<int>(result.fault) == row.fault);
     }
   string many = "GET / HTTP/1.1\r\n";
-  for (int i = 0; i < 65; ++i) many += "A: b\r\n";
+  for (int i = 0; i < 65; ++i)
+    many += "A: b\r\n";
   const Buffer crowded(evbuffer_new());
   assert(scan(many + "\r\n", q, 100, crowded.get()).fault == http::Fault::head_too_large);
 
   for (const std::size_t step : {1, 3, 500}) {
     const Buffer buffer(evbuffer_new());
-    const auto good = scan("POST /x?y HTTP/1.1\r\nReq-Id: 7\r\nempty:\r\nconnection: Keep-Alive, Close\r\n\r\n", q,
-                           step, buffer.get());
+    const auto good =
+        scan("POST /x?y HTTP/1.1\r\nReq-Id: 7\r\nempty:\r\nconnection: Keep-Alive, Close\r\n\r\n", q, step,
+             buffer.get());
     assert(good.state == http::Scan::head && good.head.method == "POST" && good.head.target == "/x?y");
     assert(good.head.field("REQ-ID") == "7" && good.head.has("Empty") && good.head.closes());
   }
@@ -92,7 +94,8 @@
   assert(http::parse_head(head_text, http::Kind::request, head) == http::Fault::none);
   http::Fault fault = http::Fault::none;
   auto body = http::Body::of_request(head, fault);
-  if (!body) return std::to_string(static_cast<int>(fault));
+  if (!body)
+    return std::to_string(static_cast<int>(fault));
   const Buffer buffer(evbuffer_new());
   string text;
   for (std::size_t at = 0; at <= bytes.size(); at += step) {
@@ -101,8 +104,10 @@
       text += piece;
       return true;
     });
-    if (state == http::Body::State::fault) return std::to_string(static_cast<int>(body->fault()));
-    if (state == http::Body::State::whole) return "whole " + text;
+    if (state == http::Body::State::fault)
+      return std::to_string(static_cast<int>(body->fault()));
+    if (state == http::Body::State::whole)
+      return "whole " + text;
   }
   return "more " + text;
 }
@@ -142,9 +147,9 @@
   http::Head head;
   assert(http::parse_head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked", http::Kind::answer, head) ==
          http::Fault::none);
-  for (const auto& [size, state] : {std::pair{"100000\r\n", http::Body::State::more},
-                                    std::pair{"100001\r\n", http::Body::State::fault},
-                                    std::pair{"b2d05e00\r\n", http::Body::State::fault}}) {
+  for (const auto& [size, state] :
+       {std::pair{"100000\r\n", http::Body::State::more}, std::pair{"100001\r\n", http::Body::State::fault},
+        std::pair{"b2d05e00\r\n", http::Body::State::fault}}) {
     const Buffer buffer(evbuffer_new());
     evbuffer_add(buffer.get(), size, std::string_view(size).size());
     auto body = http::Body::of_answer(head);
@@ -153,13 +158,17 @@
 }
 
 void streams() {
-  const string text = ": note\r\ndata: a\n\ndata:b\ndata: c\n\nevent: x\ndata\n\n\ndata: [DONE]\n\n: Srv-Load: x0=1\n\n";
+  const string text =
+      ": note\r\ndata: a\n\ndata:b\ndata: c\n\nevent: x\ndata\n\n\ndata: [DONE]\n\n: Srv-Load: x0=1\n\n";
   for (std::size_t step = 1; step <= text.size(); ++step) {
     http::EventStream stream;
     string events, comments;
-    stream.on_event = [&](std::string_view data) { return events.append("<").append(data).append(">"), true; };
+    stream.on_event = [&](std::string_view data) {
+      return events.append("<").append(data).append(">"), true;
+    };
     stream.on_comment = [&](std::string_view note) { return comments.append(note).append(";"), true; };
-    for (std::size_t at = 0; at < text.size(); at += step) assert(stream.feed(std::string_view(text).substr(at, step)));
+    for (std::size_t at = 0; at < text.size(); at += step)
+      assert(stream.feed(std::string_view(text).substr(at, step)));
     assert(events == "<a><b\nc><><[DONE]>" && comments == "note;Srv-Load: x0=1;");
   }
   http::EventStream endless;
@@ -188,23 +197,27 @@
   using namespace std::chrono_literals;
   assert(grpc::parse_timeout("250m") == 250ms && grpc::parse_timeout("99999999S") == 99999999s);
   assert(grpc::parse_timeout("1500n") == 1us && grpc::parse_timeout("2H") == 2h);
-  for (const char* bad : {"", "m", "1", "123456789m", "-1m", "1.5S", "1 m", "1x"}) assert(!grpc::parse_timeout(bad));
+  for (const char* bad : {"", "m", "1", "123456789m", "-1m", "1.5S", "1 m", "1x"})
+    assert(!grpc::parse_timeout(bad));
   assert(grpc::timeout_text(250ms) == "250000u" && grpc::timeout_text(200s) == "200000m");
 }
 
 void lists() {
   const string good = R"({"instanceId":"s","hostPort":"127.0.0.1:5","lifecycle":"active","startedAtMs":5})";
-  const auto whole = [](const string& node) { return R"({"generation":1,"reset":true,"instances":[)" + node + "]}"; };
+  const auto whole = [](const string& node) {
+    return R"({"generation":1,"reset":true,"instances":[)" + node + "]}";
+  };
   const auto list = discovery::parse_list_text(whole(good));
   assert(list.version == 1 && list.whole && list.nodes.at(0).started == std::chrono::milliseconds(5));
   assert(discovery::parse_list_text(whole(R"({"instanceId":"s","lifecycle":"left"})")).nodes.size() == 1);
-  for (const string& bad : {string(""), string("[]"), string("{"), string("{}"), whole("{}"), whole("7"),
-                            whole(R"({"instanceId":"","hostPort":"127.0.0.1:5","lifecycle":"active"})"),
-                            whole(R"({"instanceId":"s","hostPort":"127.0.0.1:5","lifecycle":"odd"})"),
-                            whole(R"({"instanceId":"s","hostPort":"nowhere","lifecycle":"active"})"),
-                            whole(R"({"instanceId":"s","hostPort":"127.0.0.1","lifecycle":"active"})"),
-                            whole(R"({"instanceId":5,"hostPort":"127.0.0.1:5","lifecycle":"active"})"),
-                            whole(R"({"instanceId":"s","hostPort":"127.0.0.1:5","lifecycle":"active","cell":"x"})")})
+  for (const string& bad :
+       {string(""), string("[]"), string("{"), string("{}"), whole("{}"), whole("7"),
+        whole(R"({"instanceId":"","hostPort":"127.0.0.1:5","lifecycle":"active"})"),
+        whole(R"({"instanceId":"s","hostPort":"127.0.0.1:5","lifecycle":"odd"})"),
+        whole(R"({"instanceId":"s","hostPort":"nowhere","lifecycle":"active"})"),
+        whole(R"({"instanceId":"s","hostPort":"127.0.0.1","lifecycle":"active"})"),
+        whole(R"({"instanceId":5,"hostPort":"127.0.0.1:5","lifecycle":"active"})"),
+        whole(R"({"instanceId":"s","hostPort":"127.0.0.1:5","lifecycle":"active","cell":"x"})")})
     try {
       discovery::parse_list_text(bad);
       assert(!"a bad list was taken");
@@ -218,7 +231,8 @@
   for (const char* line : {"lanes.count=1\n", "lanes.0.name=a_b\n", "lanes.0.slo-us=1500000\n", "kinds=x,y\n",
                            "accounts=\n", "limits.cancel=true\n"})
     assert(flat.find(line) != string::npos);
-  for (const char* bad : {"", "[]", "{}", R"({"settings":{}})", R"({"settings":[]})", R"({"limits":5,"settings":{}})"})
+  for (const char* bad :
+       {"", "[]", "{}", R"({"settings":{}})", R"({"settings":[]})", R"({"limits":5,"settings":{}})"})
     try {
       config::parse_platform(bad);
       assert(!"a bad configuration was taken");
--- a/tests/net/scenario.cpp
+++ b/tests/net/scenario.cpp
@@ -13,14 +13,13 @@
 //   r* expect run q1               whichever of r.. it is
 //   r1 expect nothing              all is quiet
 //   c1 send nothing 5              connects, so many times, and stays silent
-//   front limit 2                  the fronts have so many places; front send drain, front send handover, front close
-//   front send pass                streams are given away, over a socket; the same fronts take them
-//   m1 send call GET /ready        a caller at the management listener, one call a connection; sees status 200
-//   m1 send bytes TEXT             as raw, each byte on its own
-//   core wait 2s                   moves the core's clock on
-//   core send retune altro 2       new settings: the one class altro, 2 attempts
-//   list send leaving r1           tells the core of a change; with peer d, discovery itself answers in raw
-//   c1 send raw TEXT               bytes as they are: \r \n, and $r1 is a node's address; {N} repeats
+//   front limit 2                  the fronts have so many places; front send drain, front send handover,
+//   front close front send pass                streams are given away, over a socket; the same fronts take
+//   them m1 send call GET /ready        a caller at the management listener, one call a connection; sees
+//   status 200 m1 send bytes TEXT             as raw, each byte on its own core wait 2s moves the core's
+//   clock on core send retune altro 2       new settings: the one class altro, 2 attempts list send leaving
+//   r1           tells the core of a change; with peer d, discovery itself answers in raw c1 send raw TEXT
+//   bytes as they are: \r \n, and $r1 is a node's address; {N} repeats
 // The time of the core is the scenario's alone; the wall clock only bounds how long a step may hang.
 #undef NDEBUG
 #include <unistd.h>
@@ -55,7 +54,8 @@
 
 string join(const Words& words, std::size_t from) {
   string text;
-  for (; from < words.size(); ++from) text += (text.empty() ? "" : " ") + words[from];
+  for (; from < words.size(); ++from)
+    text += (text.empty() ? "" : " ") + words[from];
   return text;
 }
 
@@ -74,25 +74,32 @@
  public:
   HttpClient(net::Loop& loop, string address) : loop_(loop), address_(std::move(address)) {}
   void send(const Words& words) override {
-    if (!connection_) connection_.reset(new net::Connection(loop_, net::Endpoint(address_), *this));
-    for (int more = words[0] == "nothing" && words.size() > 1 ? std::stoi(words[1]) - 1 : 0; more > 0; --more) {
+    if (!connection_)
+      connection_.reset(new net::Connection(loop_, net::Endpoint(address_), *this));
+    for (int more = words[0] == "nothing" && words.size() > 1 ? std::stoi(words[1]) - 1 : 0; more > 0;
+         --more) {
       more_.push_back(std::make_unique<HttpClient>(loop_, address_));
       more_.back()->send({"nothing"});
     }
-    if (words[0] == "nothing") return;
-    if (words[0] == "raw") return connection_->write(string_view_of(words[1]));
-    if (words[0] == "call") return connection_->write(join(words, 1) + " HTTP/1.1\r\nHost: m\r\n\r\n");
+    if (words[0] == "nothing")
+      return;
+    if (words[0] == "raw")
+      return connection_->write(string_view_of(words[1]));
+    if (words[0] == "call")
+      return connection_->write(join(words, 1) + " HTTP/1.1\r\nHost: m\r\n\r\n");
     if (words[0] == "bytes") {
       for (const char& c : words[1]) {
         connection_->write({&c, 1});
-        for (int i = 0; i < 3; ++i) event_base_loop(loop_.base(), EVLOOP_NONBLOCK);
+        for (int i = 0; i < 3; ++i)
+          event_base_loop(loop_.base(), EVLOOP_NONBLOCK);
       }
       return;
     }
     const string body = "{\"messages\":[]}";
-    connection_->write("POST /v1/chat/completions HTTP/1.1\r\nReq-Id: " + words[1] + "\r\nReq-Kind: " +
-                       (words.size() > 3 ? words[3] : "estratto") + "\r\nReq-Deadline: " +
-                       words[2].substr(0, words[2].size() - 1) + "\r\nReq-Key: 7f\r\nReq-Extra: prompt_len=100" +
+    connection_->write("POST /v1/chat/completions HTTP/1.1\r\nReq-Id: " + words[1] +
+                       "\r\nReq-Kind: " + (words.size() > 3 ? words[3] : "estratto") +
+                       "\r\nReq-Deadline: " + words[2].substr(0, words[2].size() - 1) +
+                       "\r\nReq-Key: 7f\r\nReq-Extra: prompt_len=100" +
                        "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
   void close() override { connection_.reset(); }
@@ -111,14 +118,17 @@
   }
   bool answer() {
     const auto head = text_.find("\r\n\r\n");
-    if (head == string::npos) return false;
+    if (head == string::npos)
+      return false;
     const string top = text_.substr(0, head);
     if (top.find("chunked") != string::npos) {
       in_stream_ = true;
       const auto size_end = text_.find("\r\n", head + 4);
-      if (size_end == string::npos) return false;
+      if (size_end == string::npos)
+        return false;
       const auto size = std::stoul(text_.substr(head + 4, size_end - head - 4), nullptr, 16);
-      if (text_.size() < size_end + 4 + size) return false;
+      if (text_.size() < size_end + 4 + size)
+        return false;
       const string data = text_.substr(size_end + 2, size);
       text_.erase(head + 4, size_end + size - head);
       if (size == 0) {
@@ -132,15 +142,21 @@
     }
     const auto length = top.find("Content-Length: ");
     const auto body = length == string::npos ? 0 : std::stoul(top.substr(length + 16));
-    if (text_.size() < head + 4 + body) return false;
+    if (text_.size() < head + 4 + body)
+      return false;
     const string status = top.substr(9, 3);
     const auto after = top.find("Retry-After: ");
     if (status == "429" && after != string::npos)
-      seen.push_back("refused " + std::to_string(std::lround(1000 * std::stod(top.substr(after + 13)))) + "ms");
-    else if (status == "429") seen.push_back("refused");
-    else if (status == "504") seen.push_back("failed timed_out");
-    else if (status == "502") seen.push_back("failed gave_up");
-    else seen.push_back(status == "400" ? "rejected" : "status " + status);
+      seen.push_back("refused " + std::to_string(std::lround(1000 * std::stod(top.substr(after + 13)))) +
+                     "ms");
+    else if (status == "429")
+      seen.push_back("refused");
+    else if (status == "504")
+      seen.push_back("failed timed_out");
+    else if (status == "502")
+      seen.push_back("failed gave_up");
+    else
+      seen.push_back(status == "400" ? "rejected" : "status " + status);
     text_.erase(0, head + 4 + body);
     return true;
   }
@@ -160,7 +176,8 @@
  public:
   GrpcClient(net::Loop& loop, string address) : loop_(loop), address_(std::move(address)) {}
   void send(const Words& words) override {
-    if (!session_) session_.reset(new grpc::Session(loop_, address_, *this, grpc::Session::Limits{}));
+    if (!session_)
+      session_.reset(new grpc::Session(loop_, address_, *this, grpc::Session::Limits{}));
     v1::GenerateRequest request;
     request.set_id(words[1]);
     request.set_kind(words.size() > 3 ? words[3] : "estratto");
@@ -193,8 +210,8 @@
     });
   }
   void closed(std::uint32_t, bool) override {
-    const std::map<string, string> words{{"0", "end"},       {"3", "rejected"},  {"4", "failed timed_out"},
-                                         {"6", "rejected"},  {"10", "cut"},      {"13", "failed gave_up"},
+    const std::map<string, string> words{{"0", "end"},      {"3", "rejected"}, {"4", "failed timed_out"},
+                                         {"6", "rejected"}, {"10", "cut"},     {"13", "failed gave_up"},
                                          {"14", "refused"}};
     const auto word = words.find(status_);
     seen.push_back((word == words.end() ? "status " + status_ : word->second) +
@@ -212,26 +229,36 @@
 
 class HttpNode : public Peer {
  public:
-  explicit HttpNode(net::Loop& loop) : loop_(loop), listener_(loop, "127.0.0.1:0", [this](evutil_socket_t fd) {
-    visits_.push_back(std::make_unique<Visit>(*this, fd));
-  }) {}
+  explicit HttpNode(net::Loop& loop)
+      : loop_(loop), listener_(loop, "127.0.0.1:0", [this](evutil_socket_t fd) {
+          visits_.push_back(std::make_unique<Visit>(*this, fd));
+        }) {}
   std::uint16_t port() const { return listener_.port(); }
   bool busy() const override { return open_ != nullptr; }
   void close() override { drop(*open_); }
   void send(const Words& words) override {
-    if (words[0] == "raw") return raw_send(words[1]);
+    if (words[0] == "raw")
+      return raw_send(words[1]);
     const string& what = words[0];
-    if (what == "read") return whole("202 Accepted", "", "{\"cached_tokens\":" + words[1] + "}");
-    if (what == "declined") return whole("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
-    if (what == "lost") return whole("410 Gone", "Srv-Declined: 1\r\n", "");
-    if (what == "error") return whole("500 Internal Server Error", "", "");
-    if (what == "unfit") return whole("400 Bad Request", "", "");
-    if (what == "junk") return raw_send("no HTTP at all\r\n\r\n");
+    if (what == "read")
+      return whole("202 Accepted", "", "{\"cached_tokens\":" + words[1] + "}");
+    if (what == "declined")
+      return whole("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
+    if (what == "lost")
+      return whole("410 Gone", "Srv-Declined: 1\r\n", "");
+    if (what == "error")
+      return whole("500 Internal Server Error", "", "");
+    if (what == "unfit")
+      return whole("400 Bad Request", "", "");
+    if (what == "junk")
+      return raw_send("no HTTP at all\r\n\r\n");
     if (what == "spoilt") {
-      if (!open_->streaming) chunk(": opened\n");
+      if (!open_->streaming)
+        chunk(": opened\n");
       return raw_send("zz\r\n");
     }
-    if (what == "event") return chunk("data: " + join(words, 1) + "\n\n");
+    if (what == "event")
+      return chunk("data: " + join(words, 1) + "\n\n");
     assert(what == "end");
     chunk("data: [DONE]\n\n");
     open_->connection.write("0\r\n\r\n");
@@ -243,7 +270,8 @@
     Visit(HttpNode& of, evutil_socket_t fd) : node(of), connection(of.loop_, fd, *this) {}
     void on_readable() override { node.readable(*this); }
     void on_closed() override {
-      if (node.open_ == this) node.seen.push_back("gone " + id);
+      if (node.open_ == this)
+        node.seen.push_back("gone " + id);
       node.drop(*this);
     }
     HttpNode& node;
@@ -254,12 +282,15 @@
   };
   void readable(Visit& visit) {
     evbuffer* input = visit.connection.input();
-    const auto copied = string(reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), evbuffer_get_length(input));
+    const auto copied =
+        string(reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), evbuffer_get_length(input));
     const auto scan = http::scan_head(input, http::Kind::request, visit.scanned);
-    if (scan.state != http::Scan::head) return;
+    if (scan.state != http::Scan::head)
+      return;
     const auto length = scan.head.field("Content-Length");
     const std::size_t whole = scan.length + (length.empty() ? 0 : std::stoul(string(length)));
-    if (evbuffer_get_length(input) < whole) return;
+    if (evbuffer_get_length(input) < whole)
+      return;
     raw += copied;
     if (scan.head.method == "DELETE") {
       seen.push_back("release " + string(scan.head.target.substr(7)));
@@ -291,9 +322,11 @@
     open_->connection.write(text.str());
   }
   void drop(Visit& visit) {
-    if (open_ == &visit) open_ = nullptr;
+    if (open_ == &visit)
+      open_ = nullptr;
     for (auto& one : visits_)
-      if (one.get() == &visit) loop_.dispose(std::move(one));
+      if (one.get() == &visit)
+        loop_.dispose(std::move(one));
     std::erase(visits_, nullptr);
   }
   net::Loop& loop_;
@@ -311,33 +344,44 @@
   void send(const Words& words) override {
     v1::RunEvent event;
     const string& what = words[0];
-    if (what == "read") event.mutable_read()->set_cached_tokens(static_cast<std::uint32_t>(std::stoul(words[1])));
-    else if (what == "event") event.set_data(join(words, 1));
-    if (what == "read" || what == "event") open_->call.send(grpc::frame(event));
-    if (what == "read" || what == "end") over(grpc::Status::ok, {});
-    if (what == "declined") over(grpc::Status::unavailable, {{"srv-declined", "1"}});
-    if (what == "lost") over(grpc::Status::failed_precondition, {{"srv-declined", "1"}});
+    if (what == "read")
+      event.mutable_read()->set_cached_tokens(static_cast<std::uint32_t>(std::stoul(words[1])));
+    else if (what == "event")
+      event.set_data(join(words, 1));
+    if (what == "read" || what == "event")
+      open_->call.send(grpc::frame(event));
+    if (what == "read" || what == "end")
+      over(grpc::Status::ok, {});
+    if (what == "declined")
+      over(grpc::Status::unavailable, {{"srv-declined", "1"}});
+    if (what == "lost")
+      over(grpc::Status::failed_precondition, {{"srv-declined", "1"}});
     if (what == "spoilt") {
       open_->call.send(string("\0\xff\xff\xff\xff", 5));
       open_ = nullptr;
     }
-    if (what == "unfit") over(grpc::Status::invalid_argument, {});
-    if (what == "error" || what == "junk") over(grpc::Status::internal, {});
+    if (what == "unfit")
+      over(grpc::Status::invalid_argument, {});
+    if (what == "error" || what == "junk")
+      over(grpc::Status::internal, {});
   }
 
  private:
   struct Run : grpc::Method {
     Run(GrpcNode& of, grpc::ServerCall& by, bool runs) : node(of), call(by), is_run(runs) {}
     ~Run() override {
-      if (node.open_ == this) node.seen.push_back("gone " + id);
-      if (node.open_ == this) node.open_ = nullptr;
+      if (node.open_ == this)
+        node.seen.push_back("gone " + id);
+      if (node.open_ == this)
+        node.open_ = nullptr;
     }
     void message(std::string_view bytes) override {
       v1::RunRequest request;  // of a release, too, the first field is the id
       assert(request.ParseFromString(string(bytes)));
       id = request.id();
       node.seen.push_back((is_run ? "run " : "release ") + id);
-      if (!is_run) return call.send(grpc::frame(v1::ReleaseReply())), call.finish(grpc::Status::ok, "");
+      if (!is_run)
+        return call.send(grpc::frame(v1::ReleaseReply())), call.finish(grpc::Status::ok, "");
       assert(!node.open_);  // never two attempts out at once
       node.open_ = this;
     }
@@ -346,7 +390,8 @@
     bool is_run;
     string id;
   };
-  std::unique_ptr<grpc::Method> open(std::string_view path, const grpc::Headers&, grpc::ServerCall& call) override {
+  std::unique_ptr<grpc::Method> open(std::string_view path, const grpc::Headers&,
+                                     grpc::ServerCall& call) override {
     return std::make_unique<Run>(*this, call, path.ends_with("/Run"));
   }
   void over(grpc::Status status, const grpc::Headers& more) {
@@ -395,28 +440,40 @@
   void line(const string& text) {
     std::istringstream in(text);
     Words words;
-    for (string word; in >> word;) words.push_back(word);
-    if (words.empty() || words[0][0] == '#') return;
-    if (words[0] == "nodes") return declare(Words(words.begin() + 1, words.end()));
+    for (string word; in >> word;)
+      words.push_back(word);
+    if (words.empty() || words[0][0] == '#')
+      return;
+    if (words[0] == "nodes")
+      return declare(Words(words.begin() + 1, words.end()));
     const string verb = words.at(1);
     const Words rest(words.begin() + 2, words.end());
-    if (verb == "wait") return wait(rest.at(0));
-    if (words[0] == "list") return change(rest);
-    if (words[0] == "core") return retune(rest.at(1), std::stoul(rest.at(2)));
-    if (words[0] == "front" && verb == "limit") return serve(std::stoul(rest.at(0)));
-    if (words[0] == "front") return drain(verb == "close" ? verb : rest.at(0));
-    if (verb == "expect") return expect(words[0], text, rest);
+    if (verb == "wait")
+      return wait(rest.at(0));
+    if (words[0] == "list")
+      return change(rest);
+    if (words[0] == "core")
+      return retune(rest.at(1), std::stoul(rest.at(2)));
+    if (words[0] == "front" && verb == "limit")
+      return serve(std::stoul(rest.at(0)));
+    if (words[0] == "front")
+      return drain(verb == "close" ? verb : rest.at(0));
+    if (verb == "expect")
+      return expect(words[0], text, rest);
     Peer& to = peer(words[0], true);
-    if (verb == "close") return to.close();
+    if (verb == "close")
+      return to.close();
     assert(verb == "send");
-    if (rest[0] != "raw" && rest[0] != "bytes") return to.send(rest);
+    if (rest[0] != "raw" && rest[0] != "bytes")
+      return to.send(rest);
     to.send({rest[0], unescape(text.substr(text.find(" " + rest[0] + " ") + rest[0].size() + 2))});
   }
   void finish() {
     unlink(handover_path().c_str());
     settle();
     for (const auto& [name, peer] : peers_)
-      if (!peer->seen.empty() && peer->seen.front() != "closed") std::cerr << name << " also saw: " << peer->seen.front() << "\n", std::abort();
+      if (!peer->seen.empty() && peer->seen.front() != "closed")
+        std::cerr << name << " also saw: " << peer->seen.front() << "\n", std::abort();
   }
 
  private:
@@ -437,8 +494,10 @@
         port = node->port();
         peers_[name] = std::move(node);
       };
-      if (grpc_nodes_) add(std::make_unique<GrpcNode>(loop_));
-      else add(std::make_unique<HttpNode>(loop_));
+      if (grpc_nodes_)
+        add(std::make_unique<GrpcNode>(loop_));
+      else
+        add(std::make_unique<HttpNode>(loop_));
       Router::Listed listed;
       listed.name = name;
       listed.address = addresses_[name] = local(port);
@@ -447,7 +506,8 @@
       listed_[name] = listed;
       list.push_back(listed);
     }
-    if (!watch_) core_->update(ListKind::full, 1, list);
+    if (!watch_)
+      core_->update(ListKind::full, 1, list);
   }
   static string local(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
@@ -469,7 +529,8 @@
       grpc_server_->stop_accepting();
     } else if (verb == "pass") {
       settle();
-      core_->pass_streams([](const PassedStream& stream) { return ops::Handover::send(handover_path(), stream); });
+      core_->pass_streams(
+          [](const PassedStream& stream) { return ops::Handover::send(handover_path(), stream); });
     } else if (verb == "handover") {
       settle();
       front_->hand_over();
@@ -493,20 +554,26 @@
   }
   // Loopback hands bytes on at once, so a few rounds without waiting see everything that is under way.
   void settle() {
-    for (int i = 0; i < 60; ++i) event_base_loop(loop_.base(), EVLOOP_NONBLOCK);
+    for (int i = 0; i < 60; ++i)
+      event_base_loop(loop_.base(), EVLOOP_NONBLOCK);
   }
 
   Peer& peer(const string& name, bool busy) {
     if (name.back() == '*') {
       for (auto& [other, one] : peers_)
-        if (other[0] == name[0] && (busy ? one->busy() : !one->seen.empty())) return *one;
+        if (other[0] == name[0] && (busy ? one->busy() : !one->seen.empty()))
+          return *one;
       for (auto& [other, one] : peers_)
-        if (other[0] == name[0]) return *one;
+        if (other[0] == name[0])
+          return *one;
     }
     auto& one = peers_[name];
-    if (!one && name[0] == 'm') one = std::make_unique<HttpClient>(loop_, local(management_.port()));
-    else if (!one && grpc_clients_) one = std::make_unique<GrpcClient>(loop_, local(grpc_server_->port()));
-    else if (!one) one = std::make_unique<HttpClient>(loop_, local(front_->port()));
+    if (!one && name[0] == 'm')
+      one = std::make_unique<HttpClient>(loop_, local(management_.port()));
+    else if (!one && grpc_clients_)
+      one = std::make_unique<GrpcClient>(loop_, local(grpc_server_->port()));
+    else if (!one)
+      one = std::make_unique<HttpClient>(loop_, local(front_->port()));
     return *one;
   }
 
@@ -534,11 +601,13 @@
         loop_.run_once();
       }
     }
-    while (peer(name, false).seen.empty()) loop_.run_once();
+    while (peer(name, false).seen.empty())
+      loop_.run_once();
     Peer& one = peer(name, false);
     const string got = one.seen.front();
     one.seen.pop_front();
-    if (got != join(words, 0)) std::cerr << text << "\n  but saw: " << got << "\n";
+    if (got != join(words, 0))
+      std::cerr << text << "\n  but saw: " << got << "\n";
     assert(got == join(words, 0));
   }
 
@@ -568,18 +637,20 @@
   net::Loop loop_;
   ManualClock clock_;
   std::unique_ptr<Nodes> make_nodes() {
-    if (grpc_nodes_) return std::make_unique<grpc::NodeClient>(loop_, grpc::Session::Limits{});
+    if (grpc_nodes_)
+      return std::make_unique<grpc::NodeClient>(loop_, grpc::Session::Limits{});
     return std::make_unique<http::NodeClient>(loop_, http::ClientLimits{});
   }
   std::unique_ptr<Nodes> nodes_ = make_nodes();
-  std::unique_ptr<Router> core_ = std::make_unique<Router>(
-      settings(), Words{"a"}, Words{"lettura", "scrittura"}, 1, clock_, *nodes_);
+  std::unique_ptr<Router> core_ =
+      std::make_unique<Router>(settings(), Words{"a"}, Words{"lettura", "scrittura"}, 1, clock_, *nodes_);
   ops::Status status_{*core_};
   ops::Management management_{loop_, "127.0.0.1:0", *core_, status_, [] { return ops::Reloads{}; }};
   static string handover_path() { return "scenario." + std::to_string(getpid()) + ".streams"; }
   std::unique_ptr<http::Front> front_;
-  ops::Handover handover_{loop_, handover_path(), [this](const PassedStream& stream) { front_->adopt(stream); },
-                           [this](const HandoverState& handover_state) { core_->take_over(handover_state); }};
+  ops::Handover handover_{loop_, handover_path(),
+                          [this](const PassedStream& stream) { front_->adopt(stream); },
+                          [this](const HandoverState& handover_state) { core_->take_over(handover_state); }};
   std::unique_ptr<grpc::Front> grpc_front_;
   std::unique_ptr<grpc::Server> grpc_server_;
   std::unique_ptr<discovery::Watch> watch_;
