--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -49,18 +49,31 @@
 void command_line() {
   assert(run({"version"}).out.starts_with("lemonroute "));
   assert(run({"help"}).code == 0);
-  for (const std::vector<string>& bad : {std::vector<string>{}, {"nonsense"}, {"config"}, {"config", "init"},
-                                         {"config", "check"}, {"serve", "--what"}, {"serve", "--log-level", "loud"}})
+  for (const std::vector<string>& bad : {std::vector<string>{},
+                                         {"nonsense"},
+                                         {"config"},
+                                         {"config", "init"},
+                                         {"config", "check"},
+                                         {"serve", "--what"},
+                                         {"serve", "--log-level", "loud"}})
     assert(run(bad).code == 2 && !run(bad).err.empty());
-  for (const std::vector<string>& command :
-       {std::vector<string>{"serve"}, {"demo"}, {"version"}, {"config", "init"}, {"config", "check"}, {"expect", "init"},
-        {"expect", "check"}, {"expect", "compare"}, {"expect", "audit"}, {"call"}}) {
+  for (const std::vector<string>& command : {std::vector<string>{"serve"},
+                                             {"demo"},
+                                             {"version"},
+                                             {"config", "init"},
+                                             {"config", "check"},
+                                             {"expect", "init"},
+                                             {"expect", "check"},
+                                             {"expect", "compare"},
+                                             {"expect", "audit"},
+                                             {"call"}}) {
     auto asked = command;
     asked.push_back("--help");
     const auto told = run(asked);
     assert(told.code == 0 && told.err.empty() && told.out.starts_with("lemonroute " + command.front()));
   }
-  for (const char* group : {"config", "expect"}) assert(run({group, "--help"}).code == 0);
+  for (const char* group : {"config", "expect"})
+    assert(run({group, "--help"}).code == 0);
   // What init writes, check takes, even under a name that needs care in quotes.
   for (const char* name : {"estratti", "a \"b\" \\c"}) {
     const string path = write_file(run({"config", "init", name}).out);
@@ -127,7 +140,8 @@
     const char *from, *to, *line, *what;
   };
   const Row rows[] = {
-      {"max_attempts = 4", "max_attempts = 7", ":4: ", "settings.max_attempts: must be a whole number from 1 to 6"},
+      {"max_attempts = 4", "max_attempts = 7",
+       ":4: ", "settings.max_attempts: must be a whole number from 1 to 6"},
       {"max_attempts = 4", "max_attempts = \"4\"", ":4: ", "settings.max_attempts: "},
       {"max_attempts = 4", "second_copies = true", ":4: ", "breaks the rule that no two attempts"},
       {"max_attempts = 4", "release_within = \"2s\"", ":4: ", "is not from 1ms to 1s"},
@@ -145,8 +159,9 @@
       {"kind = \"reader\"", "kind = \"writer\"", ":14: ", "'writer' is not a known kind"},
       {"address = \"127.0.0.1:1\"\n", "", ":11: ", "fleet[0].address: is missing"},
       {"address = \"127.0.0.1:1\"", "address = \"here\"", ":13: ", "fleet[0].address: "},
-      {"kind = \"reader\"", "kind = \"reader\"\n[[fleet]]\nname = \"r1\"\naddress = \"127.0.0.1:2\"\nkind = \"reader\"", ":16: ",
-       "is there twice"},
+      {"kind = \"reader\"",
+       "kind = \"reader\"\n[[fleet]]\nname = \"r1\"\naddress = \"127.0.0.1:2\"\nkind = \"reader\"",
+       ":16: ", "is there twice"},
       {"[serve]", "[serve]\ndiscovery = \"127.0.0.1:3\"", ":12: ", "not from both"},
       {"listen = \"127.0.0.1:0\"\n", "", ": ", "serve.listen: is missing"},
       {"[classes.k]\naim = \"1s\"\ndeadline = \"6s\"\n", "", ": ", "classes: is missing"},
@@ -155,16 +170,21 @@
     string text = alone;
     const auto at = text.find(row.from);
     assert(at != string::npos);
-    const auto checked = run({"config", "check", write_file(text.replace(at, string(row.from).size(), row.to))});
-    const bool named = checked.err.find(string("tools_test.toml") + row.line) != string::npos && checked.err.find(row.what) != string::npos;
-    if (!named) std::cerr << row.to << "\n" << checked.err;
+    const auto checked =
+        run({"config", "check", write_file(text.replace(at, string(row.from).size(), row.to))});
+    const bool named = checked.err.find(string("tools_test.toml") + row.line) != string::npos &&
+                       checked.err.find(row.what) != string::npos;
+    if (!named)
+      std::cerr << row.to << "\n" << checked.err;
     assert(checked.code == 1 && checked.out.empty() && named);
   }
 }
 
-string platform_file(const string& discovery, const string& listen = "127.0.0.1:0", const string& nodes = "[]") {
+string platform_file(const string& discovery, const string& listen = "127.0.0.1:0",
+                     const string& nodes = "[]") {
   return write_file(R"({"name":"n1","listen":")" + listen + R"(","discovery":")" + discovery + R"(",
-    "known":{"generation":1,"reset":true,"instances":)" + nodes + R"(},
+    "known":{"generation":1,"reset":true,"instances":)" +
+                    nodes + R"(},
     "settings":{"zones":["a"],"kinds":["r"],"siblings":1,"extra":{"kind-role":["read"],"release-us":1000000},
       "lanes":[{"name":"k","idempotency":"read_like","slo-us":1500000,"hard-limit-us":7500000}],
       "limits":{"max-attempts":6,"conn-idle-us":15000000,"connect-timeout-us":250000},
@@ -176,11 +196,14 @@
   const string platform = platform_file("127.0.0.1:1");
   std::filesystem::rename(platform, "tools_test.json");
   const auto check = [](const char* name) {
-    return run({"config", "check", write_file(string("[classes.") + name + "]\naim = \"1s\"\ndeadline = \"6s\"\n"), "--platform", "tools_test.json"});
+    return run({"config", "check",
+                write_file(string("[classes.") + name + "]\naim = \"1s\"\ndeadline = \"6s\"\n"), "--platform",
+                "tools_test.json"});
   };
   assert(check("k").code == 0);
   const auto other = check("z");
-  assert(other.code == 1 && other.err.find("tools_test.toml:1: classes.z: is no class of the platform's, which knows k") == 0);
+  assert(other.code == 1 &&
+         other.err.find("tools_test.toml:1: classes.z: is no class of the platform's, which knows k") == 0);
   std::filesystem::remove("tools_test.json");
 }
 
@@ -196,16 +219,28 @@
     string text = good;
     return text.replace(at, from.size(), to);
   };
-  for (const string& text :
-       {string(), string("[]"), good.substr(0, good.size() / 2), broken("\"name\":\"n1\",", ""),
-        broken("\"listen\":\"127.0.0.1:0\",", ""), broken("\"discovery\"", "\"discover\""),
-        broken("\"settings\"", "\"setting\""), broken("\"max-attempts\":6,", ""), broken("attempts\":6", "attempts\":0"),
-        broken("attempts\":6", "attempts\":-1"), broken("attempts\":6", "attempts\":\"six\""),
-        broken("attempts\":6", "attempts\":null"), broken(",\"hard-limit-us\":7500000", ""),
-        broken("limit-us\":7500000", "limit-us\":0"), broken("limit-us\":7500000", "limit-us\":-7500000"),
-        broken("limit-us\":7500000", "limit-us\":\"7s\""), broken("limit-us\":7500000", "limit-us\":true"),
-        broken("\"zones\":[\"a\"],", ""), broken("\"siblings\":1,", ""), broken("\"name\":\"k\",", ""),
-        broken("read_like", "odd"), broken("\"cold-us\":1,", "")}) {
+  for (const string& text : {string(),
+                             string("[]"),
+                             good.substr(0, good.size() / 2),
+                             broken("\"name\":\"n1\",", ""),
+                             broken("\"listen\":\"127.0.0.1:0\",", ""),
+                             broken("\"discovery\"", "\"discover\""),
+                             broken("\"settings\"", "\"setting\""),
+                             broken("\"max-attempts\":6,", ""),
+                             broken("attempts\":6", "attempts\":0"),
+                             broken("attempts\":6", "attempts\":-1"),
+                             broken("attempts\":6", "attempts\":\"six\""),
+                             broken("attempts\":6", "attempts\":null"),
+                             broken(",\"hard-limit-us\":7500000", ""),
+                             broken("limit-us\":7500000", "limit-us\":0"),
+                             broken("limit-us\":7500000", "limit-us\":-7500000"),
+                             broken("limit-us\":7500000", "limit-us\":\"7s\""),
+                             broken("limit-us\":7500000", "limit-us\":true"),
+                             broken("\"zones\":[\"a\"],", ""),
+                             broken("\"siblings\":1,", ""),
+                             broken("\"name\":\"k\",", ""),
+                             broken("read_like", "odd"),
+                             broken("\"cold-us\":1,", "")}) {
     bool refused = false;
     try {
       config::parse_platform(text);
@@ -238,7 +273,8 @@
     const int visitor = accept(fd, nullptr, nullptr);
     string line;
     char c = 0;
-    while (read(visitor, &c, 1) == 1 && c != '\r') line += c;
+    while (read(visitor, &c, 1) == 1 && c != '\r')
+      line += c;
     close(visitor);
     return line;
   }
@@ -252,8 +288,8 @@
   return static_cast<std::uint16_t>(std::stoi(door.address.substr(door.address.find(':') + 1)));
 }
 
-// The program itself: it starts from the platform's file, follows discovery to where the replaced file says on
-// SIGHUP, outlives a file that is no good, and ends with 0 on SIGTERM.
+// The program itself: it starts from the platform's file, follows discovery to where the replaced file says
+// on SIGHUP, outlives a file that is no good, and ends with 0 on SIGTERM.
 void start_and_end() {
   Door old_door, new_door;
   const string path = platform_file("127.0.0.1:1");
@@ -271,7 +307,8 @@
   string log;
   char c = 0;
   const auto logged = [&](const char* text) {
-    while (log.find(text) == string::npos && read(ends[0], &c, 1) == 1) log += c;
+    while (log.find(text) == string::npos && read(ends[0], &c, 1) == 1)
+      log += c;
     return log.find(text) != string::npos;
   };
   assert(logged("serves on"));
@@ -284,7 +321,8 @@
   assert(logged("the configuration stays as it was: tools_test.toml: "));
   assert(new_door.first_line() == "GET /v1/servers HTTP/1.1");
   kill(child, SIGTERM);
-  while (read(ends[0], &c, 1) == 1) log += c;
+  while (read(ends[0], &c, 1) == 1)
+    log += c;
   int status = 0;
   assert(waitpid(child, &status, 0) == child && WIFEXITED(status) && WEXITSTATUS(status) == 0);
   assert(log.find("drained, ending") != string::npos);
@@ -308,7 +346,8 @@
   string log;
   char c = 0;
   const auto logged = [&](const char* text) {
-    while (log.find(text) == string::npos && read(ends[0], &c, 1) == 1) log += c;
+    while (log.find(text) == string::npos && read(ends[0], &c, 1) == 1)
+      log += c;
     return log.find(text) != string::npos;
   };
   assert(logged("fixed nodes"));
@@ -322,13 +361,15 @@
   kill(child, SIGHUP);
   assert(logged("stays as it was: tools_alone.toml:2: settings.max_attempts"));
   kill(child, SIGTERM);
-  while (read(ends[0], &c, 1) == 1) log += c;
+  while (read(ends[0], &c, 1) == 1)
+    log += c;
   int status = 0;
   assert(waitpid(child, &status, 0) == child && WIFEXITED(status) && WEXITSTATUS(status) == 0);
   close(ends[0]);
   std::filesystem::remove(config);
   for (const auto& file : std::filesystem::directory_iterator("."))
-    if (file.path().filename().string().starts_with("lemonroute-lemonroute-")) std::filesystem::remove(file.path());
+    if (file.path().filename().string().starts_with("lemonroute-lemonroute-"))
+      std::filesystem::remove(file.path());
 }
 
 // One process of the program, with what it logs. Without an address for management it has none.
@@ -350,7 +391,8 @@
   ~Process() { close(out); }
   bool logged(const string& text) {
     char c = 0;
-    while (log.find(text) == string::npos && read(out, &c, 1) == 1) log += c;
+    while (log.find(text) == string::npos && read(out, &c, 1) == 1)
+      log += c;
     return log.find(text) != string::npos;
   }
   int ended() {
@@ -374,20 +416,22 @@
     const string text = line + " HTTP/1.1\r\nConnection: close\r\n\r\n";
     assert(write(fd, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
     char c = 0;
-    while (read(fd, &c, 1) == 1) answer += c;
+    while (read(fd, &c, 1) == 1)
+      answer += c;
   }
   close(fd);
   return answer;
 }
 
-// A new process takes over on the inherited socket: bans hold for both, the old one ends with 0, and nobody who
-// connects is turned away. One that can't start changes nothing.
+// A new process takes over on the inherited socket: bans hold for both, the old one ends with 0, and nobody
+// who connects is turned away. One that can't start changes nothing.
 void upgrade() {
   Door clients, spare;  // what `spare` listens on is free again once it is closed
   const string ban = "/instances/disable?name=w1", old_door = "127.0.0.1:" + std::to_string(free_port()),
                new_door = "127.0.0.1:" + std::to_string(free_port());
   const int inherited = dup(clients.fd);
-  const string path = platform_file("127.0.0.1:1", clients.address, R"([{"instanceId":"w1","hostPort":"127.0.0.1:1","lifecycle":"active"}])");
+  const string path = platform_file("127.0.0.1:1", clients.address,
+                                    R"([{"instanceId":"w1","hostPort":"127.0.0.1:1","lifecycle":"active"}])");
   Process old_one(path, inherited, old_door);
   assert(old_one.logged("serves on"));
   assert(call(old_door, "GET /ready").find(" 200 ") != string::npos);
@@ -396,7 +440,8 @@
 
   for (const int wrong : {old_one.out, spare.fd, 4711}) {
     Process broken(path, wrong, new_door);
-    assert(broken.ended() == 1 && broken.log.find("lemonroute: the inherited socket, descriptor") != string::npos);
+    assert(broken.ended() == 1 &&
+           broken.log.find("lemonroute: the inherited socket, descriptor") != string::npos);
   }
   assert(call(clients.address, "GET /healthz").find(" 200 ") != string::npos);
 
@@ -413,7 +458,8 @@
   assert(old_one.log.find("another process takes the clients") != string::npos);
   assert(new_one.logged("no other process of this router runs"));
   assert(fcntl(clients.fd, F_GETFD) == flags);
-  for (int i = 0; i < 3; ++i) assert(call(clients.address, "GET /healthz").find(" 200 ") != string::npos);
+  for (int i = 0; i < 3; ++i)
+    assert(call(clients.address, "GET /healthz").find(" 200 ") != string::npos);
   assert(call(old_door, "GET /ready").empty());
 
   // Without a successor it drains as ever, and the socket stays open with its other holder.
@@ -426,7 +472,8 @@
   assert(getsockopt(clients.fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) == 0 && listens);
   close(inherited);
   for (const auto& file : std::filesystem::directory_iterator("."))
-    if (file.path().filename().string().starts_with("lemonroute-n1-")) std::filesystem::remove(file.path());
+    if (file.path().filename().string().starts_with("lemonroute-n1-"))
+      std::filesystem::remove(file.path());
 }
 
 struct Answer : http::Listener {
@@ -436,8 +483,8 @@
   bool over = false;
 };
 
-// What a node sends behind an answer must not be taken for the next one, even if it is still in the kernel when
-// the connection is wanted again.
+// What a node sends behind an answer must not be taken for the next one, even if it is still in the kernel
+// when the connection is wanted again.
 void second_answer() {
   Door door;
   net::Loop loop;
@@ -447,7 +494,8 @@
   const int node = accept(door.fd, nullptr, nullptr);
   const string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   assert(write(node, answer.data(), answer.size()) == static_cast<ssize_t>(answer.size()));
-  while (!first.over) loop.run_once();
+  while (!first.over)
+    loop.run_once();
   assert(write(node, answer.data(), answer.size()) == static_cast<ssize_t>(answer.size()));
   const auto two = client.start(door.address, "GET /next HTTP/1.1\r\n\r\n", {}, next);
   int other = -1;
@@ -472,21 +520,24 @@
 
 // Sends a stream of one event whose head brings a report, and whose end brings none.
 struct HttpStreamer : net::Connection::Handler {
-  explicit HttpStreamer(net::Loop& loop) : listener(loop, "127.0.0.1:0", [this, &loop](evutil_socket_t fd) {
-    connection.reset(new net::Connection(loop, fd, *this));
-  }) {}
+  explicit HttpStreamer(net::Loop& loop)
+      : listener(loop, "127.0.0.1:0", [this, &loop](evutil_socket_t fd) {
+          connection.reset(new net::Connection(loop, fd, *this));
+        }) {}
   void on_readable() override {
-    connection->write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nSrv-Load: x0=1\r\n"
-                      "Content-Length: 23\r\n\r\ndata: a\n\ndata: [DONE]\n\n");
+    connection->write(
+        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nSrv-Load: x0=1\r\n"
+        "Content-Length: 23\r\n\r\ndata: a\n\ndata: [DONE]\n\n");
   }
   void on_closed() override {}
   net::Listener listener;
   std::unique_ptr<net::Connection> connection;
 };
 struct GrpcStreamer : grpc::SessionOwner, grpc::StreamEvents {
-  explicit GrpcStreamer(net::Loop& loop) : listener(loop, "127.0.0.1:0", [this, &loop](evutil_socket_t fd) {
-    session.reset(new grpc::Session(loop, fd, *this, {}));
-  }) {}
+  explicit GrpcStreamer(net::Loop& loop)
+      : listener(loop, "127.0.0.1:0", [this, &loop](evutil_socket_t fd) {
+          session.reset(new grpc::Session(loop, fd, *this, {}));
+        }) {}
   grpc::StreamEvents* opened(grpc::Session&, std::int32_t id, const grpc::Headers&) override {
     stream = id;
     return this;
@@ -494,7 +545,8 @@
   void half_closed() override {
     v1::RunEvent event;
     event.set_data("a");
-    session->respond(stream, {{":status", "200"}, {"content-type", "application/grpc"}, {"srv-load", "x0=1"}});
+    session->respond(stream,
+                     {{":status", "200"}, {"content-type", "application/grpc"}, {"srv-load", "x0=1"}});
     session->write(stream, grpc::frame(event));
     session->finish(stream, {{"grpc-status", "0"}});
   }
@@ -516,14 +568,18 @@
   Node node;
   node.address = "127.0.0.1:" + std::to_string(streamer.listener.port());
   Note note;
-  const auto call = client.begin(node, {"q", "/", std::make_shared<string>("{}")}, std::chrono::seconds(5), note);
-  while (!note.over) loop.run_once();
+  const auto call =
+      client.begin(node, {"q", "/", std::make_shared<string>("{}")}, std::chrono::seconds(5), note);
+  while (!note.over)
+    loop.run_once();
   assert(note.result.outcome == Outcome::ok && note.result.load.empty());
 }
 
 struct NoNodes : Nodes {
   std::unique_ptr<Call> begin(const Node&, const Prompt&, Micros, Attempt&) override { return nullptr; }
-  std::unique_ptr<Call> release(const Node&, const string&, std::function<void(bool)>) override { return nullptr; }
+  std::unique_ptr<Call> release(const Node&, const string&, std::function<void(bool)>) override {
+    return nullptr;
+  }
   std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
   void hang_up(const Node&) override {}
   void limit(const Limits&) override {}
@@ -534,13 +590,19 @@
   SystemClock clock;
   NoNodes nodes;
   Router core{[] {
-                   Settings s;
-                   s.kind_role = {Role::read};
-                   return s;
-                 }(),
-                 {"a"}, {"r"}, 1, clock, nodes};
+                Settings s;
+                s.kind_role = {Role::read};
+                return s;
+              }(),
+              {"a"},
+              {"r"},
+              1,
+              clock,
+              nodes};
   ops::Status status{core};
-  Bed() { core.on_change = [this] { status.check(); }; }
+  Bed() {
+    core.on_change = [this] { status.check(); };
+  }
   void list(Phase phase) {
     core.update(ListKind::full, 1, {{"r", "127.0.0.1:1", "a", "r", 0, phase, 1, Micros(0)}});
   }
@@ -565,7 +627,8 @@
   ops::AgentCheck agent(bed.loop, "127.0.0.1:0", bed.status);
   const auto line = [&] {
     Visit visit(bed.loop, agent.port());
-    while (!visit.over) bed.loop.run_once();
+    while (!visit.over)
+      bed.loop.run_once();
     return visit.text;
   };
   assert(line() == "ready down #no node is ready\n");
@@ -612,7 +675,8 @@
   server.add(service);
   const auto check = [&](const string& method, const string& name) {
     HealthCall call(bed, server.port(), method, name);
-    while (!call.over) bed.loop.run_once();
+    while (!call.over)
+      bed.loop.run_once();
     return call.seen + "/" + call.code;
   };
   assert(check("Check", "") == "2/0");
@@ -622,7 +686,8 @@
 
   HealthCall watch(bed, server.port(), "Watch", ""), unknown(bed, server.port(), "Watch", "other");
   const auto until = [&](const string& seen) {
-    while (watch.seen != seen) bed.loop.run_once();
+    while (watch.seen != seen)
+      bed.loop.run_once();
   };
   until("1");
   bed.list(Phase::draining);
@@ -630,34 +695,42 @@
   bed.list(Phase::ready);
   until("121");
   bed.status.drain();
-  while (!watch.over || !unknown.over) bed.loop.run_once();
+  while (!watch.over || !unknown.over)
+    bed.loop.run_once();
   assert(watch.seen == "1212" && watch.code == "14" && unknown.seen == "3");
 }
 
-// What is known of many nodes takes several messages, and arrives as it was; a wrong message says so and loses nothing.
+// What is known of many nodes takes several messages, and arrives as it was; a wrong message says so and
+// loses nothing.
 void told_of_nodes() {
-  const string path = (std::filesystem::temp_directory_path() / ("told-" + std::to_string(getpid()))).string();
+  const string path =
+      (std::filesystem::temp_directory_path() / ("told-" + std::to_string(getpid()))).string();
   net::Loop loop;
   std::vector<NodeReport> got;
   std::size_t messages = 0, streams = 0;
   const std::vector<std::pair<Role, double>> rates{{Role::read, 51.25}, {Role::both, 80}};
-  ops::Handover end(loop, path, [&](const PassedStream&) { ++streams; }, [&](const HandoverState& handover_state) {
-    ++messages;
-    assert(handover_state.read_rates == rates);
-    got.insert(got.end(), handover_state.nodes.begin(), handover_state.nodes.end());
-  });
+  ops::Handover end(
+      loop, path, [&](const PassedStream&) { ++streams; },
+      [&](const HandoverState& handover_state) {
+        ++messages;
+        assert(handover_state.read_rates == rates);
+        got.insert(got.end(), handover_state.nodes.begin(), handover_state.nodes.end());
+      });
   std::vector<NodeReport> sent;
   for (int i = 0; i < 120; ++i)
-    sent.push_back({"s-" + std::to_string(i), "inflight=7,queue=2,x0=0.61,x1=" + string(i % 7, '1'), Micros(i), i % 5 == 0, i / 4.0});
+    sent.push_back({"s-" + std::to_string(i), "inflight=7,queue=2,x0=0.61,x1=" + string(i % 7, '1'),
+                    Micros(i), i % 5 == 0, i / 4.0});
   ops::Handover::tell(path, {sent, rates});
-  while (got.size() < sent.size()) loop.run_once();
+  while (got.size() < sent.size())
+    loop.run_once();
   for (std::size_t i = 0; i < sent.size(); ++i)
     assert(got[i].node == sent[i].node && got[i].load == sent[i].load && got[i].age == sent[i].age &&
            got[i].avoided == sent[i].avoided && got[i].sent == sent[i].sent);
   assert(messages > 1 && messages <= 6 && streams == 0);
   ops::Handover::tell(path + "-nobody", {sent, rates});  // is lost, and that is all
   ops::Handover::tell(path, {{{string(8000, 'x'), {}, {}, true}, {"after", {}, {}, true}}, rates});
-  while (got.size() == sent.size()) loop.run_once();
+  while (got.size() == sent.size())
+    loop.run_once();
   assert(got.size() == sent.size() + 1 && got.back().node == "after");
   std::remove(path.c_str());
 }
--- a/tests/peers/cases_test.cpp
+++ b/tests/peers/cases_test.cpp
@@ -30,7 +30,8 @@
   Members part(std::size_t of, std::size_t which) const {
     Members part;
     for (const auto member : members)
-      if (member % of == which) part.push_back(member);
+      if (member % of == which)
+        part.push_back(member);
     return part;
   }
   const Member& seen(std::size_t who, std::size_t of) {
@@ -81,7 +82,8 @@
 TEST_P(Case, a_site_cut_off_knows_that_it_is_a_minority_and_since_when) {
   const auto site = part(3, 0);
   Members rest = part(3, 1);
-  for (const auto member : part(3, 2)) rest.push_back(member);
+  for (const auto member : part(3, 2))
+    rest.push_back(member);
   world.cut(site, rest);
   world.run_periods(60);
   for (const auto member : site) {
@@ -89,11 +91,13 @@
     EXPECT_LT(*world.agent(member).view().minority_since, world.local(member));
     EXPECT_EQ(world.agent(member).view().there(), site.size());
   }
-  for (const auto member : rest) EXPECT_FALSE(world.agent(member).view().minority_since);
+  for (const auto member : rest)
+    EXPECT_FALSE(world.agent(member).view().minority_since);
   world.heal_all();
   one_view();
   world.run_periods(1);
-  for (const auto member : site) EXPECT_FALSE(world.agent(member).view().minority_since);
+  for (const auto member : site)
+    EXPECT_FALSE(world.agent(member).view().minority_since);
 }
 
 TEST_P(Case, one_way_cut_two_halves_and_three_parts_healed_in_another_order) {
@@ -116,9 +120,11 @@
 }
 
 TEST_P(Case, restarts_of_half_of_all_and_with_clocks_that_are_off) {
-  for (const auto member : part(2, 0)) world.restart(member);
+  for (const auto member : part(2, 0))
+    world.restart(member);
   one_view();
-  for (const auto member : members) world.kill(member);
+  for (const auto member : members)
+    world.kill(member);
   world.start_all();
   one_view();
   world.clock(0, -24h * 400, 0.02);
@@ -152,7 +158,8 @@
     return world.run_until(
         [&] {
           for (std::size_t who = 0; who < world.size(); ++who)
-            if (world.running(who) && seen(who, 1).address != world.address(which)) return false;
+            if (world.running(who) && seen(who, 1).address != world.address(which))
+              return false;
           return true;
         },
         20);
@@ -169,7 +176,8 @@
 }
 
 TEST_P(Case, unreachable_from_here_is_told_apart_from_gone) {
-  if (members.size() < 4) return;  // it takes others who hear both
+  if (members.size() < 4)
+    return;  // it takes others who hear both
   world.cut({0}, {1}, true);
   const auto flagged = world.run_until([&] { return seen(0, 1).unreachable_from_here; }, 200);
   EXPECT_TRUE(flagged);
@@ -192,7 +200,8 @@
       packet.facts.push_back(
           {real.name, real.site, real.address, real.start + later, incarnation, standing, liar.name});
     }
-    for (const auto member : honest) world.inject(world.address(member), wire::encode(packet));
+    for (const auto member : honest)
+      world.inject(world.address(member), wire::encode(packet));
   };
   for (const auto standing : {Standing::suspected, Standing::gone})
     for (const std::uint64_t incarnation :
@@ -226,7 +235,8 @@
     void receive(Micros, std::string_view from, std::string_view bytes, Outbox& out) override {
       EXPECT_GT(seen, 0u);
       ++got;
-      if (bytes == "question") out.send(Topic::pools, from, "answer");
+      if (bytes == "question")
+        out.send(Topic::pools, from, "answer");
     }
     void run_due(Micros now, Outbox& out) override {
       due = now + 1s;
@@ -244,7 +254,8 @@
     riders.push_back(std::make_unique<Echo>());
     return riders;
   });
-  for (const auto member : members) world.restart(member);
+  for (const auto member : members)
+    world.restart(member);
   world.run_periods(10);
   EXPECT_EQ(static_cast<Echo&>(world.rider(1, Topic::pools)).seen, members.size());
   EXPECT_GE(world.agent(1).describe(world.local(1))["pools"]["got"], 5);
--- a/tests/peers/decisions_test.cpp
+++ b/tests/peers/decisions_test.cpp
@@ -86,17 +86,20 @@
   ProbeOrder order;
   Random random(7);
   std::string evicted;
-  for (int at = 0; at < 20; ++at) order.add(*table.add(fact("c" + std::to_string(at)), 0s, &evicted), random);
+  for (int at = 0; at < 20; ++at)
+    order.add(*table.add(fact("c" + std::to_string(at)), 0s, &evicted), random);
   std::set<std::vector<std::string>> rounds;
   for (int round = 0; round < 5; ++round) {
     std::vector<std::string> names;
-    for (int at = 0; at < 20; ++at) names.push_back(order.next(random)->fact.name);
+    for (int at = 0; at < 20; ++at)
+      names.push_back(order.next(random)->fact.name);
     EXPECT_EQ(std::set<std::string>(names.begin(), names.end()).size(), 20u);
     rounds.insert(names);
   }
   EXPECT_EQ(rounds.size(), 5u);
   table.mark(*table.find("c3"), Standing::gone, "x", 0s);
-  for (int at = 0; at < 60; ++at) EXPECT_NE(order.next(random)->fact.name, "c3");
+  for (int at = 0; at < 60; ++at)
+    EXPECT_NE(order.next(random)->fact.name, "c3");
 }
 
 TEST(News, each_is_told_a_bounded_number_of_times_and_a_later_one_replaces_it) {
@@ -104,25 +107,30 @@
   News news;
   std::string evicted;
   std::map<std::string, std::size_t> told;
-  for (int at = 0; at < 200; ++at) news.add(*table.add(fact("c" + std::to_string(at)), 0s, &evicted));
+  for (int at = 0; at < 200; ++at)
+    news.add(*table.add(fact("c" + std::to_string(at)), 0s, &evicted));
   news.add(*table.find("c7"));
   for (int datagrams = 0; !news.empty(); ++datagrams) {
     ASSERT_LT(datagrams, 10'000);
     const auto& offer = news.next(100);
     ASSERT_LE(offer.size(), limits::offered);
     const std::size_t room = 5;
-    for (std::size_t at = 0; at < std::min(room, offer.size()); ++at) ++told[offer[at]->fact.name];
+    for (std::size_t at = 0; at < std::min(room, offer.size()); ++at)
+      ++told[offer[at]->fact.name];
     news.told(std::min(room, offer.size()));
   }
   EXPECT_EQ(told.size(), 200u);
-  for (const auto& [name, times] : told) EXPECT_EQ(times, News::times(100)) << name;
+  for (const auto& [name, times] : told)
+    EXPECT_EQ(times, News::times(100)) << name;
 }
 
 TEST(Table, is_bounded_and_its_digest_says_who_is_there_whatever_the_order) {
   Table one(50), other(50);
   std::string evicted;
-  for (int at = 0; at < 50; ++at) one.add(fact("c" + std::to_string(at)), 0s, &evicted);
-  for (int at = 49; at >= 0; --at) other.add(fact("c" + std::to_string(at)), 0s, &evicted);
+  for (int at = 0; at < 50; ++at)
+    one.add(fact("c" + std::to_string(at)), 0s, &evicted);
+  for (int at = 49; at >= 0; --at)
+    other.add(fact("c" + std::to_string(at)), 0s, &evicted);
   EXPECT_EQ(one.digest(), other.digest());
   EXPECT_EQ(one.add(fact("more"), 0s, &evicted), nullptr);
   EXPECT_EQ(evicted, "") << "nobody who is there makes room";
@@ -214,14 +222,16 @@
     auto bytes = wire::encode(packet_with(body, random.below(10)));
     for (auto flips = random.below(6); flips > 0; --flips)
       bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
-    if (random.below(4) == 0) bytes.resize(random.below(bytes.size()));
+    if (random.below(4) == 0)
+      bytes.resize(random.below(bytes.size()));
     wire::Packet read;
     if (wire::decode(bytes, read, left_out) != wire::Fault::none) {
       ++refused;
       continue;
     }
     EXPECT_TRUE(valid_name(read.sender.name));
-    for (const auto& one : read.facts) EXPECT_TRUE(valid(one));
+    for (const auto& one : read.facts)
+      EXPECT_TRUE(valid(one));
   }
   EXPECT_GT(refused, 0u);
   const auto good = wire::encode(packet_with(wire::Facts{}, 0));
--- a/tests/peers/measure_main.cpp
+++ b/tests/peers/measure_main.cpp
@@ -65,8 +65,10 @@
           std::size_t see = 0;
           for (std::size_t who = 0; who < members; ++who)
             see += who != victim && holds_gone(world, who, victim) ? 1 : 0;
-          if (see > 0 && began < 0) began = passed;
-          if (see == members - 1) break;
+          if (see > 0 && began < 0)
+            began = passed;
+          if (see == members - 1)
+            break;
         }
         first.push_back(began);
         all.push_back(passed);
@@ -124,13 +126,15 @@
       World world = joined(members, static_cast<std::uint64_t>(seed));
       world.run_until([&] { return world.one_view(); }, 300);
       World::Members left, right;
-      for (std::size_t member = 0; member < members; ++member) (member % 2 ? left : right).push_back(member);
+      for (std::size_t member = 0; member < members; ++member)
+        (member % 2 ? left : right).push_back(member);
       const auto cut = world.cut(left, right);
       world.run_periods(apart);
       world.heal(cut);
       std::string why;
       const auto took = world.run_until([&] { return world.one_view(&why); }, 400);
-      if (!took) std::printf("# not one: %s\n", why.c_str());
+      if (!took)
+        std::printf("# not one: %s\n", why.c_str());
       times.push_back(took.value_or(-1));
     }
     std::printf("%zu %.0f %.0f %.0f %.0f\n", members, apart, middle(times),
@@ -144,9 +148,12 @@
 int main(int argc, char** argv) {
   const std::string what = argc > 1 ? argv[1] : "";
   const int seeds = argc > 2 ? std::max(1, std::atoi(argv[2])) : 10;
-  if (what == "loss") return loss(seeds), 0;
-  if (what == "traffic") return traffic(seeds), 0;
-  if (what == "heal") return heal(seeds), 0;
+  if (what == "loss")
+    return loss(seeds), 0;
+  if (what == "traffic")
+    return traffic(seeds), 0;
+  if (what == "heal")
+    return heal(seeds), 0;
   std::fprintf(stderr, "peers_measure loss | traffic | heal [SEEDS]\n");
   return 2;
 }
--- a/tests/peers/schedule.cpp
+++ b/tests/peers/schedule.cpp
@@ -13,7 +13,8 @@
 
 std::size_t drawn_size(Random& random) {
   const auto kind = random.below(20);
-  if (kind < 13) return 2 + random.below(11);
+  if (kind < 13)
+    return 2 + random.below(11);
   return kind < 19 ? 13 + random.below(18) : 31 + random.below(50);
 }
 
@@ -31,22 +32,26 @@
 World::Members drawn_part(Random& random, std::size_t members) {
   World::Members part;
   for (std::size_t member = 0; member < members; ++member)
-    if (random.below(2)) part.push_back(member);
+    if (random.below(2))
+      part.push_back(member);
   return part;
 }
 
 World::Members others(const World::Members& part, std::size_t members) {
   World::Members rest;
   for (std::size_t member = 0; member < members; ++member)
-    if (std::find(part.begin(), part.end(), member) == part.end()) rest.push_back(member);
+    if (std::find(part.begin(), part.end(), member) == part.end())
+      rest.push_back(member);
   return rest;
 }
 
 void three_parts(World& world, Random& random) {
   World::Members parts[3];
-  for (std::size_t member = 0; member < world.size(); ++member) parts[random.below(3)].push_back(member);
+  for (std::size_t member = 0; member < world.size(); ++member)
+    parts[random.below(3)].push_back(member);
   std::vector<std::size_t> cuts;
-  for (int part = 0; part < 3; ++part) cuts.push_back(world.cut(parts[part], parts[(part + 1) % 3]));
+  for (int part = 0; part < 3; ++part)
+    cuts.push_back(world.cut(parts[part], parts[(part + 1) % 3]));
   world.run_periods(random.below(40));
   random.shuffle(cuts);
   for (const auto cut : cuts) {
@@ -88,10 +93,12 @@
     case 10:
       return three_parts(world, random);
     case 11:
-      for (const auto member : drawn_part(random, world.size())) world.restart(member);
+      for (const auto member : drawn_part(random, world.size()))
+        world.restart(member);
       return;
     case 12:
-      for (std::size_t member = 0; member < world.size(); ++member) world.kill(member);
+      for (std::size_t member = 0; member < world.size(); ++member)
+        world.kill(member);
       return world.start_all();
     case 13:
       return world.leave(one);
@@ -105,12 +112,15 @@
 
 // Answers are to be counted apart from what a router does of its own: one for each ping, question and
 // exchange.
-std::size_t most_datagrams(std::size_t members) { return 64 + 36 + 6 * members + 512; }
+std::size_t most_datagrams(std::size_t members) {
+  return 64 + 36 + 6 * members + 512;
+}
 
 std::string broken_bound(const World& world) {
   for (std::size_t member = 0; member < world.size(); ++member) {
     const auto& traffic = world.traffic(member);
-    if (traffic.largest > membership::limits::plain_bytes) return "a datagram is too long";
+    if (traffic.largest > membership::limits::plain_bytes)
+      return "a datagram is too long";
     if (traffic.most_in_period > most_datagrams(world.size()))
       return world.name(member) + " sends too much in a period";
     if (world.running(member) && world.agent(member).view().members.size() > world.size())
@@ -143,13 +153,15 @@
 
   for (std::size_t member = 0; member < played.members; ++member) {
     world.start(member);
-    if (random.below(4) == 0) world.run_for(Micros(random.below(2'000'000)));
+    if (random.below(4) == 0)
+      world.run_for(Micros(random.below(2'000'000)));
   }
   world.run_periods(random.below(20));
   for (auto left = 2 + random.below(9); left > 0; --left) {
     act(world, random);
     world.run_periods(random.below(20));
-    if (auto why = broken_bound(world); !why.empty()) return fails(why);
+    if (auto why = broken_bound(world); !why.empty())
+      return fails(why);
   }
 
   world.heal_all();
@@ -158,17 +170,22 @@
   bool seeds_run = false;
   for (std::size_t member = 0; member < settings.seeds && member < world.size(); ++member)
     seeds_run |= world.running(member);
-  if (!seeds_run) world.start(0);  // those who joined nobody can't find the others without any seed
+  if (!seeds_run)
+    world.start(0);  // those who joined nobody can't find the others without any seed
   std::string why;
   const double most = periods_to_one_view(played.members);
   for (double passed = 0; passed < most + 10; ++passed) {
     const bool one = world.one_view(&why);
-    if (!one && passed > most) return fails("no one view: " + why);
-    if (!one) played.healed_in = passed + 1;
+    if (!one && passed > most)
+      return fails("no one view: " + why);
+    if (!one)
+      played.healed_in = passed + 1;
     world.run_periods(1);
   }
-  if (world.false_gone() > 0) return fails("one who is alive is held gone");
-  if (why = broken_bound(world); !why.empty()) return fails(why);
+  if (world.false_gone() > 0)
+    return fails("one who is alive is held gone");
+  if (why = broken_bound(world); !why.empty())
+    return fails(why);
   played.held = true;
   played.trace = world.trace();
   return played;
--- a/tests/peers/schedules_main.cpp
+++ b/tests/peers/schedules_main.cpp
@@ -16,7 +16,8 @@
 void print(std::uint64_t seed, const Played& played) {
   std::cout << "seed " << seed << ", " << played.members
             << " members: " << (played.held ? "held" : played.why) << "\n";
-  for (const auto& line : played.trace) std::cout << "  " << line << "\n";
+  for (const auto& line : played.trace)
+    std::cout << "  " << line << "\n";
   std::cout << "again: peers_schedules --seed " << seed << "\n" << std::flush;
 }
 
@@ -32,10 +33,14 @@
       print(value, played);
       return played.held ? 0 : 1;
     }
-    if (word == "--count") count = value;
-    else if (word == "--from") from = value;
-    else if (word == "--jobs") jobs = std::max<std::uint64_t>(1, value);
-    else return std::cerr << "no such option: " << word << "\n", 2;
+    if (word == "--count")
+      count = value;
+    else if (word == "--from")
+      from = value;
+    else if (word == "--jobs")
+      jobs = std::max<std::uint64_t>(1, value);
+    else
+      return std::cerr << "no such option: " << word << "\n", 2;
   }
   std::atomic<std::uint64_t> next{from}, failed{0};
   std::mutex lock;
@@ -47,11 +52,14 @@
         const Played played = play_schedule(seed);
         const std::lock_guard guard(lock);
         healed.push_back(played.healed_in);
-        if (played.held) continue;
-        if (++failed <= 5) print(seed, played);
+        if (played.held)
+          continue;
+        if (++failed <= 5)
+          print(seed, played);
       }
     });
-  for (auto& thread : threads) thread.join();
+  for (auto& thread : threads)
+    thread.join();
   std::sort(healed.begin(), healed.end());
   if (!healed.empty())
     std::cout << count << " schedules from seed " << from << ", " << failed
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -1,3 +1,5 @@
+#include "peers/seal/seal.h"
+
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -8,7 +10,6 @@
 
 #include "peers/seal/flood.h"
 #include "peers/seal/refusals.h"
-#include "peers/seal/seal.h"
 
 namespace lemonroute::peers::seal {
 namespace {
@@ -50,7 +51,8 @@
       EXPECT_EQ(p.open(wrong), std::nullopt) << at;
       EXPECT_EQ(p.why, at == 0 ? Refusal::version : at < 5 ? Refusal::key : p.why);
     }
-  for (std::size_t length = 0; length < sealed.size(); ++length) EXPECT_FALSE(p.open(sealed.substr(0, length)));
+  for (std::size_t length = 0; length < sealed.size(); ++length)
+    EXPECT_FALSE(p.open(sealed.substr(0, length)));
   EXPECT_FALSE(p.open(sealed + "x"));
   EXPECT_FALSE(p.open(std::string(most_sealed + 1, '\1')));
   EXPECT_EQ(p.why, Refusal::oversize);
@@ -63,9 +65,11 @@
   Sealer restarted(key(1), {11, 23}), twin(key(1), {12, 22});
   std::set<std::string> all;
   for (int i = 0; i < 50; ++i)
-    for (Sealer* sealer : {&p.sealer, &restarted, &twin}) all.insert(sealer->seal("same"));
+    for (Sealer* sealer : {&p.sealer, &restarted, &twin})
+      all.insert(sealer->seal("same"));
   EXPECT_EQ(all.size(), 150u);  // no two alike
-  for (const auto& one : all) EXPECT_TRUE(p.open(one));
+  for (const auto& one : all)
+    EXPECT_TRUE(p.open(one));
   for (const auto& one : all) {
     EXPECT_FALSE(p.open(one));
     EXPECT_EQ(p.why, Refusal::replay);
@@ -80,8 +84,9 @@
     Refusal expected;
   };
   // First the new key opens everywhere, then it seals, then the old one goes.
-  for (const auto& step : {Step{{old_key, new_key}, new_key, Refusal::none}, Step{{new_key, old_key}, old_key, Refusal::none},
-                           Step{{new_key}, old_key, Refusal::key}, Step{{old_key, new_key}, other, Refusal::key}}) {
+  for (const auto& step :
+       {Step{{old_key, new_key}, new_key, Refusal::none}, Step{{new_key, old_key}, old_key, Refusal::none},
+        Step{{new_key}, old_key, Refusal::key}, Step{{old_key, new_key}, other, Refusal::key}}) {
     Opener opener(step.keys, 4);
     auto why = Refusal::none;
     opener.open(Sealer(step.sealed_with, {1, 1}).seal("x"), why);
@@ -96,12 +101,14 @@
     std::uint64_t asked;
     bool fresh;
   };
-  for (const auto& c : {Case{{}, 0, false}, Case{{}, 1, true}, Case{{1}, 1, false}, Case{{5}, 4, true},
-                        Case{{1, w}, 1, false}, Case{{w}, 1, true}, Case{{w + 1}, 1, false}, Case{{w + 1}, 2, true},
-                        Case{{1, 1 + w}, 1 + w, false}, Case{{3, 3 + w - 1}, 3, false}, Case{{3, 3 + w}, 4, true},
-                        Case{{1, 2, 9 * w}, 9 * w - 1, true}, Case{{~0ULL}, ~0ULL, false}, Case{{7, ~0ULL}, 7, false}}) {
+  for (const auto& c :
+       {Case{{}, 0, false}, Case{{}, 1, true}, Case{{1}, 1, false}, Case{{5}, 4, true},
+        Case{{1, w}, 1, false}, Case{{w}, 1, true}, Case{{w + 1}, 1, false}, Case{{w + 1}, 2, true},
+        Case{{1, 1 + w}, 1 + w, false}, Case{{3, 3 + w - 1}, 3, false}, Case{{3, 3 + w}, 4, true},
+        Case{{1, 2, 9 * w}, 9 * w - 1, true}, Case{{~0ULL}, ~0ULL, false}, Case{{7, ~0ULL}, 7, false}}) {
     Window window;
-    for (const auto one : c.marked) window.mark(one);
+    for (const auto one : c.marked)
+      window.mark(one);
     EXPECT_EQ(window.fresh(c.asked), c.fresh) << c.asked;
   }
 }
@@ -116,7 +123,8 @@
     const auto at = random() % 2 || ahead <= back ? ahead : ahead - back;
     const bool expected = at > 0 && !taken.count(at) && at + Window::width > newest;
     ASSERT_EQ(window.fresh(at), expected) << at << " with " << newest;
-    if (!expected) continue;
+    if (!expected)
+      continue;
     window.mark(at);
     taken.insert(at);
     newest = std::max(newest, at);
@@ -125,7 +133,8 @@
 
 TEST(Windows, are_bounded_and_forget_who_was_silent_for_longest) {
   Windows windows(3);
-  for (std::uint64_t tag = 1; tag <= 3; ++tag) windows.mark({tag, 0}, 1);
+  for (std::uint64_t tag = 1; tag <= 3; ++tag)
+    windows.mark({tag, 0}, 1);
   windows.mark({1, 0}, 2);
   windows.mark({4, 0}, 1);
   EXPECT_EQ(windows.size(), 3u);
@@ -147,7 +156,8 @@
     Flood flood(rates, {1});
     int taken = 0, looked = 0;
     for (Micros now{}; now < seconds(10); now += microseconds(20)) {
-      if (!flood.take(now)) continue;
+      if (!flood.take(now))
+        continue;
       ++taken;
       looked += flood.look(now, "10.0.0.1:" + std::to_string(random() % c.addresses));
     }
@@ -162,8 +172,10 @@
   flood.prove(Micros(1), "10.0.0.1:1");
   int peer = 0, newcomer = 0, strangers = 0, asked = 0;
   for (Micros now(1); now < seconds(10); now += microseconds(500)) {
-    for (int i = 0; i < 5; ++i) strangers += flood.look(now, "10.9.9." + std::to_string(i) + ":1");
-    if (now.count() % 100'000 != 1) continue;
+    for (int i = 0; i < 5; ++i)
+      strangers += flood.look(now, "10.9.9." + std::to_string(i) + ":1");
+    if (now.count() % 100'000 != 1)
+      continue;
     ++asked;
     peer += flood.look(now, "10.0.0.1:1");
     flood.prove(now, "10.0.0.1:1");
@@ -178,9 +190,11 @@
   Flood flood({1e9, 800, 100, 50}, {1});
   flood.prove(Micros(0), "a");
   int looked = 0;
-  for (Micros now{}; now < seconds(10); now += microseconds(100)) looked += flood.look(now, "a");
+  for (Micros now{}; now < seconds(10); now += microseconds(100))
+    looked += flood.look(now, "a");
   EXPECT_LE(looked, 50 * 10.5 + 1);
-  for (std::size_t i = 0; i < 2 * Flood::most_addresses; ++i) flood.prove(Micros(0), std::to_string(i));
+  for (std::size_t i = 0; i < 2 * Flood::most_addresses; ++i)
+    flood.prove(Micros(0), std::to_string(i));
   EXPECT_EQ(flood.addresses(), Flood::most_addresses);
   flood.prove(Flood::remembered + seconds(1), "later");
   EXPECT_EQ(flood.addresses(), 1u);
@@ -189,9 +203,11 @@
 TEST(Refusals, are_said_once_a_minute_in_one_line) {
   Refusals refusals;
   EXPECT_EQ(refusals.line(seconds(0)), std::nullopt);
-  for (int i = 0; i < 1000; ++i) refusals.count(Refusals::flood, "10.9.9.9:1");
+  for (int i = 0; i < 1000; ++i)
+    refusals.count(Refusals::flood, "10.9.9.9:1");
   refusals.count(Refusals::forged, "10.9.9.9:2");
-  EXPECT_EQ(refusals.line(seconds(1)), "peers: datagrams refused: 1 forged, 1000 flood; the last one from 10.9.9.9:2");
+  EXPECT_EQ(refusals.line(seconds(1)),
+            "peers: datagrams refused: 1 forged, 1000 flood; the last one from 10.9.9.9:2");
   refusals.count(Refusals::replay, "10.9.9.9:3");
   EXPECT_EQ(refusals.line(seconds(60)), std::nullopt);
   EXPECT_EQ(refusals.line(seconds(61)), "peers: datagrams refused: 1 replayed; the last one from 10.9.9.9:3");
@@ -210,9 +226,10 @@
   };
   EXPECT_EQ(reads(digits + "\n", 0600), "");
   EXPECT_EQ(reads(digits, 0400), "");
-  for (const mode_t mode : {0640, 0604, 0620, 0601}) EXPECT_NE(reads(digits, mode).find("by others"), std::string::npos);
-  for (const std::string& wrong : {std::string(), digits.substr(1), digits + "a", "g" + digits.substr(1), digits + "\n" + digits,
-                                   digits.substr(2) + "  "})
+  for (const mode_t mode : {0640, 0604, 0620, 0601})
+    EXPECT_NE(reads(digits, mode).find("by others"), std::string::npos);
+  for (const std::string& wrong : {std::string(), digits.substr(1), digits + "a", "g" + digits.substr(1),
+                                   digits + "\n" + digits, digits.substr(2) + "  "})
     EXPECT_NE(reads(wrong, 0600).find("64 hexadecimal"), std::string::npos) << wrong;
   EXPECT_NE(write_new_key(path), "");  // it is there
   std::filesystem::remove(path);
--- a/tests/peers/world.cpp
+++ b/tests/peers/world.cpp
@@ -81,7 +81,8 @@
 
 void World::start(std::size_t member) {
   Node& node = *nodes_[member];
-  if (node.agent) return;
+  if (node.agent)
+    return;
   note("start " + node.name);
   ++node.run;
   node.frozen = false;
@@ -97,19 +98,23 @@
   for (std::size_t at = 0; at < std::min(settings_.seeds, nodes_.size()); ++at)
     options.seeds.push_back(nodes_[at]->address);
   node.agent = std::make_unique<Agent>(options, settings_.seed * 1'000'003 + member * 1009 + node.run);
-  if (attach_) node.riders = attach_(member);
-  for (auto& rider : node.riders) node.agent->add(*rider);
+  if (attach_)
+    node.riders = attach_(member);
+  for (auto& rider : node.riders)
+    node.agent->add(*rider);
   node.agent->start(local(member));
   flush(member);
 }
 
 void World::start_all() {
-  for (std::size_t member = 0; member < nodes_.size(); ++member) start(member);
+  for (std::size_t member = 0; member < nodes_.size(); ++member)
+    start(member);
 }
 
 void World::kill(std::size_t member) {
   Node& node = *nodes_[member];
-  if (!node.agent) return;
+  if (!node.agent)
+    return;
   note("kill " + node.name);
   node.agent.reset();
   node.riders.clear();
@@ -127,7 +132,8 @@
 
 void World::leave(std::size_t member) {
   Node& node = *nodes_[member];
-  if (!node.agent || node.frozen) return;
+  if (!node.agent || node.frozen)
+    return;
   note("leave " + node.name);
   node.agent->leave(local(member));
   flush(member);
@@ -136,20 +142,25 @@
 }
 
 void World::freeze(std::size_t member) {
-  if (!nodes_[member]->agent) return;
+  if (!nodes_[member]->agent)
+    return;
   note("freeze " + nodes_[member]->name);
   nodes_[member]->frozen = true;
 }
 
 void World::thaw(std::size_t member) {
   Node& node = *nodes_[member];
-  if (!node.agent || !node.frozen) return;
+  if (!node.agent || !node.frozen)
+    return;
   note("thaw " + node.name);
   node.frozen = false;
   const bool timers_first = random_.below(2) == 0;
-  if (timers_first) node.agent->run_due(local(member));
-  for (auto& [from, bytes] : std::exchange(node.waiting, {})) node.agent->receive(local(member), from, bytes);
-  if (!timers_first) node.agent->run_due(local(member));
+  if (timers_first)
+    node.agent->run_due(local(member));
+  for (auto& [from, bytes] : std::exchange(node.waiting, {}))
+    node.agent->receive(local(member), from, bytes);
+  if (!timers_first)
+    node.agent->run_due(local(member));
   flush(member);
 }
 
@@ -163,9 +174,11 @@
 std::size_t World::cut(const Members& from, const Members& to, bool both_ways) {
   Cut made{++cut_number_, std::vector<bool>(nodes_.size()), std::vector<bool>(nodes_.size())};
   std::string line = both_ways ? "cut both ways:" : "cut one way:";
-  for (const auto member : from) made.from[member] = true, line += " " + nodes_[member]->name;
+  for (const auto member : from)
+    made.from[member] = true, line += " " + nodes_[member]->name;
   line += " |";
-  for (const auto member : to) made.to[member] = true, line += " " + nodes_[member]->name;
+  for (const auto member : to)
+    made.to[member] = true, line += " " + nodes_[member]->name;
   note(line);
   cuts_.push_back(made);
   if (both_ways) {
@@ -213,12 +226,15 @@
 
 void World::schedule(std::size_t member) {
   Node& node = *nodes_[member];
-  if (!node.agent || node.frozen) return;
+  if (!node.agent || node.frozen)
+    return;
   const Micros due = node.agent->next_due();
-  if (due == Micros::max()) return;
+  if (due == Micros::max())
+    return;
   const double ahead = std::max<double>(0, static_cast<double>((due - local(member)).count()));
   const Micros at = now_ + Micros(static_cast<std::int64_t>(std::ceil(ahead / (1 + node.rate))));
-  if (node.wake > now_ && node.wake <= at) return;
+  if (node.wake > now_ && node.wake <= at)
+    return;
   node.wake = at;
   queue_.push_back({at, ++events_, member, true, node.run, "", ""});
   std::push_heap(queue_.begin(), queue_.end(), Later());
@@ -226,7 +242,8 @@
 
 void World::flush(std::size_t member) {
   Node& node = *nodes_[member];
-  for (auto& datagram : node.agent->take()) carry(member, std::move(datagram));
+  for (auto& datagram : node.agent->take())
+    carry(member, std::move(datagram));
   schedule(member);
 }
 
@@ -241,11 +258,13 @@
   traffic.most_in_period = std::max(traffic.most_in_period, ++node.in_window);
 
   const auto found = by_address_.find(datagram.to);
-  if (found == by_address_.end()) return;
+  if (found == by_address_.end())
+    return;
   const std::size_t to = found->second;
   const Link& link = settings_.link;
   const double lose = 1 - (1 - link.lose) * (1 - node.lose) * (to == from ? 1 : 1 - nodes_[to]->lose);
-  if (is_cut(from, to) || chance(random_, lose)) return;
+  if (is_cut(from, to) || chance(random_, lose))
+    return;
   for (int copies = chance(random_, link.repeat) ? 2 : 1; copies > 0; --copies) {
     Event event{now_ + link.latency + node.slow + nodes_[to]->slow,
                 ++events_,
@@ -255,9 +274,11 @@
                 node.address,
                 datagram.bytes};
     event.at += Micros(random_.below(static_cast<std::size_t>(link.jitter.count()) + 1));
-    if (chance(random_, link.reorder)) event.at += link.latency * 5;
+    if (chance(random_, link.reorder))
+      event.at += link.latency * 5;
     if (chance(random_, link.corrupt)) {
-      if (!settings_.unsealed || event.bytes.empty()) continue;
+      if (!settings_.unsealed || event.bytes.empty())
+        continue;
       for (int flips = 1 + static_cast<int>(random_.below(4)); flips > 0; --flips)
         event.bytes[random_.below(event.bytes.size())] ^= static_cast<char>(1 << random_.below(8));
     }
@@ -268,7 +289,8 @@
 
 void World::inject(const std::string& to, std::string bytes, const std::string& from) {
   const auto found = by_address_.find(to);
-  if (found == by_address_.end()) return;
+  if (found == by_address_.end())
+    return;
   queue_.push_back({now_, ++events_, found->second, false, 0, from, std::move(bytes)});
   std::push_heap(queue_.begin(), queue_.end(), Later());
 }
@@ -276,17 +298,21 @@
 void World::handle(Event& event) {
   Node& node = *nodes_[event.member];
   if (event.wake) {
-    if (event.run != node.run || node.wake != event.at) return;
+    if (event.run != node.run || node.wake != event.at)
+      return;
     node.wake = Micros::max();
   }
-  if (!node.agent) return;
+  if (!node.agent)
+    return;
   if (node.frozen) {
     if (!event.wake && node.waiting.size() < socket_buffer)
       node.waiting.emplace_back(std::move(event.from), std::move(event.bytes));
     return;
   }
-  if (event.wake) node.agent->run_due(local(event.member));
-  else node.agent->receive(local(event.member), event.from, event.bytes);
+  if (event.wake)
+    node.agent->run_due(local(event.member));
+  else
+    node.agent->receive(local(event.member), event.from, event.bytes);
   flush(event.member);
 }
 
@@ -304,47 +330,65 @@
 
 std::optional<double> World::run_until(const std::function<bool()>& fact, double periods) {
   for (double passed = 0; passed <= periods; ++passed) {
-    if (fact()) return passed;
+    if (fact())
+      return passed;
     run_periods(1);
   }
   return std::nullopt;
 }
 
-bool World::running(std::size_t member) const { return nodes_[member]->agent != nullptr; }
-Agent& World::agent(std::size_t member) const { return *nodes_[member]->agent; }
-const std::string& World::name(std::size_t member) const { return nodes_[member]->name; }
-const std::string& World::address(std::size_t member) const { return nodes_[member]->address; }
-const World::Traffic& World::traffic(std::size_t member) const { return nodes_[member]->traffic; }
+bool World::running(std::size_t member) const {
+  return nodes_[member]->agent != nullptr;
+}
+Agent& World::agent(std::size_t member) const {
+  return *nodes_[member]->agent;
+}
+const std::string& World::name(std::size_t member) const {
+  return nodes_[member]->name;
+}
+const std::string& World::address(std::size_t member) const {
+  return nodes_[member]->address;
+}
+const World::Traffic& World::traffic(std::size_t member) const {
+  return nodes_[member]->traffic;
+}
 
 Rider& World::rider(std::size_t member, Topic topic) const {
   for (const auto& rider : nodes_[member]->riders)
-    if (rider->topic() == topic) return *rider;
+    if (rider->topic() == topic)
+      return *rider;
   throw std::out_of_range("no such rider");
 }
 
 std::size_t World::find(std::string_view name) const {
   for (std::size_t member = 0; member < nodes_.size(); ++member)
-    if (nodes_[member]->name == name) return member;
+    if (nodes_[member]->name == name)
+      return member;
   return nodes_.size();
 }
 
 bool World::one_view(std::string* why) const {
   const auto says = [&](std::string text) {
-    if (why) *why = std::move(text);
+    if (why)
+      *why = std::move(text);
     return false;
   };
   const View* first = nullptr;
   std::size_t run = 0;
-  for (const auto& node : nodes_) run += node->agent ? 1 : 0;
+  for (const auto& node : nodes_)
+    run += node->agent ? 1 : 0;
   for (const auto& node : nodes_) {
-    if (!node->agent) continue;
+    if (!node->agent)
+      continue;
     const View& view = node->agent->view();
-    if (!first) first = &view;
+    if (!first)
+      first = &view;
     for (const auto& other : nodes_) {
       const Member* seen = view.find(other->name);
       if (other->agent && !(seen && seen->there() && seen->address == other->address))
         return says(node->name + " does not see " + other->name);
-      if (!other->agent && seen && seen->there()) return says(node->name + " still sees " + other->name);
+      if (!other->agent && seen && seen->there())
+        return says(node->name + " still sees " + other->name);
       const Member* said = first->find(other->name);
       if (other->agent && (said->start != seen->start || said->incarnation != seen->incarnation))
         return says(node->name + " knows another word of " + other->name + " than " + first->me);
@@ -358,10 +402,12 @@
 std::size_t World::false_gone() const {
   std::size_t count = 0;
   for (const auto& node : nodes_) {
-    if (!node->agent) continue;
+    if (!node->agent)
+      continue;
     for (const Member& member : node->agent->view().members) {
       const auto other = find(member.name);
-      if (!member.there() && other < nodes_.size() && nodes_[other]->agent) ++count;
+      if (!member.there() && other < nodes_.size() && nodes_[other]->agent)
+        ++count;
     }
   }
   return count;
--- a/tests/pools/calendar_test.cpp
+++ b/tests/pools/calendar_test.cpp
@@ -1,7 +1,7 @@
-#include <gtest/gtest.h>
-
 #include "pools/calendar/calendar.h"
 
+#include <gtest/gtest.h>
+
 namespace lemonroute::pools {
 namespace {
 
@@ -11,10 +11,12 @@
 Micros utc(const char* day, int hour, int minute = 0) {
   return hours(24 * day_of(day)) + hours(hour) + minutes(minute);
 }
-Stretch from(int begin, int end, double expected) { return {minutes(begin), minutes(end), expected}; }
+Stretch from(int begin, int end, double expected) {
+  return {minutes(begin), minutes(end), expected};
+}
 
-// The instant of each clock change, from tzdata by hand: last Sundays of March and October at 1:00 UTC in Europe; second
-// Sunday of March at 7:00 and first of November at 6:00 UTC in New York.
+// The instant of each clock change, from tzdata by hand: last Sundays of March and October at 1:00 UTC in
+// Europe; second Sunday of March at 7:00 and first of November at 6:00 UTC in New York.
 struct Change {
   const char* zone;
   const char* day;
@@ -23,16 +25,22 @@
   friend void PrintTo(const Change& c, std::ostream* to) { *to << c.zone << ' ' << c.day; }
 };
 class Changes : public testing::TestWithParam<Change> {};
-INSTANTIATE_TEST_SUITE_P(
-    Years, Changes,
-    testing::Values(Change{"Europe/Rome", "2026-03-29", 1, true}, Change{"Europe/Rome", "2026-10-25", 1, false},
-                    Change{"Europe/Rome", "2027-03-28", 1, true}, Change{"Europe/Rome", "2027-10-31", 1, false},
-                    Change{"Europe/Amsterdam", "2026-03-29", 1, true}, Change{"Europe/Amsterdam", "2026-10-25", 1, false},
-                    Change{"Europe/Amsterdam", "2027-03-28", 1, true}, Change{"Europe/Amsterdam", "2027-10-31", 1, false},
-                    Change{"America/New_York", "2026-03-08", 7, true}, Change{"America/New_York", "2026-11-01", 6, false},
-                    Change{"America/New_York", "2027-03-14", 7, true}, Change{"America/New_York", "2027-11-07", 6, false}));
+INSTANTIATE_TEST_SUITE_P(Years, Changes,
+                         testing::Values(Change{"Europe/Rome", "2026-03-29", 1, true},
+                                         Change{"Europe/Rome", "2026-10-25", 1, false},
+                                         Change{"Europe/Rome", "2027-03-28", 1, true},
+                                         Change{"Europe/Rome", "2027-10-31", 1, false},
+                                         Change{"Europe/Amsterdam", "2026-03-29", 1, true},
+                                         Change{"Europe/Amsterdam", "2026-10-25", 1, false},
+                                         Change{"Europe/Amsterdam", "2027-03-28", 1, true},
+                                         Change{"Europe/Amsterdam", "2027-10-31", 1, false},
+                                         Change{"America/New_York", "2026-03-08", 7, true},
+                                         Change{"America/New_York", "2026-11-01", 6, false},
+                                         Change{"America/New_York", "2027-03-14", 7, true},
+                                         Change{"America/New_York", "2027-11-07", 6, false}));
 
-// Local time moves on by a minute a minute, but for the jump in spring and the rest in autumn, and never goes back.
+// Local time moves on by a minute a minute, but for the jump in spring and the rest in autumn, and never goes
+// back.
 TEST_P(Changes, MinuteByMinute) {
   const Change change = GetParam();
   const Zone zone(change.zone);
@@ -43,7 +51,8 @@
     const LocalTime local = zone.at(at + minutes(m));
     const int wall = static_cast<int>(local.minute.count());
     int expected = left + m;
-    if (m >= 0) expected = change.forward ? left + m + 60 : m < 60 ? left - 1 : left + m - 60;
+    if (m >= 0)
+      expected = change.forward ? left + m + 60 : m < 60 ? left - 1 : left + m - 60;
     EXPECT_EQ(wall, expected) << m;
     EXPECT_EQ(local.weekday, 6u);
     EXPECT_EQ(local.day, day_of(change.day));
@@ -96,17 +105,21 @@
   EXPECT_EQ(Calendar(Unit::requests, {{"a", {"UTC", 0, {}, {}}}}).wanted(Micros(0))[0], 0);
 }
 
-// Shares of 0.6 that touch end to end in winter overlap by an hour in the weeks when only one side has changed its clock.
+// Shares of 0.6 that touch end to end in winter overlap by an hour in the weeks when only one side has
+// changed its clock.
 TEST(Calendar, FindsSumsOverOneOfAFewWeeksOnly) {
   RegionHours rome{"Europe/Rome", 0.3, {}, {}}, york{"America/New_York", 0.3, {}, {}};
-  for (auto& day : rome.week) day = {from(480, 960, 0.7)};  // until 15:00 UTC in winter
-  for (auto& day : york.week) day = {from(600, 1080, 0.7)}; // from 15:00 UTC in winter
+  for (auto& day : rome.week)
+    day = {from(480, 960, 0.7)};  // until 15:00 UTC in winter
+  for (auto& day : york.week)
+    day = {from(600, 1080, 0.7)};  // from 15:00 UTC in winter
   const Calendar calendar(Unit::share, {{"rome", rome}, {"york", york}});
   const auto over = calendar.over_one(utc("2026-01-01", 0));
   ASSERT_TRUE(over);
   EXPECT_EQ(over->first, utc("2026-03-08", 14));
   EXPECT_NEAR(over->second, 1.4, 1e-9);
-  for (auto& day : york.week) day = {from(660, 1080, 0.7)};
+  for (auto& day : york.week)
+    day = {from(660, 1080, 0.7)};
   EXPECT_FALSE(Calendar(Unit::share, {{"rome", rome}, {"york", york}}).over_one(utc("2026-01-01", 0)));
 }
 
--- a/tests/pools/parts_test.cpp
+++ b/tests/pools/parts_test.cpp
@@ -11,8 +11,8 @@
 namespace lemonroute::pools {
 namespace {
 
-// Whatever one of n reports says, the sum is at most 1 + c / (n - 1) times what the others say, and never less than without
-// it; where those are alike, they count whole beside any lie.
+// Whatever one of n reports says, the sum is at most 1 + c / (n - 1) times what the others say, and never
+// less than without it; where those are alike, they count whole beside any lie.
 TEST(Demand, OneRouterMovesTheSumByAStatedShareOnly) {
   for (std::uint32_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937 rng(seed);
@@ -78,10 +78,15 @@
     wire::Grant grant{rng(), rng() % 2 == 0, {}};
     for (std::size_t i = 0; i < 1 + rng() % 120; ++i) {
       const std::uint64_t moved = rng() % 2;
-      grant.pools.push_back({{std::string(1 + rng() % most_name, 'x'), static_cast<std::uint32_t>(rng() % 65536)},
-                             {{moved * rng() % 1000, static_cast<RegionId>(moved * rng() % 4), moved * rng()},
-                              static_cast<RegionId>(rng() % 4), Micros(0)}, rng() % 2 == 0, rng() % 2 == 0});
-      if (moved) grant.pools.back().owned.since = now - std::chrono::milliseconds(1 + rng() % 100000);
+      grant.pools.push_back(
+          {{std::string(1 + rng() % most_name, 'x'), static_cast<std::uint32_t>(rng() % 65536)},
+           {{moved * rng() % 1000, static_cast<RegionId>(moved * rng() % 4), moved * rng()},
+            static_cast<RegionId>(rng() % 4),
+            Micros(0)},
+           rng() % 2 == 0,
+           rng() % 2 == 0});
+      if (moved)
+        grant.pools.back().owned.since = now - std::chrono::milliseconds(1 + rng() % 100000);
     }
     std::vector<wire::Entry> got;
     for (auto parcel : wire::write(grant, 9, now)) {
@@ -96,19 +101,24 @@
       for (int damage = 0; damage < 20; ++damage) {
         auto bad = parcel;
         bad[rng() % bad.size()] = static_cast<char>(rng());
-        if (rng() % 3 == 0) bad.resize(rng() % bad.size());
+        if (rng() % 3 == 0)
+          bad.resize(rng() % bad.size());
         const auto what = wire::read(bad, 9, 4, now);
-        if (!what.message) continue;
+        if (!what.message)
+          continue;
         const auto* some = std::get_if<wire::Grant>(&*what.message);
-        if (!some) continue;
-        for (const auto& entry : some->pools) ASSERT_TRUE(entry.owned.owner < 4 && entry.pool.site.size() <= most_name);
+        if (!some)
+          continue;
+        for (const auto& entry : some->pools)
+          ASSERT_TRUE(entry.owned.owner < 4 && entry.pool.site.size() <= most_name);
       }
     }
     ASSERT_EQ(got.size(), grant.pools.size());
     for (std::size_t i = 0; i < got.size(); ++i)
       ASSERT_TRUE(got[i].pool == grant.pools[i].pool && got[i].owned.ballot == grant.pools[i].owned.ballot &&
-                  got[i].owned.owner == grant.pools[i].owned.owner && got[i].owned.since == grant.pools[i].owned.since &&
-                  got[i].ok == grant.pools[i].ok && got[i].active == grant.pools[i].active);
+                  got[i].owned.owner == grant.pools[i].owned.owner &&
+                  got[i].owned.since == grant.pools[i].owned.since && got[i].ok == grant.pools[i].ok &&
+                  got[i].active == grant.pools[i].active);
   }
 }
 
--- a/tests/pools/rider_test.cpp
+++ b/tests/pools/rider_test.cpp
@@ -19,7 +19,8 @@
 // What is wanted is changed by demand, with the calendar flat.
 void ask_for(World& world, double north, double south) {
   for (auto& one : world.processes) {
-    if (!one->pools) continue;
+    if (!one->pools)
+      continue;
     const double writers = (one->site == "n" ? north : south) / 3 * world.settings.fill;
     NodeObserver::Demand demand;
     demand.own = writers / 4;
@@ -29,11 +30,13 @@
   }
 }
 void drive(World& world, Micros from, Micros until, double north, double south) {
-  for (Micros at = from; at < until; at += std::chrono::seconds(1)) world.at(at, [&world, north, south] { ask_for(world, north, south); });
+  for (Micros at = from; at < until; at += std::chrono::seconds(1))
+    world.at(at, [&world, north, south] { ask_for(world, north, south); });
 }
 World::Process* planner(World& world, const std::string& region) {
   for (auto& one : world.processes)
-    if (one->pools && one->name.starts_with(region) && one->pools->describe(one->local())["plans"] == true) return one.get();
+    if (one->pools && one->name.starts_with(region) && one->pools->describe(one->local())["plans"] == true)
+      return one.get();
   return nullptr;
 }
 
@@ -45,7 +48,7 @@
   drive(world, 120s, 300s, 12, 8);
   const PoolName lent{"n", 1}, stays{"n", 2};
   world.run(1s);
-  EXPECT_TRUE(world.senders(lent).empty());  // keepers abstain at first
+  EXPECT_TRUE(world.senders(lent).empty());                     // keepers abstain at first
   EXPECT_EQ(world.senders({"n", 0}), (Senders{{"north", 3}}));  // the reserve needs no right
   world.run(29s);
   EXPECT_EQ(world.senders(lent), (Senders{{"north", 3}}));
@@ -58,7 +61,8 @@
   // It started once, at one time for all of the region's routers but for what a question takes.
   std::vector<Micros> started;
   for (auto& one : world.processes)
-    if (one->site == "s") started.push_back(one->pools->rights()->lay(test::node("n", 1, 0)).started - one->skew);
+    if (one->site == "s")
+      started.push_back(one->pools->rights()->lay(test::node("n", 1, 0)).started - one->skew);
   for (const Micros at : started) {
     EXPECT_GT(at, World::base + 30s);
     EXPECT_LT(at - started[0] < 0s ? started[0] - at : at - started[0], 1500ms);
@@ -69,9 +73,11 @@
   EXPECT_EQ(told["pools"][1]["epoch"], 1);
   world.run(119s);
   for (std::size_t i = 0; i < started.size(); ++i)
-    EXPECT_EQ(world.processes[3 + i]->pools->rights()->lay(test::node("n", 1, 0)).started - world.processes[3 + i]->skew, started[i]);
+    EXPECT_EQ(world.processes[3 + i]->pools->rights()->lay(test::node("n", 1, 0)).started -
+                  world.processes[3 + i]->skew,
+              started[i]);
   world.run(300s);
-  EXPECT_EQ(world.senders(lent), (Senders{{"north", 3}})); 
+  EXPECT_EQ(world.senders(lent), (Senders{{"north", 3}}));
   EXPECT_EQ(world.broken, "");
 }
 
@@ -106,20 +112,29 @@
   EXPECT_EQ(world.broken, "");
 }
 
-enum class Trouble { proposer_crashes, proposer_freezes, keepers_restart, all_restart, cut, cut_one_way, loss };
+enum class Trouble {
+  proposer_crashes,
+  proposer_freezes,
+  keepers_restart,
+  all_restart,
+  cut,
+  cut_one_way,
+  loss
+};
 class Interrupted : public testing::TestWithParam<Trouble> {};
 INSTANTIATE_TEST_SUITE_P(Moves, Interrupted,
-                         testing::Values(Trouble::proposer_crashes, Trouble::proposer_freezes, Trouble::keepers_restart,
-                                         Trouble::all_restart, Trouble::cut, Trouble::cut_one_way, Trouble::loss));
+                         testing::Values(Trouble::proposer_crashes, Trouble::proposer_freezes,
+                                         Trouble::keepers_restart, Trouble::all_restart, Trouble::cut,
+                                         Trouble::cut_one_way, Trouble::loss));
 
-// Trouble for 10 s, begun at every 400 ms from before the plan until the pool serves: never two regions, and within eight
-// leases of the end of it one region has the pool, on all of its routers.
+// Trouble for 10 s, begun at every 400 ms from before the plan until the pool serves: never two regions, and
+// within eight leases of the end of it one region has the pool, on all of its routers.
 TEST_P(Interrupted, EndsOrIsUndone) {
   const Trouble trouble = GetParam();
   std::set<std::string> begun_in;
   for (Micros offset = 0s; offset < 16s; offset += 400ms) {
     const Settings settings = corrected();
-      World world(settings, 100 + static_cast<std::uint64_t>(offset.count()));
+    World world(settings, 100 + static_cast<std::uint64_t>(offset.count()));
     drive(world, 0s, 20s, 12, 12);
     drive(world, 20s, 200s, 6, 16);
     const Micros begin = 34s + offset, end = begin + 10s;
@@ -128,20 +143,33 @@
     ASSERT_TRUE(first);
     begun_in.insert(first->pools->describe(first->local())["pools"][1]["state"]);
     switch (trouble) {
-      case Trouble::proposer_crashes: world.crash(*first); break;
-      case Trouble::proposer_freezes: first->frozen_until = end; break;
+      case Trouble::proposer_crashes:
+        world.crash(*first);
+        break;
+      case Trouble::proposer_freezes:
+        first->frozen_until = end;
+        break;
       case Trouble::keepers_restart:
-        for (int k = 0; k < 3; ++k) world.crash(*world.processes[k]), world.begin(*world.processes[k]);
+        for (int k = 0; k < 3; ++k)
+          world.crash(*world.processes[k]), world.begin(*world.processes[k]);
         break;
       case Trouble::all_restart:
-        for (auto& one : world.processes) world.crash(*one), world.begin(*one);
+        for (auto& one : world.processes)
+          world.crash(*one), world.begin(*one);
+        break;
+      case Trouble::cut:
+        world.linked = [](auto& a, auto& b) { return a.site == b.site; };
+        break;
+      case Trouble::cut_one_way:
+        world.linked = [](auto& a, auto& b) { return a.site == b.site || a.site == "n"; };
+        break;
+      case Trouble::loss:
+        world.loss = 0.5;
         break;
-      case Trouble::cut: world.linked = [](auto& a, auto& b) { return a.site == b.site; }; break;
-      case Trouble::cut_one_way: world.linked = [](auto& a, auto& b) { return a.site == b.site || a.site == "n"; }; break;
-      case Trouble::loss: world.loss = 0.5; break;
     }
     world.run(end);
-    if (trouble == Trouble::proposer_crashes) world.begin(*first);
+    if (trouble == Trouble::proposer_crashes)
+      world.begin(*first);
     world.linked = [](auto&, auto&) { return true; };
     world.loss = 0;
     world.run(end + 8 * settings.terms.lease);
@@ -167,11 +195,13 @@
   world.run(20s);
   EXPECT_EQ(world.senders({"m", 1}), (Senders{{"north", 3}}));
   for (auto& one : world.nodes)
-    if (one.zone == "t" || one.zone == "s") one.listed = Phase::draining;
+    if (one.zone == "t" || one.zone == "s")
+      one.listed = Phase::draining;
   world.list();
   world.run(90s);
   int lent = 0;
-  for (const PoolName& name : {PoolName{"m", 0}, PoolName{"m", 1}, PoolName{"m", 2}, PoolName{"n", 1}, PoolName{"n", 2}})
+  for (const PoolName& name :
+       {PoolName{"m", 0}, PoolName{"m", 1}, PoolName{"m", 2}, PoolName{"n", 1}, PoolName{"n", 2}})
     lent += world.senders(name) == Senders{{"south", 3}};
   EXPECT_EQ(lent, 3);  // half of the six pools that are left
   EXPECT_EQ(world.senders({"n", 0}), (Senders{{"north", 3}}));
@@ -183,16 +213,22 @@
   world.run(5s);
   auto& one = *world.processes[0];
   const auto heard = one.pools->rights();
-  const std::string ask = wire::write(wire::Ask{1, 1, {{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}}, world.settings.mark() + 1, one.local())[0];
+  const std::string ask = wire::write(wire::Ask{1, 1, {{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}},
+                                      world.settings.mark() + 1, one.local())[0];
   one.pools->receive(one.local(), "south0", ask, one);
   one.pools->receive(one.local(), "south0", "\xff\xff", one);
   const auto counts = one.pools->describe(one.local())["counts"];
   EXPECT_EQ(counts["other_settings"], 1);
   EXPECT_EQ(counts["unreadable"], 1);
-  // Nor does a router get anywhere that asks for a region it does not stand in, or proposes another region's pool.
+  // Nor does a router get anywhere that asks for a region it does not stand in, or proposes another region's
+  // pool.
   const auto mark = world.settings.mark();
-  one.pools->receive(one.local(), "south0", wire::write(wire::Ask{1, 0, {{{"n", 1}, {}, false, false}}}, mark, one.local())[0], one);
-  one.pools->receive(one.local(), "south0", wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}, mark, one.local())[0], one);
+  one.pools->receive(one.local(), "south0",
+                     wire::write(wire::Ask{1, 0, {{{"n", 1}, {}, false, false}}}, mark, one.local())[0], one);
+  one.pools->receive(
+      one.local(), "south0",
+      wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}, mark, one.local())[0],
+      one);
   EXPECT_EQ(one.pools->describe(one.local())["counts"]["strangers"], 2);
   world.run(20s);
   EXPECT_EQ(world.senders({"n", 1}), (Senders{{"north", 3}}));
--- a/tests/pools/rights_test.cpp
+++ b/tests/pools/rights_test.cpp
@@ -1,6 +1,6 @@
-// A small world of keepers and holders with one pool: loss, repeats, reordering, delays far beyond a lease, processes that
-// freeze or restart without memory, clocks that run as wrong as the terms allow. Two regions must never hold a right at
-// the same true time; once all is well again, one must hold it.
+// A small world of keepers and holders with one pool: loss, repeats, reordering, delays far beyond a lease,
+// processes that freeze or restart without memory, clocks that run as wrong as the terms allow. Two regions
+// must never hold a right at the same true time; once all is well again, one must hold it.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -28,7 +28,10 @@
       restart(k, true);
     }
     for (std::size_t h = 0; h < 2 * regions; ++h) {
-      holders_.push_back({clock(), Holder(terms_, static_cast<RegionId>(h / 2), 0, names_), {}, static_cast<RegionId>(h / 2)});
+      holders_.push_back({clock(),
+                          Holder(terms_, static_cast<RegionId>(h / 2), 0, names_),
+                          {},
+                          static_cast<RegionId>(h / 2)});
       at(Micros(upto(300'000)), [this, h] { ask(h); });
     }
     at(Micros(upto(2'000'000)), [this] { propose(); });
@@ -38,16 +41,20 @@
   // Empty: nothing broke.
   std::string run(Micros trouble_for) {
     run_until(trouble_for);
-    if (!broken_.empty()) return broken_;
+    if (!broken_.empty())
+      return broken_;
     healed_ = true;
     // All that was under way or frozen for long has come by then, and eight leases more are the bound.
     run_until(trouble_for + 12 * terms_.lease);
-    if (!broken_.empty()) return broken_;
+    if (!broken_.empty())
+      return broken_;
     Owned last;
-    for (const auto& holder : holders_) last.learn(holder.it.owned());
+    for (const auto& holder : holders_)
+      last.learn(holder.it.owned());
     for (std::size_t h = 0; h < holders_.size(); ++h) {
       const bool has = holders_[h].it.right(local(holders_[h].clock)).has_value();
-      if (has != (holders_[h].region == last.owner)) return "holder " + std::to_string(h) + " is stuck";
+      if (has != (holders_[h].region == last.owner))
+        return "holder " + std::to_string(h) + " is stuck";
     }
     return "";
   }
@@ -77,9 +84,12 @@
     const double d = terms_.clock_error;
     return {Micros(1 + upto(1'000'000'000)), upto(1) ? 1 + d : 1 - d};  // as wrong as may be, either way
   }
-  Micros local(const Clock& c) const { return c.offset + Micros(static_cast<std::int64_t>(static_cast<double>(now_.count()) * c.rate)); }
+  Micros local(const Clock& c) const {
+    return c.offset + Micros(static_cast<std::int64_t>(static_cast<double>(now_.count()) * c.rate));
+  }
   Micros delay() {
-    if (healed_) return Micros(upto(20'000));
+    if (healed_)
+      return Micros(upto(20'000));
     return chance(0.15) ? Micros(upto(3'000'000)) : Micros(upto(100'000));
   }
 
@@ -87,15 +97,19 @@
   template <class P>
   void when_awake(P& process, Micros when, std::function<void()> what) {
     at(when, [this, &process, what = std::move(what)] {
-      if (now_ < process.frozen_until) when_awake(process, process.frozen_until, what);
-      else what();
+      if (now_ < process.frozen_until)
+        when_awake(process, process.frozen_until, what);
+      else
+        what();
     });
   }
   template <class P>
   void send(P& to, std::function<void()> what) {
-    if (!healed_ && chance(lossy_)) return;
+    if (!healed_ && chance(lossy_))
+      return;
     const int copies = !healed_ && chance(0.1) ? 2 : 1;
-    for (int i = 0; i < copies; ++i) when_awake(to, now_ + delay(), what);
+    for (int i = 0; i < copies; ++i)
+      when_awake(to, now_ + delay(), what);
   }
 
   void ask(std::size_t h) {
@@ -105,21 +119,29 @@
       send(keepers_[k], [this, h, k, sent, known = holder.it.owned()] {
         auto& keeper = keepers_[k];
         // Times of another process mean nothing: what since says goes as an age, here as nothing.
-        const auto answer = keeper.it.ask(pool, holders_[h].region, {known.ballot, known.owner, Micros(0)}, local(keeper.clock));
-        send(holders_[h], [this, h, k, sent, answer = Keeper::Answer{{answer.owned.ballot, answer.owned.owner, Micros(0)}, answer.ok, answer.active}] {
-          holders_[h].it.answered(names_[k], sent, answer, local(holders_[h].clock));
-        });
+        const auto answer = keeper.it.ask(pool, holders_[h].region, {known.ballot, known.owner, Micros(0)},
+                                          local(keeper.clock));
+        send(holders_[h],
+             [this, h, k, sent,
+              answer = Keeper::Answer{
+                  {answer.owned.ballot, answer.owned.owner, Micros(0)}, answer.ok, answer.active}] {
+               holders_[h].it.answered(names_[k], sent, answer, local(holders_[h].clock));
+             });
       });
     when_awake(holder, now_ + terms_.asks_every(), [this, h] { ask(h); });
   }
 
   void propose() {
-    if (healed_) return;
+    if (healed_)
+      return;
     auto& planner = holders_[upto(1)];  // of the home region; both may do so at once
     const auto& known = planner.it.owned();
-    const Owned next{{known.ballot.counter + 1, 0, rng_()}, static_cast<RegionId>(upto(holders_.size() / 2 - 1)), Micros(0)};
+    const Owned next{{known.ballot.counter + 1, 0, rng_()},
+                     static_cast<RegionId>(upto(holders_.size() / 2 - 1)),
+                     Micros(0)};
     for (auto& keeper : keepers_)
-      if (!chance(0.3)) send(keeper, [&keeper, next] { keeper.it.learn(pool, next); });
+      if (!chance(0.3))
+        send(keeper, [&keeper, next] { keeper.it.learn(pool, next); });
     at(now_ + Micros(upto(3'000'000)), [this] { propose(); });
   }
 
@@ -129,13 +151,18 @@
     keeper.it.start(local(keeper.clock));
   }
   void trouble() {
-    if (healed_) return;
+    if (healed_)
+      return;
     const auto kind = upto(3);
-    if (kind == 0) restart(upto(keepers_.size() - 1));
-    if (kind == 1) keepers_[upto(keepers_.size() - 1)].frozen_until = now_ + Micros(upto(3'000'000));
-    if (kind == 2) holders_[upto(holders_.size() - 1)].frozen_until = now_ + Micros(upto(3'000'000));
+    if (kind == 0)
+      restart(upto(keepers_.size() - 1));
+    if (kind == 1)
+      keepers_[upto(keepers_.size() - 1)].frozen_until = now_ + Micros(upto(3'000'000));
+    if (kind == 2)
+      holders_[upto(holders_.size() - 1)].frozen_until = now_ + Micros(upto(3'000'000));
     if (kind == 3 && chance(0.1))
-      for (std::size_t k = 0; k < keepers_.size(); ++k) restart(k);
+      for (std::size_t k = 0; k < keepers_.size(); ++k)
+        restart(k);
     at(now_ + Micros(upto(1'500'000)), [this] { trouble(); });
   }
 
@@ -152,19 +179,25 @@
   void check() {
     std::optional<RegionId> has;
     for (const auto& holder : holders_) {
-      if (!holder.it.right(local(holder.clock))) continue;
-      if (has && *has != holder.region) broken_ = "two regions hold a right at " + std::to_string(now_.count());
+      if (!holder.it.right(local(holder.clock)))
+        continue;
+      if (has && *has != holder.region)
+        broken_ = "two regions hold a right at " + std::to_string(now_.count());
       has = holder.region;
     }
-    if (has && last_ && *has != *last_) ++handed;
-    if (has) last_ = has;
+    if (has && last_ && *has != *last_)
+      ++handed;
+    if (has)
+      last_ = has;
   }
 
   struct Event {
     Micros when;
     std::uint64_t serial;
     std::function<void()> what;
-    bool operator<(const Event& other) const { return std::pair(when, serial) > std::pair(other.when, other.serial); }
+    bool operator<(const Event& other) const {
+      return std::pair(when, serial) > std::pair(other.when, other.serial);
+    }
   };
   std::mt19937_64 rng_;
   Terms terms_;
@@ -192,7 +225,8 @@
   EXPECT_GT(handed, most);  // else nothing was put to the test
 }
 
-// The arithmetic of the terms: a right is over before any promise that it stands on, at the worst rates of both clocks.
+// The arithmetic of the terms: a right is over before any promise that it stands on, at the worst rates of
+// both clocks.
 TEST(Rights, TermsOutlast) {
   for (const double d : {0.0, 0.0001, 0.01, 0.1}) {
     const Terms terms{std::chrono::seconds(3), d, std::chrono::milliseconds(50)};
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -1,5 +1,5 @@
-// Several routers' pools on a seeded net in one thread: clocks of their own, cuts, crashes, freezes. Views follow what
-// can be reached after two seconds, as membership would have it.
+// Several routers' pools on a seeded net in one thread: clocks of their own, cuts, crashes, freezes. Views
+// follow what can be reached after two seconds, as membership would have it.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,8 @@
 
 using namespace std::chrono_literals;
 
-inline Node node(const std::string& site, int cell, int n, const std::string& kind = "writer", Phase phase = Phase::ready) {
+inline Node node(const std::string& site, int cell, int n, const std::string& kind = "writer",
+                 Phase phase = Phase::ready) {
   Node one;
   one.name = site + "-" + std::to_string(cell) + "-" + kind + std::to_string(n);
   one.zone = site;
@@ -26,14 +27,15 @@
   return one;
 }
 
-// Regions "north" (site n) and "south" (site s), three routers each, all keepers; three pools of four writers each,
-// the first one reserved. Hours are UTC.
+// Regions "north" (site n) and "south" (site s), three routers each, all keepers; three pools of four writers
+// each, the first one reserved. Hours are UTC.
 inline Settings two_regions() {
   Settings s;
   for (const std::string name : {"north", "south"}) {
     auto& region = s.regions[name];
     region.sites = {name.substr(0, 1)};
-    for (int k = 0; k < 3; ++k) region.keepers.push_back(name + std::to_string(k));
+    for (int k = 0; k < 3; ++k)
+      region.keepers.push_back(name + std::to_string(k));
     region.reserve = {{name.substr(0, 1), 0}};
     s.hours[name] = {"UTC", 0.5, {}, {}};
   }
@@ -57,8 +59,12 @@
     Micros frozen_until{};
     std::uint64_t start = 0, life = 0;
     std::vector<std::string> seen_as_alive;
-    Micros local() const { return base + skew + Micros(static_cast<std::int64_t>(static_cast<double>(world->now.count()) * rate)); }
-    void send(peers::Topic, std::string_view to, std::string bytes) override { world->carry(*this, to, std::move(bytes)); }
+    Micros local() const {
+      return base + skew + Micros(static_cast<std::int64_t>(static_cast<double>(world->now.count()) * rate));
+    }
+    void send(peers::Topic, std::string_view to, std::string bytes) override {
+      world->carry(*this, to, std::move(bytes));
+    }
   };
 
   World(Settings with, std::uint64_t seed, int routers_each = 3) : settings(std::move(with)), rng(seed) {
@@ -77,24 +83,31 @@
     for (const auto& [name, region] : settings.regions)
       for (const auto& site : region.sites)
         for (int cell = 0; cell < 3; ++cell)
-          for (int n = 0; n < 4; ++n) nodes.push_back(node(site, cell, n));
-    for (auto& one : processes) begin(*one);
+          for (int n = 0; n < 4; ++n)
+            nodes.push_back(node(site, cell, n));
+    for (auto& one : processes)
+      begin(*one);
     look();
   }
 
   void begin(Process& one) {
     ++one.life;
     one.start = static_cast<std::uint64_t>(one.local().count());
-    one.pools = std::make_unique<Pools>(Pools::Options{settings, one.name, one.site, {"writer"}, 4s, one.start}, rng());
+    one.pools = std::make_unique<Pools>(
+        Pools::Options{settings, one.name, one.site, {"writer"}, 4s, one.start}, rng());
     one.seen_as_alive.clear();
     show(one);
     one.pools->listed(nodes, one.local());
     wake(one, one.life);
   }
-  void crash(Process& one) { one.pools.reset(); ++one.life; }
+  void crash(Process& one) {
+    one.pools.reset();
+    ++one.life;
+  }
   void list() {
     for (auto& one : processes)
-      if (one->pools) one->pools->listed(nodes, one->local());
+      if (one->pools)
+        one->pools->listed(nodes, one->local());
   }
 
   void at(Micros when, std::function<void()> what) { queue.push({when, serial++, std::move(what)}); }
@@ -113,21 +126,26 @@
   std::map<std::string, int> senders(const PoolName& name) {
     std::map<std::string, int> by;
     for (auto& one : processes) {
-      if (!one->pools) continue;
+      if (!one->pools)
+        continue;
       const auto laid = one->pools->rights()->lay(node(name.site, static_cast<int>(name.cell), 0));
-      if (!laid.away && laid.until > one->local()) ++by[*settings.region_of(one->site)];
+      if (!laid.away && laid.until > one->local())
+        ++by[*settings.region_of(one->site)];
     }
     return by;
   }
   void check() {
     std::map<PoolName, std::string> has;
     for (auto& one : processes) {
-      if (!one->pools) continue;
+      if (!one->pools)
+        continue;
       for (const auto& [name, entry] : one->pools->rights()->pools()) {
-        if (entry.away || entry.until <= one->local()) continue;
+        if (entry.away || entry.until <= one->local())
+          continue;
         const auto& region = *settings.region_of(one->site);
         const auto [at, fresh] = has.emplace(name, region);
-        if (at->second != region) broken = name.text() + " is sent to by two regions at " + std::to_string(now.count());
+        if (at->second != region)
+          broken = name.text() + " is sent to by two regions at " + std::to_string(now.count());
       }
     }
   }
@@ -146,9 +164,12 @@
   bool awake(const Process& one) const { return one.pools && now >= one.frozen_until; }
   void when_awake(Process& one, std::uint64_t life, Micros when, std::function<void()> what) {
     at(when, [this, &one, life, what = std::move(what)] {
-      if (one.life != life || !one.pools) return;
-      if (awake(one)) what();
-      else when_awake(one, life, one.frozen_until, what);
+      if (one.life != life || !one.pools)
+        return;
+      if (awake(one))
+        what();
+      else
+        when_awake(one, life, one.frozen_until, what);
     });
   }
   void wake(Process& one, std::uint64_t life) {
@@ -161,9 +182,11 @@
   void carry(Process& from, std::string_view to, std::string parcel) {
     ++parcels;
     bytes += parcel.size();
-    if (parcel.size() > peers::Outbox::most) broken = "a parcel of " + std::to_string(parcel.size()) + " bytes";
+    if (parcel.size() > peers::Outbox::most)
+      broken = "a parcel of " + std::to_string(parcel.size()) + " bytes";
     for (auto& one : processes) {
-      if (one->name != to || !linked(from, *one) || static_cast<double>(rng() % 1000) < loss * 1000) continue;
+      if (one->name != to || !linked(from, *one) || static_cast<double>(rng() % 1000) < loss * 1000)
+        continue;
       const Micros delay = Micros(1000 + rng() % 20000);
       when_awake(*one, one->life, now + delay, [&one = *one, sender = from.name, parcel] {
         one.pools->receive(one.local(), sender, parcel, one);
@@ -181,18 +204,22 @@
       member.site = other->site;
       member.start = other->start;
       const bool there = other.get() == &one || (awake(*other) && linked(one, *other) && linked(*other, one));
-      if (!there) member.standing = peers::Standing::gone;
-      else alive.push_back(member.name + std::to_string(member.start));
+      if (!there)
+        member.standing = peers::Standing::gone;
+      else
+        alive.push_back(member.name + std::to_string(member.start));
       view.members.push_back(member);
     }
     std::sort(view.members.begin(), view.members.end(), [](auto& a, auto& b) { return a.name < b.name; });
-    if (alive == one.seen_as_alive) return;
+    if (alive == one.seen_as_alive)
+      return;
     one.seen_as_alive = alive;
     one.pools->viewed(one.local(), view);
   }
   void look() {
     for (auto& one : processes)
-      if (awake(*one)) show(*one);
+      if (awake(*one))
+        show(*one);
     at(now + 2s, [this] { look(); });
   }
 
@@ -200,7 +227,9 @@
     Micros when;
     std::uint64_t serial;
     std::function<void()> what;
-    bool operator<(const Event& other) const { return std::pair(when, serial) > std::pair(other.when, other.serial); }
+    bool operator<(const Event& other) const {
+      return std::pair(when, serial) > std::pair(other.when, other.serial);
+    }
   };
   std::priority_queue<Event> queue;
   std::uint64_t serial = 0, versions = 0;
--- a/tests/retune_test.cpp
+++ b/tests/retune_test.cpp
@@ -15,21 +15,25 @@
   std::swap(other.classes[0], other.classes[2]);
   other.max_attempts = 3;
   bed.scheduler.retune(other);
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(bed.serve(bed.request(8000, 2, session)), home);
+  for (int i = 0; i < 3; ++i)
+    EXPECT_EQ(bed.serve(bed.request(8000, 2, session)), home);
 }
 
-// When the last warm reader has left, the cold ones are given what the learned rate says they can bear, no more.
+// When the last warm reader has left, the cold ones are given what the learned rate says they can bear, no
+// more.
 TEST(ColdReaders, AloneGetAPartOfWhatReadsHaveShown) {
   Bed bed;
   bed.list({host(1, reader_kind), host(9, writer_kind)});
-  for (int i = 0; i < 12; ++i) bed.serve(bed.request(4000), 200ms);  // 50 us a token
+  for (int i = 0; i < 12; ++i)
+    bed.serve(bed.request(4000), 200ms);  // 50 us a token
   ListEntry cold = host(2, reader_kind);
   cold.started = bed.now;
   bed.list({cold, host(9, writer_kind)});
   double tokens = 0;
   for (const Micros until = bed.now + 2900ms; bed.now < until; bed.pass(bed.now + 50ms)) {
     const Request r = bed.request(2000);
-    if (Bed::sent(bed.feed(r)) != 2) continue;
+    if (Bed::sent(bed.feed(r)) != 2)
+      continue;
     tokens += r.prompt;
     bed.complete(r.id, 0, 2, Outcome::read, 100ms);
     bed.feed(Abandoned{r.id});
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -107,9 +107,11 @@
   auto draining = host(1, reader_kind);
   draining.phase = Phase::draining;
   bed.list({draining}, ListKind::delta);
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(bed.serve(bed.request()), 2u);
+  for (int i = 0; i < 10; ++i)
+    EXPECT_EQ(bed.serve(bed.request()), 2u);
   bed.list({host(1, reader_kind), host(9, writer_kind)});  // 2 is missing from a whole list: gone
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(bed.serve(bed.request()), 1u);
+  for (int i = 0; i < 10; ++i)
+    EXPECT_EQ(bed.serve(bed.request()), 1u);
 }
 
 TEST(RuleCold, AFreshHostGetsItsPartOfTheBudget) {
@@ -196,10 +198,14 @@
 
   void check(Micros now, const std::vector<Action>& actions) {
     for (const auto& action : actions) {
-      if (const auto* a = std::get_if<Send>(&action)) send(now, *a);
-      if (const auto* a = std::get_if<Refuse>(&action)) answer(a->id, true);
-      if (const auto* a = std::get_if<Fail>(&action)) answer(a->id, false);
-      if (const auto* a = std::get_if<Release>(&action)) reqs.at(a->id).held = false;
+      if (const auto* a = std::get_if<Send>(&action))
+        send(now, *a);
+      if (const auto* a = std::get_if<Refuse>(&action))
+        answer(a->id, true);
+      if (const auto* a = std::get_if<Fail>(&action))
+        answer(a->id, false);
+      if (const auto* a = std::get_if<Release>(&action))
+        reqs.at(a->id).held = false;
       if (const auto* a = std::get_if<Cancel>(&action)) {
         ASSERT_LT(a->attempt, reqs.at(a->id).tries.size());
         cancelled.emplace_back(a->id, a->attempt);
@@ -218,7 +224,9 @@
     const Role role = s.kind_role[listed.at(a.host).kind];
     EXPECT_LT(q.tries.size(), s.max_attempts);
     const auto effect = s.classes[q.r.cls].effect;
-    if (out(q)) { EXPECT_TRUE(s.second_copies && effect == Effect::safe); }
+    if (out(q)) {
+      EXPECT_TRUE(s.second_copies && effect == Effect::safe);
+    }
     for (const auto& t : q.tries)
       if (role != Role::read && may_run(q, t)) {
         EXPECT_NE(effect, Effect::unsafe) << "an unsafe request sent twice";
@@ -259,7 +267,8 @@
     hosts.push_back(host(id, static_cast<std::uint8_t>(below(3)), static_cast<std::uint16_t>(below(2)), 0));
   const auto deliver = [&](const Event& event) { checker.check(bed.now, bed.feed(event)); };
   const auto tell = [&](ListKind kind) {
-    for (auto& h : hosts) checker.listed[h.host] = h;
+    for (auto& h : hosts)
+      checker.listed[h.host] = h;
     deliver(HostList{kind, 1, hosts});
   };
   tell(ListKind::cached);
@@ -274,37 +283,47 @@
     if (chance(0.02)) {  // the list changes
       auto& h = hosts[below(hosts.size())];
       h.phase = chance(0.5) ? Phase::ready : Phase::draining;
-      if (chance(0.3)) h.started = bed.now;
+      if (chance(0.3))
+        h.started = bed.now;
       tell(chance(0.5) ? ListKind::full : ListKind::delta);
     }
-    if (chance(0.02)) deliver(HostList{ListKind::failed, 0, {}});
+    if (chance(0.02))
+      deliver(HostList{ListKind::failed, 0, {}});
     if (chance(0.3)) {
       Request r = bed.request(static_cast<float>(below(9000)), static_cast<std::uint16_t>(below(3)),
                               1 + below(20), below(4), 1000);
       r.budget = Micros(chance(0.05) ? 0 : 500000 + below(5000000));
-      if (chance(0.05)) r.prompt = odd[below(5)];
-      if (chance(0.05)) r.shared_prefix = odd[below(5)];
+      if (chance(0.05))
+        r.prompt = odd[below(5)];
+      if (chance(0.05))
+        r.shared_prefix = odd[below(5)];
       checker.reqs[r.id] = {r, bed.now + r.budget, true, false, false, {}, {}};
       deliver(r);
     }
     std::vector<Pending> pending;
     for (auto& [id, q] : checker.reqs)
       for (std::size_t i = 0; i < q.tries.size(); ++i)
-        if (q.tries[i].out) pending.push_back({id, static_cast<std::uint16_t>(i)});
+        if (q.tries[i].out)
+          pending.push_back({id, static_cast<std::uint16_t>(i)});
     for (const auto& p : pending) {
       auto& q = checker.reqs.at(p.id);
       auto& t = q.tries[p.attempt];
       const bool due = bed.now >= q.deadline;
       const auto cancel =
           std::find(checker.cancelled.begin(), checker.cancelled.end(), std::pair(p.id, p.attempt));
-      if (!due && cancel == checker.cancelled.end() && !chance(0.05)) continue;
+      if (!due && cancel == checker.cancelled.end() && !chance(0.05))
+        continue;
       static const Outcome any[] = {Outcome::error, Outcome::full, Outcome::timeout, Outcome::connect_failed,
                                     Outcome::reset};
       Outcome outcome = any[below(5)];
-      if (t.role == Role::read ? chance(0.7) : false) outcome = Outcome::read;
-      if (t.role != Role::read && chance(0.6)) outcome = Outcome::ok;
-      if (due) outcome = Outcome::timeout;
-      if (cancel != checker.cancelled.end()) outcome = Outcome::cancelled;
+      if (t.role == Role::read ? chance(0.7) : false)
+        outcome = Outcome::read;
+      if (t.role != Role::read && chance(0.6))
+        outcome = Outcome::ok;
+      if (due)
+        outcome = Outcome::timeout;
+      if (cancel != checker.cancelled.end())
+        outcome = Outcome::cancelled;
       const bool started = outcome == Outcome::ok && q.live && !q.answered && chance(0.5);
       if (started) {
         q.deadline = Micros::max();
@@ -314,13 +333,16 @@
       again.out = false;
       again.may_have_run = outcome == Outcome::error || outcome == Outcome::timeout ||
                            outcome == Outcome::reset || outcome == Outcome::cancelled;
-      if (outcome == Outcome::ok) q.live = false;
+      if (outcome == Outcome::ok)
+        q.live = false;
       if (outcome == Outcome::read) {
         q.held = true;
         q.free_since = bed.now;
       }
-      if (again.role != Role::read && outcome == Outcome::ok) q.held = false;
-      if (q.held) q.free_since = bed.now;
+      if (again.role != Role::read && outcome == Outcome::ok)
+        q.held = false;
+      if (q.held)
+        q.free_since = bed.now;
       deliver(Completed{p.id, outcome, !q.live || q.answered, bed.now - again.sent, again.host,
                         static_cast<std::uint32_t>(below(3)), p.attempt,
                         chance(0.2) ? std::vector<float>{} : std::vector<float>{odd[below(5)], 0.4f}});
@@ -334,19 +356,24 @@
     }
     if (chance(0.05))
       deliver(Completed{1000000 + below(50), Outcome::ok, true, 1s, 1, 0, 0, {}});  // never held
-    if (chance(0.05)) deliver(Alarm{static_cast<std::uint32_t>(random())});
+    if (chance(0.05))
+      deliver(Alarm{static_cast<std::uint32_t>(random())});
     auto due = bed.alarms;
     bed.alarms.clear();
     for (const auto& alarm : due) {
-      if (alarm.first <= bed.now) deliver(Alarm{alarm.second});
-      else bed.alarms.push_back(alarm);
+      if (alarm.first <= bed.now)
+        deliver(Alarm{alarm.second});
+      else
+        bed.alarms.push_back(alarm);
     }
-    if (::testing::Test::HasFailure()) return;
+    if (::testing::Test::HasFailure())
+      return;
   }
 }
 
 TEST(Rules, HoldUnderRandomSequences) {
-  for (std::uint64_t seed = 1; seed <= 40 && !HasFailure(); ++seed) random_day(seed);
+  for (std::uint64_t seed = 1; seed <= 40 && !HasFailure(); ++seed)
+    random_day(seed);
 }
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -10,12 +10,14 @@
 TEST(ManyInstances, TogetherKeepAColdHostsBudget) {
   constexpr std::uint32_t instances = 150;
   std::vector<ListEntry> hosts = {host(90, writer_kind), host(91, writer_kind)};
-  for (HostId id = 1; id <= 11; ++id) hosts.push_back(host(id, reader_kind));
+  for (HostId id = 1; id <= 11; ++id)
+    hosts.push_back(host(id, reader_kind));
   Key key = 1;  // a session that belongs at the host which will be cold
   for (;; ++key) {
     Bed scout;
     scout.list(hosts);
-    if (scout.serve(scout.request(4000, 0, key)) == 11) break;
+    if (scout.serve(scout.request(4000, 0, key)) == 11)
+      break;
   }
   int at_cold = 0;
   for (std::uint32_t me = 0; me < instances; ++me) {
@@ -39,12 +41,14 @@
   EXPECT_GE(at_cold, 1) << "it must be let warm up";
 }
 
-// Seen on days that lose a zone: two of three requests were read and written in another zone than their router's,
-// so a stream broke when either zone went, and each zone read every beginning anew.
+// Seen on days that lose a zone: two of three requests were read and written in another zone than their
+// router's, so a stream broke when either zone went, and each zone read every beginning anew.
 TEST(ManyInstances, StayInTheirZoneAndReadABeginningOnceInIt) {
   std::vector<ListEntry> hosts;
-  for (HostId id = 0; id < 24; ++id) hosts.push_back(host(1 + id, reader_kind, id % 6, id % 3));
-  for (HostId id = 0; id < 15; ++id) hosts.push_back(host(101 + id, writer_kind, id % 6, id % 3));
+  for (HostId id = 0; id < 24; ++id)
+    hosts.push_back(host(1 + id, reader_kind, id % 6, id % 3));
+  for (HostId id = 0; id < 15; ++id)
+    hosts.push_back(host(101 + id, writer_kind, id % 6, id % 3));
   int inside = 0, all = 0;
   std::set<std::pair<Key, HostId>> kept;  // beginnings at readers
   for (std::uint32_t me = 0; me < 90; ++me) {
@@ -68,7 +72,8 @@
 
 TEST(ManyInstances, DecideAsFewDoOnTheSameEvidence) {
   std::vector<ListEntry> hosts = {host(90, writer_kind), host(91, writer_kind)};
-  for (HostId id = 1; id <= 6; ++id) hosts.push_back(host(id, reader_kind));
+  for (HostId id = 1; id <= 6; ++id)
+    hosts.push_back(host(id, reader_kind));
   Settings few = settings(), many = settings();
   few.siblings = 2;
   many.siblings = 200;
@@ -110,7 +115,8 @@
   bed.list({host(1, reader_kind), host(5, mixed_kind), host(6, mixed_kind), host(7, writer_kind),
             host(8, writer_kind), host(9, writer_kind), host(10, writer_kind)});
   for (int i = 0; i < 3; ++i) {
-    for (const HostId mixed : {5, 6}) bed.feed(HealthResult{mixed, Outcome::ok, 1ms, {0.6f}});
+    for (const HostId mixed : {5, 6})
+      bed.feed(HealthResult{mixed, Outcome::ok, 1ms, {0.6f}});
     bed.feed(HealthResult{7, Outcome::ok, 1ms, {0.2f}});
   }
   std::set<HostId> writers;
--- a/tests/support.h
+++ b/tests/support.h
@@ -65,7 +65,8 @@
     for (const auto& action : actions) {
       if (const auto* sleep = std::get_if<Sleep>(&action))
         alarms.emplace_back(now + sleep->after, sleep->cookie);
-      if (const auto* log = std::get_if<Log>(&action)) log_lines.push_back(log->line);
+      if (const auto* log = std::get_if<Log>(&action))
+        log_lines.push_back(log->line);
     }
     return actions;
   }
@@ -110,12 +111,15 @@
     for (;;) {
       auto due = alarms.end();
       for (auto it = alarms.begin(); it != alarms.end(); ++it)
-        if (it->first <= until && (due == alarms.end() || it->first < due->first)) due = it;
-      if (due == alarms.end()) break;
+        if (it->first <= until && (due == alarms.end() || it->first < due->first))
+          due = it;
+      if (due == alarms.end())
+        break;
       now = std::max(now, due->first);
       const auto cookie = due->second;
       alarms.erase(due);
-      for (auto& action : feed(Alarm{cookie})) all.push_back(std::move(action));
+      for (auto& action : feed(Alarm{cookie}))
+        all.push_back(std::move(action));
     }
     now = std::max(now, until);
     return all;
@@ -124,7 +128,8 @@
   template <class T>
   static const T* find(const std::vector<Action>& actions) {
     for (const auto& action : actions)
-      if (const auto* found = std::get_if<T>(&action)) return found;
+      if (const auto* found = std::get_if<T>(&action))
+        return found;
     return nullptr;
   }
   static HostId sent(const std::vector<Action>& actions) {
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -14,7 +14,9 @@
 
 using Random = std::mt19937_64;
 
-Era era_of(Random& random) { return {random() % 3, (random() % 3) | (random() % 3) << 16 | (random() % 2) << 48}; }
+Era era_of(Random& random) {
+  return {random() % 3, (random() % 3) | (random() % 3) << 16 | (random() % 2) << 48};
+}
 
 TEST(Eras, JoinIsASemilatticeAndALossIsLaterThanAllBefore) {
   Random random(1);
@@ -32,10 +34,14 @@
 
 Row::Entry entry_of(Random& random) {
   const auto contributor = 1 + random() % 9;
-  Row::Entry entry{contributor * 7 % 10, contributor, {{random() % 2, random() % 4}, {}, static_cast<std::uint8_t>(random() % 3), Micros(random() % 50)}};
+  Row::Entry entry{
+      contributor * 7 % 10,
+      contributor,
+      {{random() % 2, random() % 4}, {}, static_cast<std::uint8_t>(random() % 3), Micros(random() % 50)}};
   // One stamp says one thing, but for a liar's: there the content has an order of its own.
   for (auto n = random() % 3; n > 0; --n)
-    entry.vote.holders.push_back({n, era_of(random), static_cast<std::uint32_t>(1 + random() % 3), 255, Micros(random() % 5)});
+    entry.vote.holders.push_back(
+        {n, era_of(random), static_cast<std::uint32_t>(1 + random() % 3), 255, Micros(random() % 5)});
   return entry;
 }
 
@@ -43,18 +49,22 @@
   Random random(2);
   for (int round = 0; round < 3000; ++round) {
     std::vector<Row::Entry> all;
-    for (auto n = random() % 20; n > 0; --n) all.push_back(entry_of(random));
+    for (auto n = random() % 20; n > 0; --n)
+      all.push_back(entry_of(random));
     Row straight;
-    for (const auto& entry : all) straight.put(entry);
+    for (const auto& entry : all)
+      straight.put(entry);
     // Groups merged in a random order, some twice.
     std::vector<Row> groups(1 + random() % 4);
     for (const auto& entry : all) {
       groups[random() % groups.size()].put(entry);
-      if (random() % 3 == 0) groups[random() % groups.size()].put(entry);
+      if (random() % 3 == 0)
+        groups[random() % groups.size()].put(entry);
     }
     std::shuffle(groups.begin(), groups.end(), random);
     Row merged;
-    for (const auto& group : groups) merged.merge(group);
+    for (const auto& group : groups)
+      merged.merge(group);
     merged.merge(groups.front());
     ASSERT_TRUE(same(straight, merged)) << "round " << round;
     EXPECT_LE(merged.entries().size(), Row::most);
@@ -89,12 +99,15 @@
   Keeper keeper(names, 1024);
   Random random(4);
   const auto put = [&](KeyId key, NameId by, std::uint8_t weight, std::uint64_t number) {
-    keeper.put(key, by, Vote{{1, number}, {{1, {}, 100, 255, Micros(1)}}, weight, Micros(static_cast<long>(number))});
+    keeper.put(key, by,
+               Vote{{1, number}, {{1, {}, 100, 255, Micros(1)}}, weight, Micros(static_cast<long>(number))});
   };
-  for (std::uint64_t i = 1; i <= 20000; ++i) put(random(), 666, 255, i);
+  for (std::uint64_t i = 1; i <= 20000; ++i)
+    put(random(), 666, 255, i);
   EXPECT_LE(keeper.size(), 1024u / 4);
   EXPECT_GT(keeper.counts().over_quota, 0u);
-  for (std::uint64_t i = 1; i <= 20000; ++i) put(random(), 1 + i % 50, 10, i);
+  for (std::uint64_t i = 1; i <= 20000; ++i)
+    put(random(), 1 + i % 50, 10, i);
   EXPECT_LE(keeper.size(), 1024u);
   std::size_t honest = 0;
   keeper.each([&](KeyId, const Row& row) { honest += !row.find(666); });
@@ -106,7 +119,8 @@
 }
 
 TEST(Choose, OneContributorCannotOutbidTwoNorStretchALength) {
-  const Believed believed{[](NameId, const Era& era) { return era.start == 1; }, [](NameId) { return 0.5; }, Micros(10), std::chrono::seconds(60)};
+  const Believed believed{[](NameId, const Era& era) { return era.start == 1; }, [](NameId) { return 0.5; },
+                          Micros(10), std::chrono::seconds(60)};
   const auto vote = [](NameId device, std::uint32_t tokens, std::uint64_t start = 1) {
     return Vote{{1, 1}, {{device, {start, 0}, tokens, 255, Micros(10)}}, 1, Micros(10)};
   };
@@ -130,10 +144,15 @@
     while (true) {
       Line line{random(), static_cast<std::uint8_t>(random()), {}};
       for (std::uint64_t n = random() % (votes ? 3 : 4), first = random() % 30; n > 0; --n)
-        line.holders.push_back({first + n, {first + n, random() % 2 ? ~0ull : 0}, static_cast<std::uint32_t>(1 + random() % (1 << 24)),
-                                static_cast<std::uint8_t>(random()), std::chrono::seconds(1000 - static_cast<long>(random() % 500)),
-                                votes ? 0 : random(), static_cast<std::uint8_t>(votes ? 0 : 1 + random() % 4)});
-      if (!packer.add(line, std::chrono::seconds(1000))) break;
+        line.holders.push_back({first + n,
+                                {first + n, random() % 2 ? ~0ull : 0},
+                                static_cast<std::uint32_t>(1 + random() % (1 << 24)),
+                                static_cast<std::uint8_t>(random()),
+                                std::chrono::seconds(1000 - static_cast<long>(random() % 500)),
+                                votes ? 0 : random(),
+                                static_cast<std::uint8_t>(votes ? 0 : 1 + random() % 4)});
+      if (!packer.add(line, std::chrono::seconds(1000)))
+        break;
       lines.push_back(line);
     }
     const auto bytes = packer.bytes(random());
@@ -148,15 +167,17 @@
       ASSERT_EQ(parcel->lines[i].holders.size(), lines[i].holders.size());
       for (std::size_t h = 0; h < lines[i].holders.size(); ++h) {
         const auto &got = parcel->lines[i].holders[h], &put = lines[i].holders[h];
-        EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens && got.by == put.by && got.votes == put.votes &&
-                    got.confidence == put.confidence && got.seen == put.seen);
+        EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens && got.by == put.by &&
+                    got.votes == put.votes && got.confidence == put.confidence && got.seen == put.seen);
       }
     }
     // Whatever is made of it by accident is read whole or dropped.
     auto broken = bytes;
-    for (int n = 0; n < 3; ++n) broken[random() % broken.size()] = static_cast<char>(random());
+    for (int n = 0; n < 3; ++n)
+      broken[random() % broken.size()] = static_cast<char>(random());
     if (const auto still = read(broken, std::chrono::seconds(1000), why)) {
-      for (const auto& line : still->lines) EXPECT_LE(line.holders.size(), holders_bound);
+      for (const auto& line : still->lines)
+        EXPECT_LE(line.holders.size(), holders_bound);
     }
     read(std::string_view(bytes).substr(0, random() % bytes.size()), std::chrono::seconds(1000), why);
   }
@@ -177,8 +198,9 @@
   EXPECT_EQ(set->limits.site_keys, 8192u);
   EXPECT_EQ(set->limits.fade, std::chrono::minutes(2));
   EXPECT_EQ(set->line, 1u);
-  for (const std::string line : {"site_keys = 1", "device_keys = 1.5", "push_bytes = \"many\"", "fade = 60", "repeat = \"1s\"", "repeat = \"2m\"",
-                                 "cross_least = -1", "colour = \"red\"", "fade = \"6s\""}) {
+  for (const std::string line :
+       {"site_keys = 1", "device_keys = 1.5", "push_bytes = \"many\"", "fade = 60", "repeat = \"1s\"",
+        "repeat = \"2m\"", "cross_least = -1", "colour = \"red\"", "fade = \"6s\""}) {
     std::vector<config::Fault> faults;
     read("[tiers]\n" + line + "\n", faults);
     ASSERT_EQ(faults.size(), 1u) << line;
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -21,13 +21,15 @@
     devices_.push_back(node);
   }
   lists_.assign(count, devices_);
-  for (std::size_t i = 0; i < count; ++i) riders_.push_back(make(i));
+  for (std::size_t i = 0; i < count; ++i)
+    riders_.push_back(make(i));
   tell_views();
 }
 
 std::unique_ptr<Tiers> Net::make(std::size_t i) {
   Options options{name(i), site(i), start_[i], 4711, {}, options_.limits};
-  for (std::size_t s = 0; s < options_.sites; ++s) options.regions[numbered("r", s % options_.regions)].push_back(numbered("s", s));
+  for (std::size_t s = 0; s < options_.sites; ++s)
+    options.regions[numbered("r", s % options_.regions)].push_back(numbered("s", s));
   auto rider = std::make_unique<Tiers>(options, options_.seed + i);
   rider->listed(lists_[i], now_);
   begins_[i] = now_ + Micros(static_cast<long>(random_() % static_cast<std::uint64_t>(tick.count())));
@@ -36,10 +38,12 @@
 
 void Net::tell_views() {
   std::vector<std::size_t> by_name(size());
-  for (std::size_t i = 0; i < size(); ++i) by_name[i] = i;
+  for (std::size_t i = 0; i < size(); ++i)
+    by_name[i] = i;
   std::sort(by_name.begin(), by_name.end(), [&](auto a, auto b) { return name(a) < name(b); });
   for (std::size_t i = 0; i < size(); ++i) {
-    if (dead_[i]) continue;
+    if (dead_[i])
+      continue;
     peers::View view;
     view.me = name(i);
     for (const auto j : by_name) {
@@ -58,12 +62,15 @@
   const auto j = std::stoul(std::string(to.substr(1)));
   bytes_out_[from] += bytes.size();
   const auto draw = [&] { return static_cast<double>(random_() >> 11) * 0x1p-53; };
-  if (j >= size() || part_[from] != part_[j] || bytes.size() > peers::Outbox::most) return;
+  if (j >= size() || part_[from] != part_[j] || bytes.size() > peers::Outbox::most)
+    return;
   const auto shared = std::make_shared<const std::string>(std::move(bytes));
   for (int copies = draw() < options_.repeat ? 2 : 1; copies > 0; --copies) {
-    if (draw() < options_.lose) continue;
+    if (draw() < options_.lose)
+      continue;
     const auto span = static_cast<double>((options_.most_delay - options_.least_delay).count());
-    posts_.push({now_ + options_.least_delay + Micros(static_cast<long>(span * draw())), ++order_, from, j, shared});
+    posts_.push(
+        {now_ + options_.least_delay + Micros(static_cast<long>(span * draw())), ++order_, from, j, shared});
   }
 }
 
@@ -73,17 +80,20 @@
     auto next = end;
     std::size_t who = size();
     for (std::size_t i = 0; i < size(); ++i)
-      if (const auto due = std::max(begins_[i], riders_[i]->next_due()); !dead_[i] && due < next) next = due, who = i;
+      if (const auto due = std::max(begins_[i], riders_[i]->next_due()); !dead_[i] && due < next)
+        next = due, who = i;
     while (!posts_.empty() && posts_.top().at <= std::min(next, end)) {
       const auto post = posts_.top();
       posts_.pop();
       now_ = std::max(now_, post.at);
-      if (dead_[post.to] || part_[post.from] != part_[post.to]) continue;
+      if (dead_[post.to] || part_[post.from] != part_[post.to])
+        continue;
       bytes_in_[post.to] += post.bytes->size();
       Out out{*this, post.to};
       riders_[post.to]->receive(now_, name(post.from), *post.bytes, out);
     }
-    if (who == size()) break;
+    if (who == size())
+      break;
     now_ = std::max(now_, next);
     Out out{*this, who};
     riders_[who]->run_due(now_, out);
@@ -108,9 +118,11 @@
 void Net::restart_device(std::size_t j, const std::function<bool(std::size_t)>& listed_at) {
   devices_[j].listed_start = now_;
   for (std::size_t i = 0; i < size(); ++i) {
-    if (!listed_at(i)) continue;
+    if (!listed_at(i))
+      continue;
     lists_[i][j] = devices_[j];
-    if (!dead_[i]) riders_[i]->listed(lists_[i], now_);
+    if (!dead_[i])
+      riders_[i]->listed(lists_[i], now_);
   }
 }
 
--- a/tests/tiers/net.h
+++ b/tests/tiers/net.h
@@ -1,5 +1,6 @@
-// Many riders of the map and a net between them that loses, repeats, reorders and cuts, all from one seed and on one
-// clock. Views are given, at once and right, but for what a case makes of them; the world of tests/peers has real ones.
+// Many riders of the map and a net between them that loses, repeats, reorders and cuts, all from one seed and
+// on one clock. Views are given, at once and right, but for what a case makes of them; the world of
+// tests/peers has real ones.
 #pragma once
 
 #include <memory>
@@ -12,7 +13,9 @@
 
 namespace lemonroute::tiers {
 
-inline std::string numbered(const char* letter, std::size_t number) { return std::string(letter).append(std::to_string(number)); }
+inline std::string numbered(const char* letter, std::size_t number) {
+  return std::string(letter).append(std::to_string(number));
+}
 
 struct NetOptions {
   std::size_t routers = 3, sites = 1, regions = 1, devices = 10;  // in all, by turns of the sites
@@ -35,7 +38,8 @@
   template <class F>
   Micros until(F&& holds, Micros most) {  // in steps of 20 ms; `most` where it never does
     const auto from = now_;
-    while (!holds() && now_ - from < most) run(std::chrono::milliseconds(20));
+    while (!holds() && now_ - from < most)
+      run(std::chrono::milliseconds(20));
     return now_ - from;
   }
   void cut(std::vector<int> parts);  // a part for each router; views follow at once
@@ -43,7 +47,9 @@
   void kill(std::size_t i);     // and the views notice
   void restart(std::size_t i);  // knows nothing
   void restart_device(std::size_t j, const std::function<bool(std::size_t)>& listed_at);
-  void say(std::size_t from, std::size_t to, std::string bytes) { post(from, name(to), std::move(bytes)); }  // forged
+  void say(std::size_t from, std::size_t to, std::string bytes) {
+    post(from, name(to), std::move(bytes));
+  }  // forged
   std::uint64_t bytes_out(std::size_t i) const { return bytes_out_[i]; }
   std::uint64_t bytes_in(std::size_t i) const { return bytes_in_[i]; }
 
@@ -53,11 +59,15 @@
     std::uint64_t order;
     std::size_t from, to;
     std::shared_ptr<const std::string> bytes;
-    bool operator<(const Post& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
+    bool operator<(const Post& other) const {
+      return std::pair(at, order) > std::pair(other.at, other.order);
+    }
   };
   struct Out : peers::Outbox {
     Out(Net& n, std::size_t f) : net(n), from(f) {}
-    void send(peers::Topic, std::string_view to, std::string bytes) override { net.post(from, to, std::move(bytes)); }
+    void send(peers::Topic, std::string_view to, std::string bytes) override {
+      net.post(from, to, std::move(bytes));
+    }
     Net& net;
     std::size_t from;
   };
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -9,7 +9,8 @@
 std::string bytes(const std::string& hex) {
   std::string out, digits;
   for (const char c : hex)
-    if (std::isxdigit(static_cast<unsigned char>(c))) digits.push_back(c);
+    if (std::isxdigit(static_cast<unsigned char>(c)))
+      digits.push_back(c);
   for (std::size_t i = 0; i + 1 < digits.size(); i += 2)
     out.push_back(static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16)));
   return out;
@@ -94,7 +95,8 @@
   const std::string frame = encode_reply(reply);
   const Reply again = decode_reply(frame);
   ASSERT_EQ(again.size(), reply.size());
-  for (std::size_t i = 0; i < reply.size(); ++i) EXPECT_EQ(again[i].body.index(), reply[i].body.index());
+  for (std::size_t i = 0; i < reply.size(); ++i)
+    EXPECT_EQ(again[i].body.index(), reply[i].body.index());
   EXPECT_EQ(encode_reply(again), frame);
 }
 
