--- a/src/cli/program.h
+++ b/src/cli/program.h
@@ -1,4 +1,4 @@
-// The conductor put together: core, fronts, node client, discovery and what operators touch, on the loop given.
+// The router put together: core, fronts, node client, discovery and what operators touch, on the loop given.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
   Program& operator=(const Program&) = delete;
 
   // Once it has drained it stops the loop.
-  void drain();  // as SIGTERM does
+  void drain();                     // as SIGTERM does
   std::uint16_t port() const;       // of the first HTTP address
   std::uint16_t grpc_port() const;  // 0: gRPC is off
 
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -26,7 +26,8 @@
     };
     const auto address = [this](std::string& field) -> Take {
       return [this, &field](auto& key, auto& node) {
-        if (text(key, node, field)) check_address(key, node, field);
+        if (text(key, node, field))
+          check_address(key, node, field);
       };
     };
     const std::map<std::string, Take> keys{
@@ -45,13 +46,16 @@
            const auto number = node.template value_exact<std::int64_t>();
            if (!number || *number < 1 || *number > most_connections)
              fault(node, key, "must be a whole number from 1 to " + std::to_string(most_connections));
-           else to.grpc_connections = *number;
+           else
+             to.grpc_connections = *number;
          }},
         {"nodes.protocol",
          [&](auto& key, auto& node) {
            std::string word;
-           if (!text(key, node, word)) return;
-           if (word != "http" && word != "grpc") fault(node, key, "'" + word + "' is not http or grpc");
+           if (!text(key, node, word))
+             return;
+           if (word != "http" && word != "grpc")
+             fault(node, key, "'" + word + "' is not http or grpc");
            to.grpc_nodes = word == "grpc";
          }},
         {"agent_check.listen", address(to.agent_check_listen)},
@@ -59,24 +63,30 @@
     };
     std::set<std::string> sections;
     for (const auto& [key, take] : keys)
-      if (const auto dot = key.find('.'); dot != std::string::npos) sections.insert(key.substr(0, dot));
+      if (const auto dot = key.find('.'); dot != std::string::npos)
+        sections.insert(key.substr(0, dot));
 
     // Read elsewhere: config/installation.cpp, config/fleet.cpp.
-    const std::set<std::string> elsewhere{"serve", "settings", "kinds", "classes", "fleet", "peers", "regions"};
+    const std::set<std::string> elsewhere{"serve", "settings", "kinds",  "classes",
+                                          "fleet", "peers",    "regions"};
     const auto one = [&](const std::string& key, const toml::node& node) {
       const auto found = keys.find(key);
-      if (found != keys.end()) found->second(key, node);
-      else fault(node, key, sections.count(key) ? "must be a section, [" + key + "]" : "is not a known key");
+      if (found != keys.end())
+        found->second(key, node);
+      else
+        fault(node, key, sections.count(key) ? "must be a section, [" + key + "]" : "is not a known key");
     };
     for (const auto& [name, node] : root) {
       const std::string key(name.str());
-      if (elsewhere.count(key)) continue;
+      if (elsewhere.count(key))
+        continue;
       const toml::table* section = node.as_table();
       if (!section || !sections.count(key)) {
         one(key, node);
         continue;
       }
-      for (const auto& [inner, value] : *section) one(key + "." + std::string(inner.str()), value);
+      for (const auto& [inner, value] : *section)
+        one(key + "." + std::string(inner.str()), value);
     }
   }
 
@@ -86,8 +96,10 @@
   }
   bool text(const std::string& key, const toml::node& node, std::string& field) {
     const auto value = node.value_exact<std::string>();
-    if (value && !value->empty()) field = *value;
-    else fault(node, key, "must be a text that is not empty");
+    if (value && !value->empty())
+      field = *value;
+    else
+      fault(node, key, "must be a text that is not empty");
     return value && !value->empty();
   }
   void check_address(const std::string& key, const toml::node& node, const std::string& address) {
@@ -101,10 +113,12 @@
   }
   void addresses(const std::string& key, const toml::node& node, std::vector<std::string>& field) {
     const toml::array* list = node.as_array();
-    if (!list) return fault(node, key, "must be a list of addresses");
+    if (!list)
+      return fault(node, key, "must be a list of addresses");
     for (const auto& item : *list) {
       std::string address;
-      if (!text(key, item, address)) continue;
+      if (!text(key, item, address))
+        continue;
       check_address(key, item, address);
       field.push_back(address);
     }
@@ -120,7 +134,8 @@
 Operator read_operator(const std::string& path, std::vector<Fault>& faults) {
   Operator result;
   const auto root = parse_toml(path, faults);
-  if (!root) return result;
+  if (!root)
+    return result;
   Reader(path, faults).read(*root, result);
   Section file(*root, path, "", faults);
   result.installation = read_installation(file);
@@ -133,9 +148,11 @@
                    std::vector<Fault>& faults) {
   for (const auto& [name, line] : settings.installation.classes) {
     const auto& known = platform.settings.classes;
-    if (std::any_of(known.begin(), known.end(), [&name = name](auto& one) { return one.name == name; })) continue;
+    if (std::any_of(known.begin(), known.end(), [&name = name](auto& one) { return one.name == name; }))
+      continue;
     std::string all;
-    for (const auto& one : known) all += (all.empty() ? "" : ", ") + one.name;
+    for (const auto& one : known)
+      all += (all.empty() ? "" : ", ") + one.name;
     faults.push_back({path, line, "classes." + name, "is no class of the platform's, which knows " + all});
   }
 }
@@ -143,12 +160,13 @@
 void check_alone(const Operator& settings, const std::string& path, std::vector<Fault>& faults) {
   const Installation& in = settings.installation;
   const auto need = [&](bool there, const char* key, const char* what) {
-    if (!there) faults.push_back({path, 0, key, what});
+    if (!there)
+      faults.push_back({path, 0, key, what});
   };
   need(!in.platform.listen.empty(), "serve.listen", "is missing, and no platform's file is given");
   need(!in.classes.empty(), "classes", "is missing, and no platform's file is given");
   need(!in.platform.kinds.empty(), "kinds", "is missing, and no platform's file is given");
-  // Danger: conductors of the default's name would all be one to their peers.
+  // Danger: routers of the default's name would all be one to their peers.
   need(!settings.peers || !settings.peers->at.empty() || in.platform.name != Installation::unnamed,
        "serve.name", "is missing: peers know each other by name");
   need(in.fixed || !in.platform.discovery.empty(), "fleet", "is missing, and no serve.discovery is given");
@@ -157,14 +175,16 @@
 std::string operator_template(const std::string& application) {
   std::string quoted;
   for (const char c : application) {
-    if (c == '"' || c == '\\') quoted += '\\';
+    if (c == '"' || c == '\\')
+      quoted += '\\';
     quoted += c;
   }
   return R"(# lemonroute's settings for one application. Check this file with: lemonroute config check FILE
 # Everything here is optional; a key that is left out, or commented out, has the value shown.
 
 # Whose sidecar this is; the log names it at the start.
-application = ")" + quoted + R"("
+application = ")" +
+         quoted + R"("
 
 [platform]
 # The file that the platform writes, instead of the one that BALANCER_CONFIG names.
@@ -197,22 +217,22 @@
 # left out, the platform's file (mgmt) or BALANCER_MGMT says; without any of them it is off.
 # listen = "127.0.0.1:9092"
 
-# ---- Conductors that know each other; docs/fleet.md ----
+# ---- Routers that know each other; docs/fleet.md ----
 # Off unless the section is there.
 
 # [peers]
 # listen = "10.0.0.7:7946"    # UDP; advertise is where others send to, if that is another address
-# site = "a"                  # the zone of the list in which this conductor stands
-# seeds = ["10.0.0.8:7946", "10.1.0.8:7946"]  # conductors to join by; any one is enough
+# site = "a"                  # the zone of the list in which this router stands
+# seeds = ["10.0.0.8:7946", "10.1.0.8:7946"]  # routers to join by; any one is enough
 # key_files = ["fleet.key"]   # lemonroute config key FILE makes one; the first seals, each one opens
 # period = "1s"               # one probe each
-# siblings_least = 1          # bounds of what the number of conductors seen makes of settings.siblings
+# siblings_least = 1          # bounds of what the number of routers seen makes of settings.siblings
 # siblings_most = 100000
 
-# [peers.at.estratti-1]       # listen, advertise and site of the conductor of that name, so that one file serves all
+# [peers.at.estratti-1]       # listen, advertise and site of the router of that name, so that one file serves all
 # listen = "10.0.0.7:7946"
 
-# [regions.nord]              # sites by region; keepers: 1, 3, 5 or 7 conductors that keep the rights to its pools
+# [regions.nord]              # sites by region; keepers: 1, 3, 5 or 7 routers that keep the rights to its pools
 # sites = ["a", "b"]
 # keepers = ["estratti-1", "estratti-2", "estratti-3"]
 
@@ -228,7 +248,7 @@
 
 # [settings]
 # max_attempts = 4            # of a request, 1 to 6
-# siblings = 1                # conductors that share the nodes, this one among them; me is its number from 0
+# siblings = 1                # routers that share the nodes, this one among them; me is its number from 0
 # connect_timeout = "250ms"
 # connection_idle = "8s"      # nodes close connections idle for so long
 # max_retry_after = "2s"
--- a/src/core/conductor/parts.h
+++ b/src/core/router/parts.h
@@ -1,26 +1,28 @@
-// What the core's files share: one request, its attempt under way, and a state that is being let go. Private to core.
+// What the core's files share: one request, its attempt under way, and a state that is being let go. Private
+// to core.
 #pragma once
 
 #include <memory>
 #include <optional>
 #include <string>
 
-#include "core/conductor.h"
+#include "core/router.h"
 
 namespace lemonroute {
 
 // One attempt of a request, on its way.
-struct Conductor::Try : Attempt {
-  Try(Conductor& owner, RequestId of, std::uint16_t number, const Node& at, Role role, Micros now)
-      : conductor(owner), request(of), number(number), host(at.id), node(at.name), role(role), sent(now) {}
-  ~Try() override {
-    if (begin_timer) conductor.timers_.drop(*begin_timer);
+struct Router::AttemptState : Attempt {
+  AttemptState(Router& owner, RequestId of, std::uint16_t number, const Node& at, Role role, Micros now)
+      : router(owner), request(of), number(number), host(at.id), node(at.name), role(role), sent(now) {}
+  ~AttemptState() override {
+    if (begin_timer)
+      router.timers_.drop(*begin_timer);
   }
-  void written() override { ++conductor.sends_; }
-  void event(std::string_view data) override { conductor.event(*this, data); }
-  void done(Result result) override { conductor.done(*this, std::move(result)); }
+  void written() override { ++router.sends_; }
+  void event(std::string_view data) override { router.event(*this, data); }
+  void done(Result result) override { router.done(*this, std::move(result)); }
 
-  Conductor& conductor;
+  Router& router;
   RequestId request;
   std::uint16_t number;
   HostId host;
@@ -29,13 +31,13 @@
   Micros sent;
   bool started = false;
   std::unique_ptr<Call> call;
-  Timers::Id timer;  // its time-out, and once it streams the watch for silence
+  Timers::Id timer;                       // its time-out, and once it streams the watch for silence
   std::optional<Timers::Id> begin_timer;  // until then it has to have begun, or it does not begin any more
   // Certainly no node has heard of it, and none will once it is let go of.
   bool unsent() const { return call && call->unsent(); }
 };
 
-struct Conductor::Entry {
+struct Router::RequestState {
   RequestId id = 0;
   Prompt prompt;
   Client* client = nullptr;  // null once answered or gone
@@ -45,14 +47,14 @@
   std::string kind;
   Key session = 0, shared = 0;
   double tokens = 0, shared_tokens = 0;  // of its prompt
-  std::shared_ptr<Counts> counts;  // of the class that it was taken with
-  bool once = false;  // its class must never run twice,
-  bool ran = false;   // and an attempt that would have answered may have run
+  std::shared_ptr<Counts> counts;        // of the class that it was taken with
+  bool once = false;                     // its class must never run twice,
+  bool ran = false;                      // and an attempt that would have answered may have run
   Micros repeats_for = Micros::max();    // how long after its sending the class may be repeated,
   Micros repeats_until = Micros::max();  // and, once one may have run, until when
-  std::unique_ptr<Try> out;  // at most one
-  HostId held_at = 0;        // the node of the last read that ended well,
-  bool holds = false;        // and whether it holds the state
+  std::unique_ptr<AttemptState> out;     // at most one
+  HostId held_at = 0;                    // the node of the last read that ended well,
+  bool holds = false;                    // and whether it holds the state
   std::optional<Micros> state_waits;  // since when a state is or may be there with nothing out that has begun
   // A node where a read was cut. It may have ended well in that very moment and hold a state that nobody
   // told of, so it is asked to let go as soon as no attempt is out.
@@ -60,7 +62,7 @@
   bool adopted = false;  // begun by another process
 };
 
-struct Conductor::Released {
+struct Router::PendingRelease {
   RequestId request = 0;
   std::string id;
   HostId holder = 0;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -30,8 +30,7 @@
                                                    std::chrono::steady_clock::now().time_since_epoch()) +
                 wrong_by) {}
   Micros now() const override {
-    return offset_ +
-           std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
+    return offset_ + std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
   }
 
  private:
@@ -46,7 +45,7 @@
 };
 
 // A client's request.
-struct Inquiry {
+struct ClientRequest {
   Prompt prompt;
   std::string kind;  // name of the class
   std::string tenant;
@@ -57,9 +56,9 @@
 };
 
 enum class Failure {
-  timed_out,   // nothing came before the client's deadline
-  gave_up,     // the module ended the request
-  unfit,       // a node can't use the request as the client put it
+  timed_out,  // nothing came before the client's deadline
+  gave_up,    // the module ended the request
+  unfit,      // a node can't use the request as the client put it
 };
 
 // A key as a number: hexadecimal digits as they are, any other text by its hash. 0 = none.
@@ -68,42 +67,42 @@
 // Whether nodes can be told of a request by this id: letters, digits, '-' and '_', up to 128 of them.
 bool valid_id(std::string_view id);
 
-// A connection that another process of the conductor can go on with: nothing of what it carried is held here.
-struct Passed {
+// A connection that another process of the router can go on with: nothing of what it carried is held here.
+struct PassedConnection {
   int fd = -1;
   bool closes = false;  // whether it ends with this answer
 };
 // A stream under way, with both its connections.
-struct Passing {
+struct PassedStream {
   std::string id, kind, node;
   std::uint16_t attempt = 0;
-  Passed client, call;
+  PassedConnection client, call;
 };
 
-// What one process of the conductor believes of a node, for another that has just started.
-struct Heard {
+// What one process of the router believes of a node, for another that has just started.
+struct NodeReport {
   std::string node;
-  std::string load;  // its last report, as the node worded it
-  Micros age{};      // of that report
+  std::string load;      // its last report, as the node worded it
+  Micros age{};          // of that report
   bool avoided = false;  // left out by choice, since attempts fail there
   double sent = 0;       // tokens a microsecond that are sent there, 0 = unknown
 };
-struct News {
-  std::vector<Heard> nodes;
-  std::vector<std::pair<Role, double>> read_rates;  // as in Lessons
+struct HandoverState {
+  std::vector<NodeReport> nodes;
+  std::vector<std::pair<Role, double>> read_rates;  // as in LearnedRates
 };
 
 // Where the answer to one request goes. Exactly one of finish, refuse, fail and cut ends it, and none of
-// them is called after Conductor::gone. None of them may call the Conductor's gone from within.
+// them is called after Router::gone. None of them may call the Router's gone from within.
 class Client {
  public:
   virtual ~Client() = default;
-  virtual bool event(std::string_view data) = 0;  // false: hold the rest back until Conductor::drained
+  virtual bool event(std::string_view data) = 0;  // false: hold the rest back until Router::drained
   virtual void finish() = 0;                      // the stream is whole
   virtual void refuse(Micros stay_away) = 0;      // trying again is harmless
   virtual void fail(Failure why) = 0;
   virtual void cut() = 0;  // the stream broke after its first event
-  virtual std::optional<Passed> passable() { return std::nullopt; }
+  virtual std::optional<PassedConnection> passable() { return std::nullopt; }
   virtual void passed() {}  // another process has it now; nothing more is called
 };
 
@@ -113,7 +112,7 @@
   ListEntry entry;  // as the Scheduler sees it: with what was said by hand laid over what is listed
   Phase listed = Phase::ready;
   Micros listed_start{};
-  Micros lost{};  // the last loss of kept text that peers told of; 0: none
+  Micros lost{};     // the last loss of kept text that peers told of; 0: none
   std::string load;  // the last report that came along, and when
   Micros load_at{};
   bool ready() const { return entry.phase == Phase::ready; }
@@ -131,7 +130,7 @@
 class Attempt {
  public:
   virtual ~Attempt() = default;
-  virtual void written() = 0;  // the last byte of the request has gone to the kernel
+  virtual void written() = 0;                     // the last byte of the request has gone to the kernel
   virtual void event(std::string_view data) = 0;  // the call may be let go of by the time it returns
   virtual void done(Result result) = 0;  // once, and never from within begin; the call is gone after it
 };
@@ -141,9 +140,10 @@
  public:
   virtual ~Call() = default;
   virtual void hold_back(bool) {}  // backpressure of a stream
-  // Nothing of the request has left, and nothing will if the call is let go of. False where that is not certain.
+  // Nothing of the request has left, and nothing will if the call is let go of. False where that is not
+  // certain.
   virtual bool unsent() const { return false; }
-  virtual std::optional<Passed> passable() { return std::nullopt; }
+  virtual std::optional<PassedConnection> passable() { return std::nullopt; }
   virtual void passed() {}
 };
 
@@ -156,8 +156,9 @@
   virtual std::unique_ptr<Call> release(const Node& node, const std::string& id,
                                         std::function<void(bool)> done) = 0;
   virtual std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) = 0;
-  // Goes on with a stream that another process began; nothing if that can't be done, and the descriptor is open still.
-  virtual std::unique_ptr<Call> adopt(const Node&, const Passed&, Attempt&) { return nullptr; }
+  // Goes on with a stream that another process began; nothing if that can't be done, and the descriptor is
+  // open still.
+  virtual std::unique_ptr<Call> adopt(const Node&, const PassedConnection&, Attempt&) { return nullptr; }
   virtual void hang_up(const Node& node) = 0;  // closes the idle connections
   struct Limits {
     Micros connect_timeout{}, idle{};  // idle connections are retired after it
--- a/src/net/admission.cpp
+++ b/src/net/admission.cpp
@@ -20,35 +20,43 @@
 }  // namespace
 
 Admission::Admission(Loop& loop, std::size_t most, std::function<void(bool)> pause, Now now)
-    : most_(most), tally_(loop.tally()), pause_(std::move(pause)), now_(std::move(now)), again_(loop, [this] { make_room(); }) {}
+    : most_(most), tally_(loop.tally()), pause_(std::move(pause)), now_(std::move(now)), again_(loop, [this] {
+        make_room();
+      }) {}
 
 void Admission::limit(std::size_t most) {
   most_ = most;
-  if (taken() >= most_) return make_room();
+  if (taken() >= most_)
+    return make_room();
   go_on();
 }
 
-void Admission::arrived(Guest& guest) {
+void Admission::arrived(Peer& peer) {
   ++present_;
-  move(guest, &unproven_);
+  move(peer, &unproven_);
   make_room();
 }
-void Admission::busy(Guest& guest) { move(guest, nullptr); }
-void Admission::at_rest(Guest& guest) { move(guest, &resting_); }
+void Admission::busy(Peer& peer) {
+  move(peer, nullptr);
+}
+void Admission::at_rest(Peer& peer) {
+  move(peer, &resting_);
+}
 
-void Admission::left(Guest& guest) {
-  move(guest, nullptr);
+void Admission::left(Peer& peer) {
+  move(peer, nullptr);
   --present_;
   go_on();
 }
 
-void Admission::leaving(Guest& guest) {
-  move(guest, &leaving_);
+void Admission::leaving(Peer& peer) {
+  move(peer, &leaving_);
   // Guards the descriptors: peers that never go, of connections that end by the hundred.
   while (leaving_.size() > std::max<std::size_t>(1, most_ / 8)) {
-    const Guest* const first = leaving_.front();
+    const Peer* const first = leaving_.front();
     leaving_.front()->dismiss();
-    if (!leaving_.empty() && leaving_.front() == first) break;
+    if (!leaving_.empty() && leaving_.front() == first)
+      break;
   }
   go_on();
 }
@@ -56,45 +64,54 @@
 void Admission::let_go() {
   for (std::size_t n = 0; n < let_go_at_once; ++n) {
     auto& from = !leaving_.empty() ? leaving_ : resting_;
-    if (from.empty()) return;
-    Guest& first = *from.front();
+    if (from.empty())
+      return;
+    Peer& first = *from.front();
     first.dismiss();
-    if (!leaving_.empty() && leaving_.back() == &first) first.dismiss();  // its descriptor is wanted now
+    if (!leaving_.empty() && leaving_.back() == &first)
+      first.dismiss();  // its descriptor is wanted now
   }
 }
 
 void Admission::go_on() {
-  if (taken() >= most_) return;
+  if (taken() >= most_)
+    return;
   again_.stop();
-  if (std::exchange(paused_, false)) pause_(false);
+  if (std::exchange(paused_, false))
+    pause_(false);
 }
 
-void Admission::move(Guest& guest, std::list<Guest*>* to) {
-  if (guest.in) guest.in->erase(guest.at);
-  guest.in = to;
-  if (!to) return;
-  guest.at = to->insert(to->end(), &guest);
-  guest.since = now_();
+void Admission::move(Peer& peer, std::list<Peer*>* to) {
+  if (peer.in)
+    peer.in->erase(peer.at);
+  peer.in = to;
+  if (!to)
+    return;
+  peer.at = to->insert(to->end(), &peer);
+  peer.since = now_();
 }
 
 // One place is kept free for whoever comes next. Resting peers are asked to leave first, since they lose the
 // least by it. With nobody to dismiss, newcomers wait in the kernel's queue.
 void Admission::make_room() {
   while (taken() >= most_)
-    if (!dismiss_first(resting_, rest_at_least) && !dismiss_first(unproven_, prove_within)) break;
-  if (taken() < most_) return;
+    if (!dismiss_first(resting_, rest_at_least) && !dismiss_first(unproven_, prove_within))
+      break;
+  if (taken() < most_)
+    return;
   if (!std::exchange(paused_, true)) {
     std::ostringstream how;
-    how << "all " << most_ << " are taken, " << resting_.size() << " by connections at rest, " << unproven_.size()
-        << " by such that have not asked";
+    how << "all " << most_ << " are taken, " << resting_.size() << " by connections at rest, "
+        << unproven_.size() << " by such that have not asked";
     tally_.note(Overdone::crowded, how.str());
     pause_(true);
   }
   again_.start(look_again);
 }
 
-bool Admission::dismiss_first(std::list<Guest*>& of, Micros after) {
-  if (of.empty() || now_() - of.front()->since < after) return false;
+bool Admission::dismiss_first(std::list<Peer*>& of, Micros after) {
+  if (of.empty() || now_() - of.front()->since < after)
+    return false;
   of.front()->dismiss();
   return true;
 }
--- a/src/ops/processes.h
+++ b/src/ops/processes.h
@@ -1,4 +1,4 @@
-// Which processes of one conductor there are: one, or two while a new version takes over.
+// Which processes of one router there are: one, or two while a new version takes over.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 class Processes {
  public:
-  // They find each other by the conductor's name and its clients' address, in the folder that they share.
+  // They find each other by the router's name and its clients' address, in the folder that they share.
   Processes(const std::filesystem::path& folder, const std::string& name, const std::string& listen)
       : stem_(folder / ("lemonroute-" + plain(name + "-" + listen))), lock_(stem_.string() + ".lock") {
     lock_.share(runs);
@@ -27,7 +27,8 @@
  private:
   static constexpr int runs = 1, takes_clients = 2;  // byte 0 is the bans'
   static std::string plain(std::string name) {
-    std::replace_if(name.begin(), name.end(), [](unsigned char c) { return !std::isalnum(c) && c != '-'; }, '_');
+    std::replace_if(
+        name.begin(), name.end(), [](unsigned char c) { return !std::isalnum(c) && c != '-'; }, '_');
     return name;
   }
   std::filesystem::path stem_;
--- a/src/tiers/share/level.h
+++ b/src/tiers/share/level.h
@@ -1,5 +1,5 @@
-// One level above the device: the site's or the region's. Takes votes as a keeper, tells as a head of shards, and takes
-// what the heads of other shards tell.
+// One level above the device: the site's or the region's. Takes votes as a keeper, tells as a head of shards,
+// and takes what the heads of other shards tell.
 #pragma once
 
 #include <unordered_map>
@@ -24,7 +24,7 @@
   bool run(Micros now, peers::Outbox& out);  // whether hints have changed
   void eras_advanced() { choose_all_ = true; }
 
-  // Puts a vote of this conductor to the key's keepers, itself included; the parcels go with `flush`.
+  // Puts a vote of this router to the key's keepers, itself included; the parcels go with `flush`.
   struct Mail {
     std::unordered_map<std::string, Packer> open;
   };
--- a/src/tiers/wire/parcel.h
+++ b/src/tiers/wire/parcel.h
@@ -1,4 +1,5 @@
-// Parcels as bytes (proto/tiers.proto). Every field is checked against its bound; one that is over it voids the parcel.
+// Parcels as bytes (proto/tiers.proto). Every field is checked against its bound; one that is over it voids
+// the parcel.
 #pragma once
 
 #include <memory>
@@ -25,7 +26,7 @@
   Tier tier = Tier::site;
   Stamp stamp;
   std::vector<std::pair<NameId, Era>> devices;
-  std::vector<Line> lines;  // seen at: this conductor's clock
+  std::vector<Line> lines;  // seen at: this router's clock
   std::uint64_t digest = 0;
 };
 
--- a/tests/fleet/play/player.h
+++ b/tests/fleet/play/player.h
@@ -21,12 +21,13 @@
     std::string why;
   };
   void step(const Step& step);
-  void conductors(const Step& step);
+  void routers(const Step& step);
   void expect(const Step& step);
   void hold(const Step& step);
   void wait(double periods);
   void end();  // all processes end by themselves, and owe nothing
-  void until(double periods, const std::function<std::string()>& lacking);  // throws Failure with the last of it
+  void until(double periods,
+             const std::function<std::string()>& lacking);  // throws Failure with the last of it
   void beat();
   void ask_all();
   void take(const std::string& name, const std::string& fleet);
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -39,7 +39,8 @@
     bed.pass(100ms);
     assert(bed.nodes.released.size() == tries + 1);
   }
-  for (std::size_t i = 1; i < 4; ++i) assert(bed.nodes.released[i].first != bed.nodes.begun[0].host);
+  for (std::size_t i = 1; i < 4; ++i)
+    assert(bed.nodes.released[i].first != bed.nodes.begun[0].host);
   assert(bed.nodes.released[1].first != bed.nodes.released[2].first);
   assert(bed.nodes.released[4].first == bed.nodes.begun[0].host);
   assert(!bed.core.idle());
@@ -59,12 +60,13 @@
   bed.pass(100ms);
   assert(bed.nodes.released.size() == 2);
   assert(bed.nodes.released[1].first != bed.nodes.released[0].first);
-  for (int i = 0; i < 40; ++i) bed.pass(200ms);
+  for (int i = 0; i < 40; ++i)
+    bed.pass(200ms);
   assert(bed.core.idle());  // and not for ever
 }
 
-// A machine that vanished is listed for seconds more. Whichever two nodes are lost, the holder one of them, a third is
-// asked while there is time, and as long as any is left the lost ones don't take up every other try.
+// A machine that vanished is listed for seconds more. Whichever two nodes are lost, the holder one of them, a
+// third is asked while there is time, and as long as any is left the lost ones don't take up every other try.
 void release_past_lost_nodes() {
   const std::vector<std::string> names{"r", "r2", "w", "w2"};
   for (const auto& name : names) {
@@ -86,13 +88,14 @@
   }
 }
 
-// A process that is about to be killed ends what waits while its answer still goes out and the state is let go, at
-// every stage; a stream is left alone.
+// A process that is about to be killed ends what waits while its answer still goes out and the state is let
+// go, at every stage; a stream is left alone.
 void waits_end() {
   for (const int stage : {0, 1}) {
     Bed bed;
     bed.take();
-    if (stage == 1) bed.done(Outcome::read);
+    if (stage == 1)
+      bed.done(Outcome::read);
     bed.core.end_waits(bed.clock.at + 3200ms);
     bed.pass(3199ms);
     assert(bed.client.answers == 0 && bed.nodes.begun.back().open);
@@ -115,7 +118,8 @@
   assert(bed.client.seen == "a|failed" && bed.nodes.begun.size() == 2);
 }
 
-// The writer that a process which knows nothing else takes for its first request, once `told` has told it something.
+// The writer that a process which knows nothing else takes for its first request, once `told` has told it
+// something.
 std::string first_writer(const std::function<void(Bed&, TestClient&)>& told) {
   Settings s = settings();
   s.report_x0_is_memory = true;
@@ -127,8 +131,8 @@
   return bed.core.name_of(bed.nodes.begun.back().host);
 }
 
-// A new process hears of a writer's load by the ends of streams alone, and all that run were begun by the old one:
-// what those ends tell counts, and so does what the old process tells of its last reports.
+// A new process hears of a writer's load by the ends of streams alone, and all that run were begun by the old
+// one: what those ends tell counts, and so does what the old process tells of its last reports.
 void learns_from_the_other_process() {
   const std::string usual = first_writer([](Bed&, TestClient&) {});
   const auto adopted = [&](Result end) {
@@ -146,20 +150,21 @@
   assert(adopted({Outcome::ok, 0, "active=4,x0=0.01", {}}) == usual);
   assert(adopted({Outcome::ok, 0, "nonsense", {}}) == usual);
   assert(adopted({Outcome::reset, 0, {}, {}}) != usual);
-  const auto told = [&](Heard heard) {
-    const Heard light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
-    return first_writer([&](Bed& bed, TestClient&) { bed.core.believe({{light, heard}, {}}); });
+  const auto told = [&](NodeReport heard) {
+    const NodeReport light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
+    return first_writer([&](Bed& bed, TestClient&) { bed.core.take_over({{light, heard}, {}}); });
   };
   assert(told({usual, "active=40,x0=0.8", 400ms, false}) != usual);
   assert(told({usual, {}, 0ms, true}) != usual);
-  for (const Heard& useless : {Heard{usual, "active=40,x0=0.8", 4s, false}, Heard{usual, "active=40,x0=0.8", -400ms, false},
-                               Heard{"unlisted", "active=40,x0=0.8", 0ms, true}})
+  for (const NodeReport& useless : {NodeReport{usual, "active=40,x0=0.8", 4s, false},
+                                    NodeReport{usual, "active=40,x0=0.8", -400ms, false},
+                                    NodeReport{"unlisted", "active=40,x0=0.8", 0ms, true}})
     assert(told(useless) == usual);
 }
 
 void tells_the_other_process() {
   Bed bed;
-  assert(bed.core.news().nodes.empty() && bed.core.news().read_rates.empty());
+  assert(bed.core.handover_state().nodes.empty() && bed.core.handover_state().read_rates.empty());
   bed.take();
   bed.pass(20ms);
   bed.done(Outcome::read);
@@ -167,13 +172,14 @@
   bed.nodes.begun.back().attempt->done({Outcome::ok, 0, "active=2,x0=0.3", {}});
   bed.pass(1s);
   const auto of = [&](const std::string& name) {
-    for (const auto& one : bed.core.news().nodes)
-      if (one.node == name) return one;
-    return Heard{};
+    for (const auto& one : bed.core.handover_state().nodes)
+      if (one.node == name)
+        return one;
+    return NodeReport{};
   };
   assert(of("w").load == "active=2,x0=0.3" && of("w").age == 1s && of("w").sent > 0);
   assert(of("r").load.empty() && of("r").sent > 0);
-  const auto rates = bed.core.news().read_rates;
+  const auto rates = bed.core.handover_state().read_rates;
   assert(rates.size() == 1 && rates[0].first == Role::read && rates[0].second > 0);
   // Neither an old report nor one of a node that is out, or has started anew since.
   bed.core.update(ListKind::delta, 2, {Bed::node("w", Phase::draining)});
@@ -189,15 +195,17 @@
   assert(of("w").load.empty());
 }
 
-// The first read of a process that takes over in a jam waits behind what the process knows nothing of. It took that time
-// for the readers' rate, and refused whoever came while another one was read; told of the usual rate it goes on.
+// The first read of a process that takes over in a jam waits behind what the process knows nothing of. It
+// took that time for the readers' rate, and refused whoever came while another one was read; told of the
+// usual rate it goes on.
 void takes_over_in_a_jam() {
   const auto refused = [](bool told) {
     Settings s = settings();
     s.report_columns = {"active", "x0", "x1"};
     s.report_x1_is_unread = true;
     Bed bed({"r", "w", "w2"}, s);
-    if (told) bed.core.believe({{}, {{Role::read, 50}}});
+    if (told)
+      bed.core.take_over({{}, {{Role::read, 50}}});
     bed.take();
     bed.pass(2s);
     bed.nodes.begun.back().attempt->done({Outcome::read, 0, "active=1,x0=0.1,x1=0", {}});
@@ -208,11 +216,11 @@
     int count = 0;
     for (int i = 0; i < 3; ++i) {
       RequestId id = 0;
-      Inquiry inquiry;
-      inquiry.prompt = {"q" + std::to_string(i), "/", std::make_shared<std::string>("{}")};
-      inquiry.kind = "k";
-      inquiry.prompt_tokens = 1000;
-      assert(bed.core.take(inquiry, clients[i], id) == Conductor::Taken::yes);
+      ClientRequest client_request;
+      client_request.prompt = {"q" + std::to_string(i), "/", std::make_shared<std::string>("{}")};
+      client_request.kind = "k";
+      client_request.prompt_tokens = 1000;
+      assert(bed.core.take(client_request, clients[i], id) == Router::Taken::yes);
       count += clients[i].seen == "|refused";
     }
     return count;
@@ -221,8 +229,8 @@
   assert(refused(true) == 0);
   // What has been learned here counts more, and what is no rate counts for nothing.
   Bed bed;
-  bed.core.believe({{}, {{Role::read, 0}, {Role::read, -1}, {Role::read, std::nan("")}}});
-  assert(bed.core.news().read_rates.empty());
+  bed.core.take_over({{}, {{Role::read, 0}, {Role::read, -1}, {Role::read, std::nan("")}}});
+  assert(bed.core.handover_state().read_rates.empty());
 }
 
 // Nodes that have gone are forgotten, though an attempt is still out at one of them.
@@ -247,7 +255,8 @@
   for (const Outcome outcome : {Outcome::reset, Outcome::error}) {
     Bed bed;
     bed.take();
-    for (int i = 0; i < 5; ++i) bed.done(outcome);
+    for (int i = 0; i < 5; ++i)
+      bed.done(outcome);
     assert(bed.nodes.begun.size() == 5 && bed.client.answers == 1);
     assert(bed.nodes.released.size() == 1);
   }
@@ -277,12 +286,12 @@
   assert(bed.core.ready_nodes() == 1);
 }
 
-// Two processes share the bans through a file: an order to either holds for both, is there after a restart, and a
-// file that can't be read changes nothing.
+// Two processes share the bans through a file: an order to either holds for both, is there after a restart,
+// and a file that can't be read changes nothing.
 void bans_are_shared() {
   const std::string path = "core_test.bans";
   std::remove(path.c_str());
-  using Ordered = Conductor::Ordered;
+  using Ordered = Router::Ordered;
   {
     LockFile old_lock("core_test.lock"), new_lock("core_test.lock");
     Bed old_one({"r", "w", "w2"}), new_one({"r", "w", "w2"});
@@ -294,7 +303,8 @@
     new_one.core.refresh_bans();
     old_one.core.refresh_bans();
     assert(old_one.unhealthy() == 3 && new_one.unhealthy() == 3);
-    assert(new_one.core.put_back("w") == Ordered::done && new_one.core.take_out("x") == Ordered::never_listed);
+    assert(new_one.core.put_back("w") == Ordered::done &&
+           new_one.core.take_out("x") == Ordered::never_listed);
     old_one.core.refresh_bans();
     assert(old_one.unhealthy() == 2 && old_one.core.ready_nodes() == 1);
     // Not while the other writes; and without effect then.
@@ -380,13 +390,13 @@
 void unknown_and_duplicate() {
   Bed bed;
   bed.take();
-  Inquiry inquiry;
-  inquiry.prompt.id = "q";
-  inquiry.kind = "k";
+  ClientRequest client_request;
+  client_request.prompt.id = "q";
+  client_request.kind = "k";
   RequestId id = 0;
-  assert(bed.core.take(inquiry, bed.client, id) == Conductor::Taken::duplicate);
-  inquiry.kind = "other";
-  assert(bed.core.take(inquiry, bed.client, id) == Conductor::Taken::unknown_kind);
+  assert(bed.core.take(client_request, bed.client, id) == Router::Taken::duplicate);
+  client_request.kind = "other";
+  assert(bed.core.take(client_request, bed.client, id) == Router::Taken::unknown_kind);
   assert(bed.core.open() == 1);
 }
 
