--- a/tests/acceptance/evidence_test.cpp
+++ b/tests/acceptance/evidence_test.cpp
@@ -2,7 +2,7 @@
 // come now.
 #include <random>
 
-#include "support.h"
+#include "module/support.h"
 
 namespace lemonroute::test {
 namespace {
--- a/tests/acceptance/floors_test.cpp
+++ b/tests/acceptance/floors_test.cpp
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <random>
 
-#include "support.h"
+#include "module/support.h"
 
 namespace lemonroute::test {
 namespace {
