--- a/src/expect/case.h
+++ b/src/expect/case.h
@@ -136,13 +136,15 @@
   std::string origin;  // the file they came from
 };
 
+// Lists of nodes that cases of a file share, by their names in the file.
+using Fleets = std::map<std::string, const toml::array*>;
+
 // Reads a case and checks all that can be checked without playing it: names, classes, nodes, spans, and
 // whether each expectation can be reached at all. Where it adds faults, the case must not be played.
-Case read_case(Section table, const Setup& setup, const std::map<std::string, const toml::array*>& fleets);
+Case read_case(Section table, const Setup& setup, const Fleets& fleets);
 
 // Only the nodes of such a table.
-std::vector<ScriptedNode> read_nodes(Section table, const Setup& setup,
-                                     const std::map<std::string, const toml::array*>& fleets);
+std::vector<ScriptedNode> read_nodes(Section table, const Setup& setup, const Fleets& fleets);
 // The nodes that a word names: a name, "zone:a", "cell:3", "kind:reader" or "all".
 std::vector<std::string> names_by(const std::string& word, const std::vector<ScriptedNode>& nodes);
 
--- a/src/expect/general.h
+++ b/src/expect/general.h
@@ -34,8 +34,6 @@
   std::int64_t seed = 1, extra = 0, most = 10000;
 };
 
-using Fleets = std::map<std::string, const toml::array*>;
-
 General read_general(Section table, const Setup& setup, const Fleets& fleets);
 
 // Rows of indexes into the variables' values. Pairwise: each pair of values of two variables is in one row at
