--- a/src/expect/report.cpp
+++ b/src/expect/report.cpp
@@ -11,8 +11,6 @@
 
 using nlohmann::json;
 
-constexpr std::size_t most_candidates = 12;
-
 std::string seconds_text(Micros span) {
   std::ostringstream out;
   out << std::fixed << std::setprecision(3) << static_cast<double>(span.count()) / 1e6;
@@ -192,64 +190,6 @@
 
 }  // namespace
 
-void explain(std::ostream& out, const Story& story, const std::string& indent) {
-  for (const auto& told : story.choices) {
-    const Choice& choice = told.choice;
-    out << indent << "at " << readable(told.at - story.asked) << ", ";
-    if (choice.refused) {
-      out << "refused before any read: wait " << readable(choice.wait) << " against "
-          << readable(choice.most_wait) << " allowed, least load " << std::setprecision(3) << choice.load
-          << " against " << choice.most_load << " allowed\n";
-      continue;
-    }
-    const bool writer = choice.stage == Role::write;
-    const auto name = told.names.find(choice.chosen);
-    out << "choice of a " << (writer ? "writer" : "reader") << ": "
-        << (name == told.names.end() ? "none" : name->second) << '\n';
-    auto candidates = choice.candidates;
-    // Half a fleet is of the other role, which tells nothing.
-    std::erase_if(candidates,
-                  [](auto& c) { return c.left_out && std::string_view(c.left_out) == "of the other role"; });
-    std::stable_sort(candidates.begin(), candidates.end(), [&](auto& a, auto& b) {
-      const auto rank = [&](const Candidate& c) {
-        return std::tuple(c.host != choice.chosen, c.left_out != nullptr, c.score);
-      };
-      return rank(a) < rank(b);
-    });
-    out << indent << "  " << std::left << std::setw(14) << "node" << std::right;
-    if (writer)
-      out << std::setw(8) << "load" << std::setw(9) << "slowness" << std::setw(9) << "failing" << std::setw(6)
-          << "near";
-    else
-      out << std::setw(8) << "match" << std::setw(8) << "credit" << std::setw(9) << "us/token" << std::setw(8)
-          << "unread" << std::setw(10) << "wait" << std::setw(10) << "read" << std::setw(9) << "failing";
-    out << std::setw(12) << "score" << '\n';
-    for (std::size_t i = 0; i < candidates.size(); ++i) {
-      if (i == most_candidates) {
-        out << indent << "  and " << candidates.size() - i << " more\n";
-        break;
-      }
-      const auto& c = candidates[i];
-      out << indent << "  " << std::left << std::setw(14) << told.names.at(c.host) << std::right
-          << std::fixed;
-      if (writer)
-        out << std::setprecision(3) << std::setw(8) << c.load << std::setw(9) << c.slowness << std::setw(9)
-            << c.failing << std::setw(6) << c.near;
-      else
-        out << std::setprecision(0) << std::setw(8) << c.match << std::setw(8) << c.credit
-            << std::setprecision(1) << std::setw(9) << c.rate << std::setprecision(0) << std::setw(8)
-            << c.unread << std::setw(10) << (c.left_out ? "-" : readable(c.wait)) << std::setw(10)
-            << (c.left_out ? "-" : readable(c.read)) << std::setprecision(3) << std::setw(9) << c.failing;
-      if (c.left_out)
-        out << "  left out: " << c.left_out;
-      else
-        out << std::setprecision(writer ? 3 : 0) << std::setw(12) << c.score;
-      out << '\n';
-      out.unsetf(std::ios::fixed);
-    }
-  }
-}
-
 void write(std::ostream& out, const Report& report, Format format, bool explain_all) {
   std::vector<const Verdict*> all;
   for (const auto& one : report.cases)
