--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -27,7 +27,7 @@
   // `guided` is called on the loop with each newer guide, within reason: at most once in `least_between`.
   using Guided = std::function<void(std::shared_ptr<const Guide>)>;
   Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Guest> guests, Guided guided);
-  ~Fleet();
+  ~Fleet() override;
 
   static constexpr std::chrono::milliseconds least_between{10};
 
--- a/src/tiers/merge/choose.cpp
+++ b/src/tiers/merge/choose.cpp
@@ -54,6 +54,7 @@
   if (order.size() > holders_bound)
     order.resize(holders_bound);
   std::vector<Shown> chosen;
+  chosen.reserve(order.size());
   for (auto& [score, shown] : order)
     chosen.push_back(shown);
   return chosen;
--- a/src/tiers/snapshot/map.cpp
+++ b/src/tiers/snapshot/map.cpp
@@ -39,6 +39,7 @@
   if (all.size() > most_hints)
     all.resize(most_hints);
   std::vector<KeptAt> kept;
+  kept.reserve(all.size());
   for (const auto& held : all)
     kept.push_back({nodes_[held.node], held.tokens, held.confidence});
   return kept;
--- a/tests/grpc/limits_test.cpp
+++ b/tests/grpc/limits_test.cpp
@@ -1,10 +1,11 @@
 // What one client connection may do (Guard), and which node connection takes a call (Pool): both without
 // sockets.
+#include "grpc/limits.h"
+
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "grpc/limits.h"
 #include "grpc/pool.h"
 
 namespace lemonroute::grpc {
