--- /dev/null
+++ b/src/fleet/prefix_table.h
@@ -0,0 +1,34 @@
+// Which nodes keep how much of which prompt prefixes, as one router has seen it. A container: it decides
+// nothing. No I/O, no clock; bounded by the number of keys.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <vector>
+
+#include "lemonroute/scheduler.h"
+
+namespace lemonroute::fleet {
+
+class PrefixTable {
+ public:
+  // The prefix `key` is kept at `host`, `length` tokens long. Does nothing for key 0 or no length.
+  void record(Key key, HostId host, double length, Micros now);
+  // Tokens of the prefix `key` that are taken to be kept at `host`: 0 where nothing was recorded after
+  // `void_before`. A record counts in full for `fresh`, then less and less.
+  double length(Key key, HostId host, Micros void_before, Micros now) const;
+  bool knows(Key key) const { return entries_.contains(key); }
+
+  static constexpr Micros fresh = std::chrono::seconds(30);
+  static constexpr std::size_t most_keys = 20000;
+
+ private:
+  struct Cached {
+    HostId host;
+    double length;
+    Micros at;
+  };
+  std::map<Key, std::vector<Cached>> entries_;
+};
+
+}  // namespace lemonroute::fleet
--- a/src/guide/siblings.h
+++ b/src/guide/siblings.h
@@ -4,7 +4,7 @@
 // It rises at once with the view. It falls only after a stated number of periods in which no view was larger,
 // and only while this router sees more than half of those it has known, and of those the settings name: of
 // the parts of a fleet that is cut, one at the most may count less than all. Of n routers with s in that part
-// the parts of a cold node sum to s/s + (n-s)/n, below 1.5; the module uses no more than half of what a cold
+// the parts of a cold node sum to s/s + (n-s)/n, below 1.5; the module uses no more than 0.6 of what a cold
 // node bears, so that rule 4 holds there as with the fixed number, at any cut.
 #pragma once
 
--- a/src/module/admission.h
+++ b/src/module/admission.h
@@ -10,14 +10,8 @@
 // Whether a request is beyond its tenant's share, by a token bucket that holds this router's part of it.
 inline bool beyond_share(State& s, std::uint16_t tenant) {
   if (tenant >= s.settings.tenants.size() || s.settings.tenants[tenant].quota_rps <= 0) return false;
-  auto& bucket = s.buckets[tenant];
   const double per_second = s.settings.tenants[tenant].quota_rps / s.settings.siblings;
-  const double most = std::max(2.0, 2 * per_second);
-  bucket.level = std::min(most, bucket.level + per_second * us(s.now - bucket.at) / 1e6);
-  bucket.at = s.now;
-  if (bucket.level < 1) return true;
-  bucket.level -= 1;
-  return false;
+  return !s.buckets[tenant].take(per_second, std::max(2.0, 2 * per_second), s.now);
 }
 
 // The least load of the decode nodes by the time this request is prefilled: what they hold, and their part of
--- a/src/module/attempts.h
+++ b/src/module/attempts.h
@@ -47,10 +47,8 @@
   node.out.push_back({job.request.id, index});
   work.add(job.prompt, s.now);
   s.usual_prompt.add(job.prompt, s.now, learn / 4);
-  node.sent.emplace_back(s.now, work.value);
-  const double gap = std::max(1.0, us(s.now - node.work_rate.at));
-  node.work_rate.add(node.work_rate.known ? work.value / gap : work.value / us(s.fade), s.now,
-                     node.work_rate.known ? 1 - std::exp(-gap / us(s.fade)) : 1);
+  node.sent.add(work.value, s.now);
+  node.work_rate.add(job.prompt, s.now, s.fade);
   if (a.prefill) record(s, job, pick.host);
   if (a.prefill && answers) owe_mixed(s, node, a.tokens * rate);
   s.act(Send{job.request.id, Micros(0), pick.host});
@@ -97,6 +95,7 @@
   job.aim = us(job.terms->aim) + us(job.terms->aim_per_1000_tokens) * job.prompt / 1000;
   if (request.flags & 1) job.aim += std::max(0.0, job.terms->aim_stretch) * us(request.expected);
   s.openings.count(request.shared);
+  s.arrivals.add(job.prompt, s.now, s.fade);
   job.over_share = beyond_share(s, request.tenant);
   prefill(s, job);
   forget(s, request.id);
@@ -126,6 +125,9 @@
                       done.outcome == Outcome::connect_failed ||
                       (!a.started && done.outcome == Outcome::timeout);
   if (served || failed) note_outcome(s, node, failed);
+  // Danger: what full nodes turn away is sent again, so they look several times as able as they are (rule 4).
+  if (done.outcome == Outcome::full || done.outcome == Outcome::connect_failed)
+    node.work_rate.add(-job.prompt, s.now, s.fade);
   if (served && a.prefill) {
     const double cached = std::min<double>(done.note, job.prompt);
     compare_cached(s, node, a, cached);
--- a/src/module/pool_norms.h
+++ b/src/module/pool_norms.h
@@ -13,7 +13,7 @@
   const auto& classes = s.settings.classes;  // what they aim at only ranks nodes while nothing is learned
   const double aim = classes.empty() ? 1 : std::max(1.0, us(classes[0].aim_per_1000_tokens) / 1000);
   for (const Role role : {Role::read, Role::write, Role::both}) {
-    Pool& p = s.pools[role] = Pool{};
+    Pool& p = s.pools[role] = Pool{.warm_work = s.pools[role].warm_work};
     Mean others, own, queued_root, warm_work;
     Micros heard{};  // the newest report
     for (const auto& [id, node] : s.nodes) {
@@ -24,10 +24,10 @@
       heard = std::max(heard, node.others.at);
       own.add(own_share(s, node));
       queued_root.add(std::sqrt(node.others_queued.value), node.others_queued.trust(s.now, s.fade));
-      if (!cold(s, node)) warm_work.add(node.work_rate.value * node.work_rate.fresh(s.now, s.fade));
+      if (!cold(s, node)) warm_work.add(node.work_rate.value(s.now, s.fade));
     }
-    const double* usual = lookup(s.usual_rate, role);
-    p.rate = usual ? *usual : s.any_rate.known ? s.any_rate.value : aim;
+    const auto* usual = lookup(s.usual_rate, role);
+    p.rate = usual ? usual->value() : s.any_rate.known ? s.any_rate.value : aim;
     // Danger: a mean cancels the weights of old reports; who refuses all for full nodes hears no new ones.
     const double recent = std::min(1.0, std::exp(1 - us(s.now - heard) / us(s.fade)));
     p.others = s.reported ? recent * others.value() : (s.settings.siblings - 1) * own.value();
@@ -35,11 +35,11 @@
     const Learned& inferred = s.inferred[role];
     const double alike = std::max(0.0, inferred.value * inferred.fresh(s.now, s.fade));
     p.queued = std::pow(queued_root.value(), 2) + alike;
-    p.warm_work = warm_work.value();
-    // Danger: the last warm prefill node drains while its successors are cold. With no warm load to go by
-    // they would get next to nothing; the rate learned from prefills tells what a node can do.
+    if (warm_work.total > 0) p.warm_work = warm_work.value();
+    // Danger: the last warm node drains while its successors are cold. With no warm load to go by they would get
+    // next to nothing; the last one's goes on to count, and of prefill nodes the rate learned from prefills.
     if (warm_work.total <= 0 && role == Role::read && usual)
-      p.warm_work = 1 / std::max(0.1, *usual) / s.settings.siblings;
+      p.warm_work = 1 / std::max(0.1, usual->value()) / s.settings.siblings;
   }
   for (const Role role : {Role::read, Role::both}) {
     Mean waits;
--- a/src/module/prefill_wait.h
+++ b/src/module/prefill_wait.h
@@ -5,8 +5,7 @@
 
 namespace lemonroute::decisions {
 
-constexpr double most_mixed = 0.75;      // part of its time a mixed node may prefill, for its answers' sake
-constexpr std::size_t few_prefills = 4;  // so many tell little of the usual rate
+constexpr double most_mixed = 0.75;  // part of its time a mixed node may prefill, for its answers' sake
 
 // Microseconds a token. An unheard node counts as average, and by and by one not heard lately: an avoided
 // crawling node is tried again. A prefill out longer than its estimate shows slowness before it ends.
@@ -65,13 +64,9 @@
   const double tokens = a.ahead + a.tokens + step - (told ? 0 : a.others);
   const double sample = elapsed / tokens,
                weight = std::min(1.0, a.tokens / std::max(1.0, s.usual_prompt.value / 2));
-  auto& recent = s.recent_rates[node.role];
-  if (recent.size() < few_prefills || weight > learn) recent.push_back(sample);
-  if (recent.size() > 4 * few_prefills) recent.pop_front();
-  auto sorted = recent;  // the median, and of few the least: a first prefill may have waited long
-  const auto middle = sorted.begin() + std::max<std::ptrdiff_t>(std::ssize(sorted) - 2, 0) / 2;
-  std::nth_element(sorted.begin(), middle, sorted.end());
-  const double usual = s.usual_rate[node.role] = *middle;
+  fleet::UsualRate& of_role = s.usual_rate[node.role];
+  if (of_role.few() || weight > learn) of_role.add(sample);
+  const double usual = of_role.value();
   s.any_rate.add(usual, s.now, 1);
   if (!told) s.inferred[node.role].add(elapsed / usual - tokens, s.now, learn);
   node.prefill_rate.add(std::min(sample, 4 * usual), s.now, learn * weight, weight);
--- a/src/module/prefix_cache.h
+++ b/src/module/prefix_cache.h
@@ -6,38 +6,18 @@
 
 namespace lemonroute::decisions {
 
-constexpr Micros prefix_fresh = seconds(30);  // an entry counts in full this long, then less and less
-constexpr std::size_t prefix_keys = 20000;    // most keys kept for sessions, and for shared beginnings
-constexpr double balancing_threshold = 2;     // kvcache_balancing_threshold of the algorithm
-constexpr double home_keeps = 0.5;            // of unseen sessions' prompts beyond their shared beginning
-
-inline double recorded(const State& s, const PrefixTable& table, Key key, const Node& node) {
-  const auto* found = key == 0 ? nullptr : lookup(table, key);
-  if (!found) return 0;
-  for (const auto& cached : *found)
-    if (cached.host == node.entry.host && cached.at > node.void_before)
-      return cached.length * std::min(1.0, us(prefix_fresh) / std::max(1.0, us(s.now - cached.at)));
-  return 0;
-}
+constexpr double balancing_threshold = 2;  // kvcache_balancing_threshold of the algorithm
+constexpr double home_keeps = 0.5;         // of unseen sessions' prompts beyond their shared beginning
 
 inline double prefix_match(const State& s, const Node& node, const Job& job) {
-  const double shared = std::min(job.shared, recorded(s, s.shareds, job.request.shared, node));
-  return std::min(job.prompt, std::max(recorded(s, s.sessions, job.request.session, node), shared));
-}
-
-inline void record(const State& s, PrefixTable& table, Key key, HostId host, double length) {
-  if (key == 0 || length <= 0) return;
-  if (table.size() >= prefix_keys && !table.count(key)) {  // any: the least key would always be a new one
-    const auto victim = table.lower_bound(mix(key));
-    table.erase(victim == table.end() ? table.begin() : victim);
-  }
-  auto& list = table[key];
-  std::erase_if(list, [&](auto& one) { return one.host == host || s.now - one.at > 10 * prefix_fresh; });
-  list.push_back({host, length, s.now});
+  const HostId host = node.entry.host;
+  const double shared = s.shareds.length(job.request.shared, host, node.void_before, s.now);
+  const double session = s.sessions.length(job.request.session, host, node.void_before, s.now);
+  return std::min(job.prompt, std::max(session, std::min(job.shared, shared)));
 }
 inline void record(State& s, const Job& job, HostId host) {
-  record(s, s.sessions, job.request.session, host, job.prompt);
-  record(s, s.shareds, job.request.shared, host, std::min(job.shared, job.prompt));
+  s.sessions.record(job.request.session, host, job.prompt, s.now);
+  s.shareds.record(job.request.shared, host, std::min(job.shared, job.prompt), s.now);
 }
 
 // Danger: prefixes evicted, by a restart that the list missed or for want of memory. The table would go on to
@@ -73,7 +53,7 @@
 
 // What its home may keep beyond what is recorded: the shared beginning, of an unseen session's rest a part.
 inline double home_guess(const State& s, const Job& job) {
-  return job.shared + (s.sessions.count(job.request.session) ? 0 : home_keeps * (job.prompt - job.shared));
+  return job.shared + (s.sessions.knows(job.request.session) ? 0 : home_keeps * (job.prompt - job.shared));
 }
 
 }  // namespace lemonroute::decisions
--- a/src/module/scheduler.cpp
+++ b/src/module/scheduler.cpp
@@ -24,25 +24,23 @@
 void Scheduler::retune(Settings settings) { core_->take(std::move(settings)); }
 
 LearnedRates Scheduler::learned_rates(Micros now) const {
-  LearnedRates all{.read_rates = {core_->usual_rate.begin(), core_->usual_rate.end()}, .sent = {}};
+  LearnedRates all;
+  for (const auto& [role, rate] : core_->usual_rate) all.read_rates.emplace_back(role, rate.value());
   for (const auto& [id, node] : core_->nodes)
-    if (node.listed() && node.work_rate.known)
-      all.sent.emplace_back(id, node.work_rate.value * node.work_rate.fresh(now, core_->fade));
+    if (node.listed() && node.work_rate.known())
+      all.sent.emplace_back(id, node.work_rate.value(now, core_->fade));
   return all;
 }
 // Danger: a process that takes over in a jam takes its first prefills' waits for their rate, and refuses all.
 void Scheduler::take_over(Micros now, const LearnedRates& learned_rates) {
-  using decisions::few_prefills;
   for (const auto& [role, rate] : learned_rates.read_rates) {
-    auto& recent = core_->recent_rates[role];
-    if (!std::isfinite(rate) || rate <= 0 || recent.size() >= few_prefills) continue;
-    recent.insert(recent.begin(), 2 * few_prefills, rate);
-    core_->usual_rate[role] = rate;
+    if (!std::isfinite(rate) || rate <= 0 || !core_->usual_rate[role].few()) continue;
+    core_->usual_rate[role].assume(rate);
     core_->any_rate.add(rate, now, 1);
   }
   for (const auto& [id, rate] : learned_rates.sent) {
     auto* const node = lookup(core_->nodes, id);
-    if (node && std::isfinite(rate) && rate > 0 && node->sent.empty()) node->work_rate.add(rate, now, 1);
+    if (node && std::isfinite(rate) && rate > 0 && node->sent.empty()) node->work_rate.assume(rate, now);
   }
 }
 
@@ -58,6 +56,7 @@
 
 void Scheduler::handle(Micros now, const Event& event, std::vector<Action>& actions) {
   core_->now = std::max(core_->now, now);
+  if (core_->since == Micros(0)) core_->since = core_->now;
   core_->actions = &actions;
   core_->surveyed = false;
   std::visit([&](const auto& e) { on(*core_, e); }, event);
--- a/src/module/state.h
+++ b/src/module/state.h
@@ -4,13 +4,14 @@
 
 #include <algorithm>
 #include <cmath>
-#include <deque>
 #include <map>
 #include <optional>
 #include <utility>
 
 #include "fleet/learned.h"
 #include "fleet/openings.h"
+#include "fleet/prefix_table.h"
+#include "fleet/rates.h"
 #include "lemonroute/scheduler.h"
 
 namespace lemonroute::decisions {
@@ -40,8 +41,8 @@
   Micros mixed_debt_at{}, failing_at{}, prefill_done{}, void_before{};
   int misses = 0;  // cached counts far below credit, in a row
   std::vector<AttemptRef> out{};
-  std::deque<std::pair<Micros, double>> sent{};  // work sent within the slow-start window
-  Learned work_rate{};
+  fleet::WorkWindow sent{};       // within the slow-start window
+  fleet::FadingRate work_rate{};  // of what it took
   bool listed() const { return entry.phase == Phase::ready; }  // as far as this router knows
   double room() const { return memory > 0 ? memory : 1e5; }
 };
@@ -68,19 +69,9 @@
   bool tried(HostId host) const { return std::ranges::count(attempts, host, &Attempt::host) > 0; }
 };
 
-struct CachedPrefix {
-  HostId host;
-  double length;
-  Micros at;
-};
-using PrefixTable = std::map<Key, std::vector<CachedPrefix>>;
 struct Pool {  // what is usual among the listed nodes of a role
   double nodes = 0, ejected = 0, rate = 0, others = 0, queued = 0, warm_work = 0, wait = 0;
 };
-struct TokenBucket {
-  double level = 0;
-  Micros at{};
-};
 
 template <class Map>
 auto* lookup(Map& map, const typename Map::key_type& key) {  // null where there is none
@@ -91,7 +82,7 @@
 struct State {
   // At the start and at any time later.
   void take(Settings from) {
-    std::map<std::string, TokenBucket> kept;
+    std::map<std::string, fleet::TokenBucket> kept;
     for (std::size_t i = 0; i < buckets.size(); ++i) kept[settings.tenants[i].name] = buckets[i];
     auto work = std::exchange(class_work, {});
     settings = std::move(from);
@@ -133,26 +124,26 @@
 
   Settings settings;
   std::vector<std::shared_ptr<const ClassSettings>> classes;
-  Micros now{};
+  Micros now{}, since{};  // since this process's first event
   std::vector<Action>* actions = nullptr;
   Micros fade{};  // how long what was learned of a node's health lasts: the longest deadline
   double most_worth = 0;
   std::map<std::string, std::size_t> columns;
   std::map<HostId, Node> nodes;
   std::map<RequestId, Job> jobs;
-  PrefixTable sessions, shareds;
+  fleet::PrefixTable sessions, shareds;
   fleet::Openings openings;
   std::map<std::uint32_t, AttemptRef> timers;
   std::uint32_t next_cookie = 1;
-  std::vector<TokenBucket> buckets;  // by tenant
+  std::vector<fleet::TokenBucket> buckets;  // by tenant
+  fleet::FadingRate arrivals;               // work that comes, served or not
   Learned fresh_share{1, {}, true};  // of prompts, the part that was not cached
   Learned first_token;               // the decode nodes' usual time to a first token
   std::map<std::string, Learned> class_work;
   Learned usual_prompt;
   std::map<Role, Pool> pools;
   std::map<Role, Learned> inferred;
-  std::map<Role, double> usual_rate;  // microseconds a token, the median of the recent ones
-  std::map<Role, std::deque<double>> recent_rates;
+  std::map<Role, fleet::UsualRate> usual_rate;  // microseconds a token
   Learned any_rate;                         // of whatever role did a prefill last
   bool reported = false, surveyed = false;  // any decode node's load; `pools`, in this event
   double mixed_prefill = 0;                 // this router's prefill at mixed nodes, fading
