--- a/src/module/admission.h
+++ b/src/module/admission.h
@@ -42,7 +42,9 @@
   const double yield = 0.5 + 0.5 * std::sqrt(value);
   const double most_wait = wait_margin * std::max(job.aim - read, job.aim / 2) * yield;
   // Danger: a router that took waits to be long refuses all, and learns no better. Its evidence fades.
-  const double counted = wait * s.any_rate.trust(s.now, s.fade);
+  // Where decode nodes report no load, the wait there is what streams have met lately.
+  const double decode = s.reported ? 0 : s.first_token.value * s.first_token.fresh(s.now, s.fade);
+  const double counted = wait * s.any_rate.trust(s.now, s.fade) + decode;
   const bool refused = counted > most_wait || load > full_at * yield;
   if (refused && s.told_to)
     s.told_to(Choice{.id = job.request.id, .at = s.now, .refused = true, .wait = micros(counted),
--- a/src/module/attempts.h
+++ b/src/module/attempts.h
@@ -138,6 +138,8 @@
   } else if (!a.started && (served || (a.cancelled && !job.ended))) {
     learn_start(s, node, a, us(done.elapsed));  // one cancelled as overdue took at least this long
   }
+  const bool turned_away = done.outcome == Outcome::full && done.note != 1;
+  if (!a.prefill && (served || turned_away)) s.turned_away.add(turned_away, s.now, learn / 4);
   report(s, node, done.load);
   s.surveyed = false;
 }
--- a/src/module/pool_norms.h
+++ b/src/module/pool_norms.h
@@ -14,7 +14,7 @@
   const double aim = classes.empty() ? 1 : std::max(1.0, us(classes[0].aim_per_1000_tokens) / 1000);
   for (const Role role : {Role::read, Role::write, Role::both}) {
     Pool& p = s.pools[role] = Pool{.warm_work = s.pools[role].warm_work};
-    Mean others, own, queued_root, warm_work;
+    Mean others, queued_root, warm_work;
     Micros heard{};  // the newest report
     for (const auto& [id, node] : s.nodes) {
       if (!node.listed() || node.role != role) continue;
@@ -22,7 +22,6 @@
       p.ejected += failure_share(s, node) >= eject_at;
       others.add(node.others.value, node.others.trust(s.now, s.fade));
       heard = std::max(heard, node.others.at);
-      own.add(own_share(s, node));
       queued_root.add(std::sqrt(node.others_queued.value), node.others_queued.trust(s.now, s.fade));
       if (!cold(s, node)) warm_work.add(node.work_rate.value(s.now, s.fade));
     }
@@ -30,7 +29,7 @@
     p.rate = usual ? usual->value() : s.any_rate.known ? s.any_rate.value : aim;
     // Danger: a mean cancels the weights of old reports; who refuses all for full nodes hears no new ones.
     const double recent = std::min(1.0, std::exp(1 - us(s.now - heard) / us(s.fade)));
-    p.others = s.reported ? recent * others.value() : (s.settings.siblings - 1) * own.value();
+    p.others = s.reported ? recent * others.value() : s.turned_away.value * s.turned_away.fresh(s.now, s.fade);
     // The mean of roots, so that one jammed prefill node does not stand for all.
     const Learned& inferred = s.inferred[role];
     const double alike = std::max(0.0, inferred.value * inferred.fresh(s.now, s.fade));
--- a/src/module/state.h
+++ b/src/module/state.h
@@ -139,6 +139,7 @@
   fleet::FadingRate arrivals;               // work that comes, served or not
   Learned fresh_share{1, {}, true};  // of prompts, the part that was not cached
   Learned first_token;               // the decode nodes' usual time to a first token
+  Learned turned_away{0, {}, true};  // of attempts at decode nodes, the part that full ones turn away
   std::map<std::string, Learned> class_work;
   Learned usual_prompt;
   std::map<Role, Pool> pools;
