--- a/src/module/attempts.h
+++ b/src/module/attempts.h
@@ -70,8 +70,11 @@
 inline void prefill(State& s, Job& job, HostId avoid = 0) {
   Pick pick = choose_prefill(s, job, avoid);
   if (!pick.found && avoid) pick = choose_prefill(s, job);
-  if (job.attempts.empty() && pick.found && refuse_early(s, job, pick.wait, pick.read))
-    return end(s, job, true, pick.wait);
+  if (job.attempts.empty() && pick.found && refuse_early(s, job, pick.wait, pick.read)) {
+    const Pick idle = choose_idle_prefill(s, job);
+    if (!idle.found || refuse_early(s, job, idle.wait, idle.read)) return end(s, job, true, pick.wait);
+    pick = idle;
+  }
   if (job.held) release(s, job);
   // A prefill is of use only with an attempt left for the decode.
   const bool whole = pick.found && s.nodes.at(pick.host).role == Role::both;
