--- a/src/module/attempts.h
+++ b/src/module/attempts.h
@@ -47,10 +47,8 @@
   node.out.push_back({job.request.id, index});
   work.add(job.prompt, s.now);
   s.usual_prompt.add(job.prompt, s.now, learn / 4);
-  node.sent.emplace_back(s.now, work.value);
-  const double gap = std::max(1.0, us(s.now - node.work_rate.at));
-  node.work_rate.add(node.work_rate.known ? work.value / gap : work.value / us(s.fade), s.now,
-                     node.work_rate.known ? 1 - std::exp(-gap / us(s.fade)) : 1);
+  node.sent.add(work.value, s.now);
+  node.work_rate.add(job.prompt, s.now, s.fade);
   if (a.prefill) record(s, job, pick.host);
   if (a.prefill && answers) owe_mixed(s, node, a.tokens * rate);
   s.act(Send{job.request.id, Micros(0), pick.host});
@@ -72,8 +70,11 @@
 inline void prefill(State& s, Job& job, HostId avoid = 0) {
   Pick pick = choose_prefill(s, job, avoid);
   if (!pick.found && avoid) pick = choose_prefill(s, job);
-  if (job.attempts.empty() && pick.found && refuse_early(s, job, pick.wait, pick.read))
-    return end(s, job, true, pick.wait);
+  if (job.attempts.empty() && pick.found && refuse_early(s, job, pick.wait, pick.read)) {
+    const Pick idle = choose_idle_prefill(s, job);
+    if (!idle.found || refuse_early(s, job, idle.wait, idle.read)) return end(s, job, true, pick.wait);
+    pick = idle;
+  }
   if (job.held) release(s, job);
   // A prefill is of use only with an attempt left for the decode.
   const bool whole = pick.found && s.nodes.at(pick.host).role == Role::both;
@@ -97,6 +98,7 @@
   job.aim = us(job.terms->aim) + us(job.terms->aim_per_1000_tokens) * job.prompt / 1000;
   if (request.flags & 1) job.aim += std::max(0.0, job.terms->aim_stretch) * us(request.expected);
   s.openings.count(request.shared);
+  s.arrivals.add(job.prompt, s.now, s.fade);
   job.over_share = beyond_share(s, request.tenant);
   prefill(s, job);
   forget(s, request.id);
@@ -126,6 +128,9 @@
                       done.outcome == Outcome::connect_failed ||
                       (!a.started && done.outcome == Outcome::timeout);
   if (served || failed) note_outcome(s, node, failed);
+  // Danger: what full nodes turn away is sent again, so they look several times as able as they are (rule 4).
+  if (done.outcome == Outcome::full || done.outcome == Outcome::connect_failed)
+    node.work_rate.add(-job.prompt, s.now, s.fade);
   if (served && a.prefill) {
     const double cached = std::min<double>(done.note, job.prompt);
     compare_cached(s, node, a, cached);
@@ -136,6 +141,8 @@
   } else if (!a.started && (served || (a.cancelled && !job.ended))) {
     learn_start(s, node, a, us(done.elapsed));  // one cancelled as overdue took at least this long
   }
+  const bool turned_away = done.outcome == Outcome::full && done.note != 1;
+  if (!a.prefill && (served || turned_away)) s.turned_away.add(turned_away, s.now, learn / 4);
   report(s, node, done.load);
   s.surveyed = false;
 }
