--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -7,12 +7,20 @@
 
 constexpr std::size_t most_list = 8 * 1024 * 1024;
 
+// A watch goes on at once after a list, on the same connection: where descriptors are short a second one may
+// not be had. A list taken for another one is mended by the next, since each states its version.
+http::ClientLimits watch_limits() {
+  http::ClientLimits limits;
+  limits.rest = {};
+  return limits;
+}
+
 }  // namespace
 
 Watch::Watch(net::Loop& loop, std::string address, Router& router, Cadence cadence)
     : address_(std::move(address)),
       router_(router),
-      client_(loop, {}),
+      client_(loop, watch_limits()),
       again_(loop, [this] { ask(); }),
       overdue_(loop, [this] { broken("no answer"); }),
       whole_(loop, [this] { broken("an answer without an end"); }),
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -25,6 +25,10 @@
     connection_.write(head);
     if (body)
       connection_.write(std::move(body));
+    // Danger: whatever comes between the look at a connection that rested and the first byte on it is taken
+    // for the answer. So that byte doesn't wait for the loop.
+    if (connected_)
+      connection_.push();
   }
   PooledConnection(Client& owner, const std::string& address, const PassedConnection& adopted)
       : owner_(owner),
@@ -79,6 +83,10 @@
   void on_readable() override {
     if (!exchange_)
       return end(Ending::malformed);  // nobody asked
+    if (connection_.unsent() == 0)
+      on_drained();  // may not have been told yet
+    if (!exchange_)
+      return;
     if (!has_head_ && !take_head())
       return;
     if (!exchange_)
@@ -198,7 +206,7 @@
     std::exchange(connection_, nullptr)->passed();
 }
 
-Client::Client(net::Loop& loop, ClientLimits limits) : loop_(loop), limits_(limits) {}
+Client::Client(net::Loop& loop, ClientLimits limits) : loop_(loop), limits_(limits), idle_(limits.rest) {}
 Client::~Client() = default;
 
 std::unique_ptr<Exchange> Client::start(const std::string& address, std::string_view head,
@@ -228,53 +236,32 @@
 // come in but was not looked at yet would be lost with the request, or be taken for its answer.
 PooledConnection* Client::take_idle(const std::string& address) {
   for (;;) {
-    const auto idle = idle_.find(address);
-    if (idle == idle_.end())
-      return nullptr;
-    PooledConnection* connection = idle->second.front();
-    const bool silent = connection->silent();
-    if (!silent) {
-      discard(*connection);
-      continue;
-    }
-    remove_idle(*connection);
-    return connection;
+    PooledConnection* const connection = idle_.take(address, std::chrono::steady_clock::now());
+    if (!connection || connection->silent())
+      return connection;
+    discard(*connection);
   }
 }
 
 void Client::hang_up(const std::string& address) {
-  const auto found = idle_.find(address);
-  if (found == idle_.end())
-    return;
-  const auto connections = found->second;
-  for (auto* connection : connections)
+  for (auto* connection : idle_.all(address))
     discard(*connection);
 }
 
 void Client::idle(PooledConnection& connection) {
-  // Guards the process's descriptors: what rests here is what clients and calls can't have.
-  if (idle_count_ >= limits_.idle_most)
-    return discard(connection);
-  idle_[connection.address()].push_front(&connection);
-  ++idle_count_;
+  idle_.put(connection.address(), connection, std::chrono::steady_clock::now());
   connection.rest();
-}
-
-// An address with nothing idle is forgotten, or nodes that come and go would be remembered for good.
-void Client::remove_idle(PooledConnection& connection) {
-  const auto idle = idle_.find(connection.address());
-  if (idle == idle_.end())
-    return;
-  idle_count_ -= idle->second.remove(&connection);
-  if (idle->second.empty())
-    idle_.erase(idle);
+  // Guards the process's descriptors: what rests here is what clients and calls can't have. The one at rest
+  // the longest is the least missed.
+  if (idle_.size() > limits_.idle_most)
+    discard(*idle_.longest());
 }
 
 void Client::discard(PooledConnection& connection) {
   const auto found = all_.find(&connection);
   if (found == all_.end())
     return;
-  remove_idle(connection);
+  idle_.remove(connection.address(), connection);
   loop_.dispose(std::move(found->second));
   all_.erase(found);
 }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,13 +1,13 @@
 // An HTTP/1.1 client with a pool of idle connections. Nothing is ever sent a second time here.
 #pragma once
 
-#include <list>
 #include <map>
 #include <memory>
 #include <string>
 #include <string_view>
 
 #include "core/types.h"
+#include "http/idle_pool.h"
 #include "http/message.h"
 #include "net/connection.h"
 
@@ -37,6 +37,9 @@
   microseconds connect_timeout{std::chrono::milliseconds(250)};
   microseconds idle{std::chrono::seconds(8)};  // idle connections are retired after it
   std::size_t idle_most = 64;                  // of all addresses together
+  // A connection is silent for so long before it carries another request, so that a second answer some
+  // milliseconds behind a good one finds it at rest.
+  microseconds rest{std::chrono::milliseconds(40)};
   microseconds head{
       std::chrono::seconds(1)};  // for a head to end that has begun, and an answer that is no stream
   net::Purpose purpose = net::Purpose::discovery;
@@ -84,13 +87,11 @@
   friend class PooledConnection;
   void idle(PooledConnection& connection);
   void discard(PooledConnection& connection);
-  void remove_idle(PooledConnection& connection);
   PooledConnection* take_idle(const std::string& address);
 
   net::Loop& loop_;
   ClientLimits limits_;
-  std::map<std::string, std::list<PooledConnection*>> idle_;  // the last used first; none empty
-  std::size_t idle_count_ = 0;
+  IdlePool<PooledConnection> idle_;
   std::map<PooledConnection*, std::unique_ptr<PooledConnection>> all_;
 };
 
