--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -39,6 +39,13 @@
   return status >= 400 && status < 500 && status != 408 && status != 410 && status != 425 && status != 429;
 }
 
+// Whether a node has let go of a state. Each instance answers 204; where it has none of that id, another
+// status below 500 says the same. Guards the state against a 5xx, by which a node, or what stands before it,
+// tells that the call was not carried out: it is made again, and a second one does no harm.
+bool let_go(Ending how, int status) {
+  return how == Ending::whole && status < 500;
+}
+
 class AttemptCall : public Call, Listener {
  public:
   AttemptCall(Client& client, const Node& node, const Prompt& prompt, Micros within, Attempt& attempt)
@@ -207,7 +214,7 @@
                                           std::function<void(bool)> done) {
   return std::make_unique<SimpleCall>(
       client_, node, "DELETE /state/" + id,
-      [done = std::move(done)](Ending how, int, const std::string&) { done(how == Ending::whole); });
+      [done = std::move(done)](Ending how, int status, const std::string&) { done(let_go(how, status)); });
 }
 
 std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const Result&)> done) {
