--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -155,6 +155,8 @@
     return answer_and_close(408);
   if (state_ == State::head)
     return half_close();
+  if (leaving() && leaves_on())
+    return;
   close();
 }
 
@@ -240,14 +242,16 @@
   in_request_ = false;
   forget_body();
   // Guards against a stream whose head went out before the program began to drain and so did not say that the
-  // connection ends: the client would ask again on it, of a process that is about to end. And against a
-  // client that sends request behind request and takes no answer, which would pile up here.
-  if (closes || front_.draining_ || connection_.unsent() >= most_unsent)
+  // connection ends: the client would ask again on it, of a process that is about to end. What it has asked
+  // by now is answered, by an answer that says so. And against a client that sends request behind request and
+  // takes no answer, which would pile up here.
+  const bool asked_again = evbuffer_get_length(connection_.input()) > 0;
+  if (closes || (front_.draining_ && !asked_again) || connection_.unsent() >= most_unsent)
     return begin_ending(front_.options_.sending);
   state_ = State::head;
   timer_.start(front_.options_.idle);
   front_.admission_.at_rest(*this);
-  if (evbuffer_get_length(connection_.input()) > 0)
+  if (asked_again)
     connection_.poke();
 }
 
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -58,6 +58,7 @@
   void complete(bool closes);
   void begin_ending(Micros within);
   void finish_ending();
+  bool leaves_on();
   void drop_input();
   void read_ahead();
   void overdone();
@@ -70,6 +71,7 @@
   int status_ = 0;
   bool keep_ = true, closes_ = false, in_request_ = false, asked_ = false, whole_ = false, held_back_ = false;
   std::size_t dropped_ = 0;  // bytes read and never looked at
+  Micros left_for_{};        // since our end was told
   std::size_t scanned_ = 0;
   Body body_;
   std::shared_ptr<std::string> text_;
--- a/src/http/client_ending.cpp
+++ b/src/http/client_ending.cpp
@@ -73,6 +73,16 @@
   front_.admission_.leaving(*this);
 }
 
+// Guards the end of an answer that a slow client's kernel has not had yet: a close over bytes unread resets
+// the connection and takes it along. The client has as long for it as for any part of an answer.
+bool ClientConnection::leaves_on() {
+  left_for_ += linger_for;
+  if (left_for_ >= front_.options_.sending || !connection_.unacknowledged())
+    return false;
+  timer_.start(linger_for);
+  return true;
+}
+
 void ClientConnection::drop_input() {
   const std::size_t size = evbuffer_get_length(connection_.input());
   evbuffer_drain(connection_.input(), size);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -1,7 +1,9 @@
 #include "net/connection.h"
 
+#include <linux/sockios.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
+#include <sys/ioctl.h>
 #include <sys/socket.h>
 
 #include <cerrno>
@@ -124,6 +126,14 @@
   const auto got = recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
+bool Connection::unacknowledged() const {
+  tcp_info info{};
+  socklen_t size = sizeof info;
+  const bool open = getsockopt(bufferevent_getfd(bev_.get()), IPPROTO_TCP, TCP_INFO, &info, &size) == 0 &&
+                    info.tcpi_state != TCP_CLOSE;
+  int bytes = 0;
+  return open && ioctl(bufferevent_getfd(bev_.get()), SIOCOUTQ, &bytes) == 0 && bytes > 0;
+}
 // Once: with bytes in front of it the end can't be seen without reading them, and the loop would spin on
 // them.
 void Connection::leave_unread() {
