--- a/src/core/router.h
+++ b/src/core/router.h
@@ -85,7 +85,12 @@
  private:
   struct AttemptState;
   struct RequestState;
+  struct StateHolder;
   struct PendingRelease;
+  // When a node last answered here, and when it last failed to; 0 = never.
+  struct Liveness {
+    Micros answered{}, failed{};
+  };
 
   void put(Event event);
   void pump();
@@ -109,6 +114,10 @@
   void done(AttemptState& attempt, Result result);
   void tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node,
                      const Completed& completed);
+  void note_state(RequestState& entry, const AttemptState& ended, const Result& result, bool never_ran);
+  void note_liveness(const AttemptState& ended, Outcome outcome);
+  void note_answered(HostId host);
+  void note_failed(HostId host);
   void watch_silence(AttemptState& attempt);
   void begin_by(AttemptState& attempt, Micros at, Result or_else);
   void hurry_to_leaving();
@@ -116,11 +125,24 @@
   void timed_out(AttemptState& attempt);
   void end(RequestState& entry);
   void settle();
-  void start_release(RequestState& entry, HostId holder);
-  void let_go_leftover(RequestState& entry);
-  const Node* asked_to_release(const PendingRelease& released) const;
+  void start_release(const RequestState& entry, const std::vector<StateHolder>& holders);
+  void let_go_leftovers(RequestState& entry);
   void try_release(PendingRelease& released);
+  void ask_to_release(PendingRelease& released, const Node& node);
+  void release_answered(std::uint64_t call, bool arrived);
+  void try_release_at(PendingRelease& released, Micros at);
+  void end_release_by(PendingRelease& released) const;
+  void forget_ended_holders(PendingRelease& released) const;
+  bool waits_for_attempt(PendingRelease& released) const;
+  bool has_place(const PendingRelease& released, HostId host) const;
   void drop_release(PendingRelease& released);
+  const Node* asked_to_release(const PendingRelease& released) const;
+  const Node* holder_to_ask(const PendingRelease& released) const;
+  const Node* other_to_ask(const PendingRelease& released) const;
+  bool doubtful(HostId host) const;
+  bool answered_since(HostId host, Micros since) const;
+  Micros release_step(const PendingRelease& released) const;
+  Micros release_time() const;
   Ordered order(const std::string& node, bool out);
   bool lay_over(Node& node);
   void lay_again();
@@ -133,6 +155,7 @@
   HostId id_of(const std::string& name) const;  // the one it has, or one that is free
   Role role(HostId id) const;
   RequestState* find(RequestId id);
+  const RequestState* find(RequestId id) const;
   RequestState& enter(const Prompt& prompt, Client& client, const std::string& kind);
 
   Settings settings_;
@@ -153,6 +176,8 @@
   std::unordered_map<RequestId, std::unique_ptr<RequestState>> requests_;
   std::unordered_map<std::string, RequestId> by_name_;
   std::list<PendingRelease> releases_;
+  std::uint64_t next_release_call_ = 0;
+  std::map<HostId, Liveness> liveness_;  // of known nodes
   std::map<std::uint64_t, std::unique_ptr<Call>> probes_;
   std::uint64_t next_probe_ = 0;
   CountsByClass counts_;
--- a/src/core/router/actions.cpp
+++ b/src/core/router/actions.cpp
@@ -115,10 +115,13 @@
   RequestState* entry = find(release.id);
   if (!entry)
     return;
-  entry->leftover.reset();
+  std::vector<StateHolder> holders{entry->held};
+  for (const StateHolder& left : std::exchange(entry->leftovers, {}))
+    if (left.host != entry->held.host)
+      holders.push_back(left);
   entry->state_waits.reset();
   entry->holds = false;
-  start_release(*entry, entry->held_at);
+  start_release(*entry, holders);
 }
 
 }  // namespace lemonroute
--- a/src/core/router/attempts.cpp
+++ b/src/core/router/attempts.cpp
@@ -43,8 +43,11 @@
 void Router::event(AttemptState& attempt, std::string_view data) {
   RequestState& entry = *find(attempt.request);
   watch_silence(attempt);
+  note_answered(attempt.host);
   if (!std::exchange(attempt.started, true)) {
-    entry.leftover.reset();
+    // What a cut read may have left at another node than the one whose state is taken now is still there.
+    if (entry.holds)
+      std::erase_if(entry.leftovers, [&](const auto& left) { return left.host == entry.held.host; });
     logging::debug() << entry.prompt.id << " attempt " << attempt.number << " at " << attempt.node
                      << ": streams";
     put(First{attempt.request, attempt.host, attempt.number, clock_.now() - attempt.sent});
@@ -84,8 +87,8 @@
     if (!attempt.unsent())
       return;
     // Nothing is out, so what a cut read may have left is let go of before another attempt is made.
-    if (RequestState& entry = *find(attempt.request); entry.leftover)
-      let_go_leftover(entry);
+    if (RequestState& entry = *find(attempt.request); !entry.leftovers.empty())
+      let_go_leftovers(entry);
     done(attempt, or_else);
   });
 }
@@ -120,16 +123,8 @@
       attempt.started || (!never_ran && result.outcome != Outcome::read && attempt.role != Role::read);
   if (may_have_run && !std::exchange(entry.ran, true) && entry.repeats_for < Micros::max())
     entry.repeats_until = attempt.sent + entry.repeats_for;
-  const bool lost = result.outcome == Outcome::full && result.kept == 1;
-  entry.holds = result.outcome == Outcome::read || (entry.holds && !lost && !attempt.started);
-  if (result.outcome == Outcome::read)
-    entry.held_at = attempt.host;
-  else if (!never_ran && attempt.role != Role::write && !attempt.started)
-    entry.leftover = attempt.host;
-  if (attempt.started || (lost && !entry.leftover))
-    entry.state_waits.reset();
-  else if (result.outcome == Outcome::read || (!never_ran && (entry.state_waits || entry.leftover)))
-    entry.state_waits = clock_.now();
+  note_state(entry, *ended, result, never_ran);
+  note_liveness(*ended, result.outcome);
   Client* client = entry.client;
   const bool finished = !client || result.outcome == Outcome::ok || attempt.started || result.unfit;
   if (client && finished) {
@@ -158,6 +153,58 @@
     put(std::move(health));
 }
 
+// What an attempt that ended says of the state that is held for its request.
+void Router::note_state(RequestState& entry, const AttemptState& ended, const Result& result,
+                        bool never_ran) {
+  const Micros now = clock_.now();
+  const bool lost = result.outcome == Outcome::full && result.kept == 1;
+  const bool read = result.outcome == Outcome::read;
+  const bool cut = !never_ran && ended.role != Role::write && !ended.started && !read;
+  entry.holds = read || (entry.holds && !lost && !ended.started);
+  // An answer of its node says that an earlier read there, whose connection was closed, has come to its end.
+  if (read || cut)
+    std::erase_if(entry.leftovers, [&](const auto& left) { return left.host == ended.host; });
+  if (read)
+    entry.held = {ended.host, ended.process, now, false};
+  if (cut)
+    entry.leftovers.push_back({ended.host, ended.process, now, result.outcome != Outcome::error});
+  const bool turned_away = result.outcome == Outcome::full && !ended.unsent();  // it was out until now
+  const bool may_wait = entry.state_waits || !entry.leftovers.empty();
+  if (ended.started || (lost && entry.leftovers.empty()))
+    entry.state_waits.reset();
+  else if (read || (may_wait && (!never_ran || turned_away)))
+    entry.state_waits = now;
+}
+
+// One that was called off, or that has not left, says nothing of its node.
+void Router::note_liveness(const AttemptState& ended, Outcome outcome) {
+  switch (outcome) {
+    case Outcome::ok:
+    case Outcome::read:
+    case Outcome::error:
+      return note_answered(ended.host);
+    case Outcome::full:
+      return ended.unsent() ? void() : note_answered(ended.host);
+    case Outcome::timeout:
+    case Outcome::reset:
+    case Outcome::connect_failed:
+      return note_failed(ended.host);
+    case Outcome::moot:
+    case Outcome::cancelled:
+      return;
+  }
+}
+
+void Router::note_answered(HostId host) {
+  if (known_.count(host))
+    liveness_[host].answered = clock_.now();
+}
+
+void Router::note_failed(HostId host) {
+  if (known_.count(host))
+    liveness_[host].failed = clock_.now();
+}
+
 // What an attempt that ended says of its node, for this router's peers.
 void Router::tell_observer(const RequestState& entry, const AttemptState& ended, const Node& node,
                            const Completed& completed) {
--- a/src/core/router/events.cpp
+++ b/src/core/router/events.cpp
@@ -57,8 +57,8 @@
     RequestState* entry = find(id);
     if (!entry || entry->out)
       continue;
-    if (entry->leftover)
-      let_go_leftover(*entry);
+    if (!entry->leftovers.empty())
+      let_go_leftovers(*entry);
     if (entry->client)
       continue;
     by_name_.erase(entry->prompt.id);
--- a/src/core/router/list.cpp
+++ b/src/core/router/list.cpp
@@ -57,8 +57,10 @@
     const bool gone = node.second.entry.phase == Phase::gone;
     if (gone && std::find(left_.begin(), left_.end(), node.second.name) == left_.end())
       left_.push_back(node.second.name);
-    if (gone)
+    if (gone) {
       ids_.erase(node.second.name);
+      liveness_.erase(node.first);
+    }
     return gone;
   });
   while (left_.size() > most_left)
--- a/src/core/router/parts.h
+++ b/src/core/router/parts.h
@@ -2,9 +2,11 @@
 // to core.
 #pragma once
 
+#include <map>
 #include <memory>
 #include <optional>
 #include <string>
+#include <vector>
 
 #include "core/router.h"
 
@@ -13,7 +15,14 @@
 // One attempt of a request, on its way.
 struct Router::AttemptState : Attempt {
   AttemptState(Router& owner, RequestId of, std::uint16_t number, const Node& at, Role role, Micros now)
-      : router(owner), request(of), number(number), host(at.id), node(at.name), role(role), sent(now) {}
+      : router(owner),
+        request(of),
+        number(number),
+        host(at.id),
+        node(at.name),
+        process(at.listed_start),
+        role(role),
+        sent(now) {}
   ~AttemptState() override {
     if (begin_timer)
       router.timers_.drop(*begin_timer);
@@ -27,6 +36,7 @@
   std::uint16_t number;
   HostId host;
   std::string node;
+  Micros process;  // the start that the list stated of the node's process
   Role role;
   Micros sent;
   bool started = false;
@@ -37,6 +47,14 @@
   bool unsent() const { return call && call->unsent(); }
 };
 
+// A node that holds the state of a request, or may hold it.
+struct Router::StateHolder {
+  HostId host = 0;
+  Micros process{};         // the start that the list stated of the node's process
+  Micros since{};           // when its attempt ended here
+  bool unfinished = false;  // the read was cut without an answer: it may still end well, if its node hangs
+};
+
 struct Router::RequestState {
   RequestId id = 0;
   Prompt prompt;
@@ -53,23 +71,34 @@
   Micros repeats_for = Micros::max();    // how long after its sending the class may be repeated,
   Micros repeats_until = Micros::max();  // and, once one may have run, until when
   std::unique_ptr<AttemptState> out;     // at most one
-  HostId held_at = 0;                    // the node of the last read that ended well,
+  StateHolder held;                      // the node of the last read that ended well,
   bool holds = false;                    // and whether it holds the state
   std::optional<Micros> state_waits;  // since when a state is or may be there with nothing out that has begun
-  // A node where a read was cut. It may have ended well in that very moment and hold a state that nobody
-  // told of, so it is asked to let go as soon as no attempt is out.
-  std::optional<HostId> leftover;
+  // Nodes where a read was cut. It may have ended well in that very moment and hold a state that nobody
+  // told of, so they are asked to let go as soon as no attempt is out.
+  std::vector<StateHolder> leftovers;
   bool adopted = false;  // begun by another process
 };
 
+// A state that is to be let go. Done once any node has taken the call and each holder whose read was cut
+// without an answer has taken it itself, or has been started anew.
 struct Router::PendingRelease {
+  struct Open {  // a call under way
+    std::uint64_t number = 0;
+    HostId host = 0;
+    std::unique_ptr<Call> call;
+  };
   RequestId request = 0;
   std::string id;
-  HostId holder = 0;
-  Micros until{};
-  std::size_t tries = 0;
-  std::unique_ptr<Call> call;
-  Timers::Id timer;
+  std::vector<StateHolder> holders;        // never empty while it is pending
+  Micros since{}, until{};                 // when it was ordered, and when it is given up
+  std::size_t tries = 0;                   // calls made
+  std::map<HostId, std::size_t> asked;     // how many of them to whom
+  bool arrived = false;                    // a node has taken the call
+  std::optional<std::uint16_t> waits_for;  // the attempt that it waits for the end of,
+  Micros waits_since{};                    // and since when
+  std::vector<Open> open;                  // the oldest first, at most three
+  Timers::Id timer;                        // of the next try
 };
 
 }  // namespace lemonroute
--- /dev/null
+++ b/src/core/router/release_targets.cpp
@@ -0,0 +1,113 @@
+// Which node is asked next to let a state go, and how soon the one after it.
+#include <algorithm>
+#include <tuple>
+
+#include "core/router/parts.h"
+
+namespace lemonroute {
+
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr std::size_t release_round = 4;   // of so many calls one asks the holder
+constexpr Micros::rep steps = 8;           // calls that start within the settings' time
+constexpr Micros usual_time = seconds(1);  // where the settings give none
+constexpr Micros longest_step = seconds(1);
+constexpr Micros answered_lately = seconds(1);
+
+}  // namespace
+
+Micros Router::release_time() const {
+  return settings_.release_within > Micros(0) ? settings_.release_within : usual_time;
+}
+
+// So many calls start within the settings' time, sooner after one to a holder that has failed last. Once that
+// time is over, or only a holder that hangs has still to be told, they become slower.
+Micros Router::release_step(const PendingRelease& released) const {
+  const Micros step = release_time() / steps;
+  if (released.arrived)
+    return std::min(release_time() / 2, longest_step);
+  if (released.tries <= 1 && doubtful(released.holders.front().host))
+    return step / 2;
+  const auto times = (clock_.now() - released.since) / release_time();
+  return std::min(step * (1 + times), std::max(step, longest_step));
+}
+
+bool Router::doubtful(HostId host) const {
+  const auto found = liveness_.find(host);
+  return found != liveness_.end() && found->second.failed > Micros(0) &&
+         found->second.failed >= found->second.answered;
+}
+
+bool Router::answered_since(HostId host, Micros since) const {
+  const auto found = liveness_.find(host);
+  return found != liveness_.end() && found->second.answered >= since && !doubtful(host);
+}
+
+// The holder first, and at every fourth call again; in between the other nodes, each of which takes the call
+// as well. Guards against a holder that is lost and listed still: asked at every second call, it took up all
+// of the time there is to have its state let go. Once any node has taken the call, only holders where a read
+// may still end are asked.
+const Node* Router::asked_to_release(const PendingRelease& released) const {
+  const Node* holder = holder_to_ask(released);
+  if (released.arrived || (holder && released.tries % release_round == 0))
+    return holder;
+  const Node* other = other_to_ask(released);
+  return other ? other : holder;
+}
+
+const Node* Router::holder_to_ask(const PendingRelease& released) const {
+  const Node* best = nullptr;
+  std::size_t least = 0;
+  for (const StateHolder& holder : released.holders) {
+    const auto node = known_.find(holder.host);
+    if (node == known_.end())
+      continue;
+    const auto asked = released.asked.find(holder.host);
+    const std::size_t times = asked == released.asked.end() ? 0 : asked->second;
+    if (best && times >= least)
+      continue;
+    best = &node->second;
+    least = times;
+  }
+  return best;
+}
+
+// Whom this release has asked least often; among them whoever answered lately before whoever nothing is known
+// of, and that one before whoever failed last. The role that the holder does not have comes first, then in
+// turn: many nodes of one role may fall silent together. The id parts requests, so that not all of them ask
+// the same node.
+const Node* Router::other_to_ask(const PendingRelease& released) const {
+  const Micros now = clock_.now();
+  const Role holders = role(released.holders.front().host);
+  const auto is_holder = [&](HostId id) {
+    return std::any_of(released.holders.begin(), released.holders.end(),
+                       [&](const auto& one) { return one.host == id; });
+  };
+  const auto rank = [&](HostId id) {
+    const auto found = liveness_.find(id);
+    if (doubtful(id))
+      return 2;
+    return found != liveness_.end() && now - found->second.answered <= answered_lately ? 0 : 1;
+  };
+  const bool same_role = released.tries % 2 == 0;
+  const Node* best = nullptr;
+  std::tuple<std::size_t, int, bool, std::uint64_t> least;
+  for (const auto& [id, node] : known_) {
+    if (!node.ready() || is_holder(id))
+      continue;
+    const auto asked = released.asked.find(id);
+    const std::size_t times = asked == released.asked.end() ? 0 : asked->second;
+    const std::uint64_t spread = (released.request ^ id) * 0x9E3779B97F4A7C15u;
+    const std::tuple weighed{times, rank(id), (role(id) == holders) != same_role, spread};
+    if (best && weighed >= least)
+      continue;
+    best = &node;
+    least = weighed;
+  }
+  return best;
+}
+
+}  // namespace lemonroute
--- a/src/core/router/requests.cpp
+++ b/src/core/router/requests.cpp
@@ -28,6 +28,11 @@
   return found == requests_.end() ? nullptr : found->second.get();
 }
 
+const Router::RequestState* Router::find(RequestId id) const {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : found->second.get();
+}
+
 Router::Taken Router::take(const ClientRequest& client_request, Client& client, RequestId& id) {
   const auto named = [](const auto& list, const std::string& name) {
     return std::find_if(list.begin(), list.end(), [&](auto& one) { return one.name == name; }) - list.begin();
@@ -103,6 +108,8 @@
     timers_.drop(entry->out->timer);
     entry->out->timer = timers_.add(at, [this, out = entry->out.get()] { timed_out(*out); });
   }
+  for (PendingRelease& released : releases_)
+    end_release_by(released);
   if (on_change)
     on_change();
 }
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -11,6 +11,7 @@
 namespace {
 
 constexpr std::size_t most_answer = 4096;  // of an answer that is no stream
+constexpr int server_error = 500;          // statuses from here on say that the node could not do it
 
 std::string seconds_text(Micros span) {
   std::ostringstream text;
@@ -205,9 +206,10 @@
 
 std::unique_ptr<Call> NodeClient::release(const Node& node, const std::string& id,
                                           std::function<void(bool)> done) {
-  return std::make_unique<SimpleCall>(
-      client_, node, "DELETE /state/" + id,
-      [done = std::move(done)](Ending how, int, const std::string&) { done(how == Ending::whole); });
+  return std::make_unique<SimpleCall>(client_, node, "DELETE /state/" + id,
+                                      [done = std::move(done)](Ending how, int status, const std::string&) {
+                                        done(how == Ending::whole && status < server_error);
+                                      });
 }
 
 std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const Result&)> done) {
