--- a/src/grpc/front.cpp
+++ b/src/grpc/front.cpp
@@ -33,7 +33,9 @@
       const auto budget = parse_timeout(timeout_);
       if (!budget)
         return call_.finish(Status::invalid_argument, "grpc-timeout can't be read");
-      client_request.budget = std::max(*budget, Micros(1));
+      // Danger: a request that comes in pieces. Its client's time runs from its call on.
+      const auto passed = std::chrono::ceil<Micros>(std::chrono::steady_clock::now() - opened_);
+      client_request.budget = std::max(*budget - passed, Micros(1));
     }
     client_request.prompt = {request.id(), std::string(chat_path),
                              std::make_shared<std::string>(request.body())};
@@ -93,6 +95,7 @@
   Router& router_;
   ServerCall& call_;
   std::string timeout_;
+  const std::chrono::steady_clock::time_point opened_ = std::chrono::steady_clock::now();
   RequestId id_ = 0;
   bool taken_ = false;
 };
--- a/src/grpc/node_client/calls.cpp
+++ b/src/grpc/node_client/calls.cpp
@@ -14,7 +14,7 @@
 class NodeCall : public Call, StreamEvents {
  public:
   NodeCall(Session& session, std::string_view authority, std::string_view method, std::string framed,
-           Headers more, CallOver over)
+           Headers more, CallOver over, std::optional<Guard::Clock::time_point> deadline = {})
       : session_(&session), over_(std::move(over)) {
     Headers headers{{":method", "POST"},
                     {":scheme", "http"},
@@ -24,7 +24,7 @@
                     {"te", "trailers"},
                     {"grpc-accept-encoding", std::string(accepted_encodings)}};
     headers.insert(headers.end(), more.begin(), more.end());
-    id_ = session.request(headers, std::move(framed), *this);
+    id_ = session.request(headers, std::move(framed), *this, deadline);
   }
   ~NodeCall() override {
     leave();
@@ -60,7 +60,7 @@
   void headers(const Headers& headers) override {
     answered_ = true;
     if (const auto name = find(headers, "grpc-encoding"); !name.empty())
-      reader_.encoding(parse_encoding(name).value_or(Encoding::identity));
+      reader_->encoding(parse_encoding(name).value_or(Encoding::identity));
     if (const auto load = find(headers, "srv-load"); !load.empty())
       end_.load = load;
     end_.declined = end_.declined || find(headers, "srv-declined") == "1";
@@ -72,8 +72,15 @@
   }
   void data(std::string_view piece) override {
     // Guards against a stream that goes on after a message that can't be read: it is over there and then.
-    const auto fault = reader_.feed(piece, [this](std::string_view bytes) { malformed_ |= !message(bytes); });
-    if (!fault && !malformed_)
+    // Danger: whoever is told of an event may let go of this call, with more events behind it in the piece.
+    const std::shared_ptr<MessageReader> reader = reader_;
+    const std::weak_ptr<bool> here = here_;
+    bool readable = true;
+    const auto fault = reader->feed(piece, [&](std::string_view bytes) {
+      if (readable && !here.expired())
+        readable = message(bytes);
+    });
+    if (here.expired() || (!fault && readable))
       return;
     std::exchange(session_, nullptr)->reset(id_, NGHTTP2_CANCEL);
     end_.how = Ending::malformed;
@@ -95,9 +102,10 @@
 
   Session* session_;
   std::int32_t id_ = 0;
-  bool malformed_ = false, has_status_ = false, answered_ = false;
+  bool has_status_ = false, answered_ = false;
   CallOver over_;
-  MessageReader reader_;
+  std::shared_ptr<MessageReader> reader_ = std::make_shared<MessageReader>();
+  std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // goes with this call
   End end_{Ending::broken, 2, false, {}};
 };
 
@@ -105,8 +113,8 @@
  public:
   RunCall(Session& session, const Node& node, const Prompt& prompt, Micros within, Attempt& attempt,
           CallOver over)
-      : NodeCall(session, node.address, "Run", frame(request(prompt)),
-                 {{"grpc-timeout", timeout_text(within)}, {"req-id", prompt.id}}, std::move(over)),
+      : NodeCall(session, node.address, "Run", frame(request(prompt)), {{"req-id", prompt.id}},
+                 std::move(over), Guard::Clock::now() + within),
         attempt_(attempt) {}
 
  private:
--- a/src/grpc/session.cpp
+++ b/src/grpc/session.cpp
@@ -91,6 +91,7 @@
     return;
   if (!server_) {
     nghttp2_submit_goaway(session_.get(), NGHTTP2_FLAG_NONE, 0, NGHTTP2_NO_ERROR, nullptr, 0);
+    owner_.going(*this);
   } else {
     nghttp2_submit_shutdown_notice(session_.get());
     // What the peer had sent before it read the notice has arrived once this is answered.
@@ -104,9 +105,8 @@
   last_timer_.stop();
   if (closed_ || std::exchange(counted_out_, true))
     return;
-  nghttp2_submit_goaway(session_.get(), NGHTTP2_FLAG_NONE,
-                        nghttp2_session_get_last_proc_stream_id(session_.get()), NGHTTP2_NO_ERROR, nullptr,
-                        0);
+  last_counted_ = nghttp2_session_get_last_proc_stream_id(session_.get());
+  nghttp2_submit_goaway(session_.get(), NGHTTP2_FLAG_NONE, last_counted_, NGHTTP2_NO_ERROR, nullptr, 0);
   flush_soon();
 }
 
@@ -115,13 +115,16 @@
     return;
   for (net::Timer* timer : {&connect_timer_, &ping_timer_, &look_timer_, &last_timer_})
     timer->stop();
-  end_streams();
   if (connection_->started())
     connection_->end_sending();
+  // Danger: a call that is told of its end is begun again there and then, and must not come back to this
+  // connection. So the owner hears first.
   owner_.closed(*this);
+  end_streams();
 }
 
 void Session::end_streams() {
+  waiting_.clear();
   while (!streams_.empty()) {
     const auto first = streams_.begin();
     StreamEvents* events = first->second.events;
--- a/src/grpc/session.h
+++ b/src/grpc/session.h
@@ -42,7 +42,7 @@
   // ---- of a client's session ----
   virtual void connected(Session&) {}
   virtual void allowed(Session&, std::uint32_t) {}  // streams at once, by the peer's SETTINGS
-  virtual void going(Session&) {}                   // GOAWAY has come: no new requests
+  virtual void going(Session&) {}                   // no new requests: GOAWAY, or all ids are used
   virtual void doubted(Session&, bool) {}           // whether a ping is out that has not been answered
   // ---- of a server's session ----
   virtual void overdone(Session&, Abuse, bool) {
@@ -62,6 +62,9 @@
     double jitter = 0;
     std::chrono::microseconds last_call{
         std::chrono::milliseconds(500)};  // from "no more" to the last number that counts
+    // Of a server that has said which stream was the last: for a request to come to its end. The process ends
+    // soon, and the client can send elsewhere what has certainly not been handled.
+    std::chrono::microseconds last_request{std::chrono::seconds(1)};
     Guard::Limits guard{};
   };
   Session(net::Loop& loop, evutil_socket_t accepted, SessionOwner& owner, Limits limits);    // server
@@ -73,8 +76,13 @@
   bool usable() const { return !closed_ && !going_; }  // for a new request
   bool quiet() const { return streams_.empty(); }
 
-  std::int32_t request(const Headers& headers, std::string body, StreamEvents& events);  // client
-  void respond(std::int32_t id, const Headers& headers);                                 // server
+  // A client's request, under the stream id that is returned (negative: none is left). It waits here until
+  // the connection is up, what was written before has left, and the peer allows one more stream; until then
+  // nothing of it is sent. What is left until `deadline` is told to the peer as grpc-timeout when the request
+  // is written; after `deadline` it is not written any more.
+  std::int32_t request(const Headers& headers, std::string body, StreamEvents& events,
+                       std::optional<Guard::Clock::time_point> deadline = {});
+  void respond(std::int32_t id, const Headers& headers);  // server
   void write(std::int32_t id, std::string bytes);
   void finish(std::int32_t id, Headers trailers);  // after what was written; trailers without headers if none
   void reset(std::int32_t id, std::uint32_t code);  // and nothing more is told of the stream
@@ -101,6 +109,12 @@
     Guard::Clock::time_point opened{}, moved{};  // moved: when some of the answer was last taken
     std::uint64_t sent_at = 0;  // count of bytes written when the last of it went out; 0 = not yet
   };
+  // A client's request that the library has not been given yet.
+  struct Waiting {
+    std::int32_t id;
+    Headers headers;
+    std::optional<Guard::Clock::time_point> deadline;
+  };
   struct Free {
     void operator()(nghttp2_session* session) const { nghttp2_session_del(session); }
   };
@@ -109,6 +123,10 @@
 
   void start(bool server);
   void flush();
+  void open_streams();  // of the requests that wait, as many as the peer allows now
+  void open_stream(const Waiting& request);
+  void refuse_waiting();  // requests that wait are told that they have not been sent
+  bool forget_waiting(std::int32_t id);
   void flush_soon();
   void on_connected() override;
   void on_readable() override;
@@ -119,10 +137,12 @@
   void overdone(Abuse abuse);  // the connection ends
   void part();                 // all is said; it ends once the peer has ended it too, or soon
   void look();                 // at what takes too long
+  void refuse_late(Guard::Clock::time_point now);  // requests that a drain can't wait for
   void last_call();
   void end_streams();
   void unheard();  // the answer to a ping is late, or does not come at all
   void doubt(bool on);
+  void answer_ended(std::int32_t id, std::uint64_t at);
   void stream_closed(std::int32_t id, std::uint32_t code);
   bool sent(const Stream& stream) const;
   ssize_t fill(std::int32_t id, std::uint8_t* buffer, std::size_t size, std::uint32_t* flags);
@@ -141,6 +161,9 @@
   Guard::Clock::time_point since_ = Guard::Clock::now(), rests_ = since_;
   std::uint64_t written_ = 0;
   std::map<std::int32_t, Stream> streams_;
+  std::deque<Waiting> waiting_;     // in the order of their ids; each has its entry in streams_
+  std::uint32_t next_id_ = 1;       // of a client's next request
+  std::int32_t last_counted_ = -1;  // of a server, once it has said which stream was the last
   std::shared_ptr<Session*> self_;  // outlived by weak references of deferred jobs
   net::Timer connect_timer_, ping_timer_, look_timer_, last_timer_;
   std::unique_ptr<nghttp2_session, Free> session_;
--- a/src/grpc/session/allowed.cpp
+++ b/src/grpc/session/allowed.cpp
@@ -54,6 +54,8 @@
   if (condemned_)
     return;
   const auto now = Guard::Clock::now();
+  if (counted_out_)
+    refuse_late(now);
   std::vector<std::pair<std::int32_t, Abuse>> late;
   for (const auto& [id, stream] : streams_) {
     if (!stream.events && stream.out_size == 0)
@@ -85,4 +87,18 @@
   look_timer_.start(look_again);
 }
 
+void Session::refuse_late(Guard::Clock::time_point now) {
+  std::vector<std::int32_t> late;
+  for (const auto& [id, stream] : streams_)
+    if (stream.events && !stream.whole && now - stream.opened > limits_.last_request)
+      late.push_back(id);
+  for (const std::int32_t id : late) {
+    Stream* stream = this->stream(id);
+    StreamEvents* events = stream ? std::exchange(stream->events, nullptr) : nullptr;
+    reset(id, NGHTTP2_REFUSED_STREAM);
+    if (events)
+      events->closed(NGHTTP2_REFUSED_STREAM, false);
+  }
+}
+
 }  // namespace lemonroute::grpc
--- a/src/grpc/session/in.cpp
+++ b/src/grpc/session/in.cpp
@@ -92,7 +92,7 @@
             s.guard_.sent_data();
           if (stream && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS) &&
               (frame->hd.flags & NGHTTP2_FLAG_END_STREAM))
-            stream->sent_at = s.written_ + frame->hd.length + 9;
+            s.answer_ended(frame->hd.stream_id, s.written_ + frame->hd.length + frame_head);
           return 0;
         });
     return c;
@@ -100,6 +100,16 @@
   return made;
 }
 
+// The last frame that we had for a stream is on its way; `at` is its end in the count of bytes written.
+void Session::answer_ended(std::int32_t id, std::uint64_t at) {
+  Stream& one = *stream(id);
+  one.sent_at = at;
+  // Guards against a client that does not end its request: the stream would stay open, and with it a
+  // connection that is to end (RFC 9113, 8.1).
+  if (server_ && !one.whole)
+    nghttp2_submit_rst_stream(session_.get(), NGHTTP2_FLAG_NONE, id, NGHTTP2_NO_ERROR);
+}
+
 void Session::on_connected() {
   connected_ = true;
   connect_timer_.stop();
@@ -161,8 +171,10 @@
   const std::int32_t id = frame.hd.stream_id;
   connect_timer_.stop();
   const bool ack = frame.hd.flags & NGHTTP2_FLAG_ACK;
-  if (frame.hd.type == NGHTTP2_GOAWAY && !std::exchange(going_, true) && !server_)
+  if (frame.hd.type == NGHTTP2_GOAWAY && !std::exchange(going_, true) && !server_) {
     owner_.going(*this);
+    refuse_waiting();
+  }
   // Who says so with an error closes next (RFC 9113, 5.4.1), and takes no answer any more.
   if (frame.hd.type == NGHTTP2_GOAWAY && server_ && frame.goaway.error_code != NGHTTP2_NO_ERROR)
     given_up_ = true;
@@ -172,16 +184,24 @@
     ping_timer_.stop();
     doubt(false);
   }
-  if (frame.hd.type == NGHTTP2_SETTINGS && !ack && !server_)
-    owner_.allowed(
-        *this, nghttp2_session_get_remote_settings(session_.get(), NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS));
+  if (frame.hd.type == NGHTTP2_SETTINGS && !ack && !server_) {
+    const std::uint32_t most =
+        nghttp2_session_get_remote_settings(session_.get(), NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS);
+    owner_.allowed(*this, most);
+    if (most == 0)
+      refuse_waiting();
+  }
   Stream* stream = this->stream(id);
   if (!stream)
     return;
   if (frame.hd.type == NGHTTP2_RST_STREAM && server_ && !stream->responded && !abuse_)
     abuse_ = guard_.reset_early(Guard::Clock::now());
   if (frame.hd.type == NGHTTP2_HEADERS) {
-    if (server_ && frame.headers.cat == NGHTTP2_HCAT_REQUEST) {
+    // Danger: a request that comes behind "no more" and before that has been written. Its client is about to
+    // read that it has not been handled, and sends it again elsewhere.
+    if (server_ && frame.headers.cat == NGHTTP2_HCAT_REQUEST && counted_out_ && id > last_counted_) {
+      reset(id, NGHTTP2_REFUSED_STREAM);
+    } else if (server_ && frame.headers.cat == NGHTTP2_HCAT_REQUEST) {
       stream->events = owner_.opened(*this, id, stream->incoming);
       if ((stream = this->stream(id)) && !stream->events && !stream->ended)
         reset(id, NGHTTP2_REFUSED_STREAM);
--- a/src/grpc/session/out.cpp
+++ b/src/grpc/session/out.cpp
@@ -4,6 +4,7 @@
 #include <cstring>
 
 #include "grpc/session.h"
+#include "grpc/session/name_values.h"
 
 namespace lemonroute::grpc {
 namespace {
@@ -11,15 +12,6 @@
 constexpr std::size_t most_unsent = 64 * 1024;  // handed to the connection ahead of the socket
 constexpr std::size_t drained_below = 16 * 1024;
 
-std::vector<nghttp2_nv> to_nv(const Headers& headers) {
-  std::vector<nghttp2_nv> nv;
-  for (const auto& [name, value] : headers)
-    nv.push_back({reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data())),
-                  reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())), name.size(), value.size(),
-                  NGHTTP2_NV_FLAG_NONE});
-  return nv;
-}
-
 Session& session_of(void* self) {
   return *static_cast<Session*>(self);
 }
@@ -34,23 +26,6 @@
   return provider;
 }
 
-std::int32_t Session::request(const Headers& headers, std::string body, StreamEvents& events) {
-  const auto nv = to_nv(headers);
-  const nghttp2_data_provider provider = body_source();
-  const auto id = nghttp2_submit_request(session_.get(), nullptr, nv.data(), nv.size(), &provider, nullptr);
-  if (id < 0) {  // the ids of this connection are used up
-    going_ = true;
-    return id;
-  }
-  Stream& stream = streams_[id];
-  stream.events = &events;
-  stream.responded = stream.ended = true;
-  stream.out_size = body.size();
-  stream.out.push_back(std::move(body));
-  flush_soon();
-  return id;
-}
-
 void Session::respond(std::int32_t id, const Headers& headers) {
   Stream* stream = this->stream(id);
   if (!stream || stream->responded)
@@ -98,6 +73,8 @@
   if (!stream)
     return;
   stream->events = nullptr;
+  if (forget_waiting(id))
+    return;
   nghttp2_submit_rst_stream(session_.get(), NGHTTP2_FLAG_NONE, id, code);
   flush_soon();
 }
@@ -182,6 +159,10 @@
   // somebody to take it.
   if (closed_ || condemned_ || !connected_ || !connection_->started())
     return;
+  // Danger: a request that is given up while the peer takes nothing. The library takes back what it has not
+  // been asked for yet; bytes handed to the connection go out.
+  if (connection_->unsent() == 0)
+    open_streams();
   while (connection_->unsent() < most_unsent) {
     const std::uint8_t* bytes = nullptr;
     const ssize_t size = nghttp2_session_mem_send(session_.get(), &bytes);
