--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -1,69 +1,47 @@
 #include "discovery/watch.h"
 
+#include <utility>
+
 #include "base/log.h"
 
 namespace lemonroute::discovery {
-namespace {
-
-constexpr std::size_t most_list = 8 * 1024 * 1024;
-
-}  // namespace
 
 Watch::Watch(net::Loop& loop, std::string address, Router& router, Cadence cadence)
-    : address_(std::move(address)),
+    : loop_(loop),
+      address_(std::move(address)),
       router_(router),
       client_(loop, {}),
       again_(loop, [this] { ask(); }),
-      overdue_(loop, [this] { broken("no answer"); }),
-      whole_(loop, [this] { broken("an answer without an end"); }),
       cadence_(std::move(cadence)) {}
+Watch::~Watch() = default;
 
 // What the old address knew may be numbered otherwise at the new one, so nothing of it is built on. A whole
 // fleet is told of the new address at once, and does not call there at once.
 void Watch::move(std::string address) {
-  overdue_.stop();
-  whole_.stop();
-  exchange_.reset();
+  drop_calls();
   client_.hang_up(address_);
   address_ = std::move(address);
   again_.start(cadence_.moved());
 }
 
 void Watch::ask() {
-  text_.clear();
-  status_ = 0;
-  const Cadence::Call call = cadence_.next();
-  asked_ = std::chrono::steady_clock::now();
-  overdue_.start(call.first);
-  whole_.start(call.whole);
-  exchange_ = client_.start(address_, "GET " + call.target + " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n",
-                            {}, *this);
-}
-
-void Watch::body(std::string_view piece) {
-  overdue_.start(Cadence::pause);
-  if (text_.size() + piece.size() <= most_list)
-    text_ += piece;
-  else
-    status_ = 0;
+  Events& events = *this;
+  call_ = std::make_unique<ListCall>(loop_, client_, address_, cadence_.next(), events);
 }
 
-void Watch::ended(http::Ending how) {
-  overdue_.stop();
-  whole_.stop();
-  exchange_.reset();
-  if (how != http::Ending::whole)
-    return failed("the connection failed", Cadence::Fault::no_answer);
+void Watch::answered(ListCall& call) {
   try {
-    take();
+    take(cadence_.take(call.status(), call.text(), call.took()));
   } catch (const ListError& error) {
-    return failed(error.what(), Cadence::Fault::bad_answer);
+    if (&call == earlier_.get())
+      return drop(earlier_);
+    drop(call_);
+    failed(error.what(), Cadence::Fault::bad_answer);
   }
 }
 
-void Watch::take() {
-  const auto took = std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now() - asked_);
-  const Cadence::Answer answer = cadence_.take(status_, text_, took);
+void Watch::take(const Cadence::Answer& answer) {
+  drop_calls();
   if (!well_)
     logging::info() << "discovery answers again";
   well_ = heard_ = true;
@@ -75,6 +53,24 @@
     ask();
 }
 
+// Guards against a discovery whose answers take longer than a call is waited for: each call would be given up
+// just before its answer, for as long as that lasts. So one call for the whole list is waited for on, up to
+// the end of the time for its answer, beside those that find out whether discovery is back.
+void Watch::silent(ListCall& call) {
+  if (call.asks_for_whole_list() && !earlier_)
+    earlier_ = std::move(call_);
+  else
+    drop(call_);
+  failed("no answer", Cadence::Fault::no_answer);
+}
+
+void Watch::lost(ListCall& call, std::string_view why) {
+  if (&call == earlier_.get())
+    return drop(earlier_);
+  drop(call_);
+  failed(why, Cadence::Fault::no_answer);
+}
+
 // The last list stays in use.
 void Watch::failed(std::string_view why, Cadence::Fault fault) {
   if (well_)
@@ -83,11 +79,18 @@
   again_.start(cadence_.failed(fault));
 }
 
-void Watch::broken(std::string_view why) {
-  overdue_.stop();
-  whole_.stop();
-  exchange_.reset();
-  failed(why, Cadence::Fault::no_answer);
+// Calls tell of themselves from their own timers, so they are destroyed later.
+void Watch::drop(std::unique_ptr<ListCall>& call) {
+  if (!call)
+    return;
+  call->stop();
+  loop_.dispose(std::move(call));
+}
+
+void Watch::drop_calls() {
+  again_.stop();
+  drop(call_);
+  drop(earlier_);
 }
 
 }  // namespace lemonroute::discovery
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -1,17 +1,24 @@
 // Keeps the core's list of nodes up to date by watching discovery.
 #pragma once
 
-#include <chrono>
+#include <memory>
+#include <string>
+#include <string_view>
 
 #include "core/router.h"
 #include "discovery/cadence.h"
+#include "discovery/list_call.h"
 #include "http/client.h"
 
 namespace lemonroute::discovery {
 
-class Watch : http::Listener {
+class Watch : ListCall::Events {
  public:
   Watch(net::Loop& loop, std::string address, Router& router, Cadence cadence = Cadence());
+  ~Watch() override;
+  Watch(const Watch&) = delete;
+  Watch& operator=(const Watch&) = delete;
+
   void start() { ask(); }
   void move(std::string address);  // asks there from now on, for the whole list first
   void retune(Lists lists, Micros drain_grace) { cadence_.retune(lists, drain_grace); }
@@ -19,23 +26,25 @@
 
  private:
   void ask();
-  void head(const http::Head& head) override { status_ = head.status; }
-  void body(std::string_view piece) override;
-  void ended(http::Ending how) override;
+  void answered(ListCall& call) override;
+  void silent(ListCall& call) override;
+  void lost(ListCall& call, std::string_view why) override;
   void failed(std::string_view why, Cadence::Fault fault);
-  void broken(std::string_view why);  // the call that is under way
-  void take();
+  void take(const Cadence::Answer& answer);
+  void drop(std::unique_ptr<ListCall>& call);
+  void drop_calls();
 
+  net::Loop& loop_;
   std::string address_;
   Router& router_;
   http::Client client_;
-  net::Timer again_, overdue_, whole_;
-  std::unique_ptr<http::Exchange> exchange_;
+  net::Timer again_;
   Cadence cadence_;
-  std::chrono::steady_clock::time_point asked_;
+  std::unique_ptr<ListCall> call_;  // the last one; none while it rests
+  // One that was followed by others without having been answered. It asks for the whole list, and none is
+  // held while it is there: whichever call is answered first is the list.
+  std::unique_ptr<ListCall> earlier_;
   bool well_ = true, heard_ = false;
-  int status_ = 0;
-  std::string text_;
 };
 
 }  // namespace lemonroute::discovery
