--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -1,6 +1,5 @@
 #include "cli/program.h"
 
-#include <filesystem>
 #include <optional>
 
 #include "base/log.h"
@@ -55,7 +54,7 @@
         read_again_(std::move(again)),
         loop_(loop),
         clock_(settings.peers ? settings.peers->clock_offset : Micros(0)),
-        processes_(std::filesystem::temp_directory_path(), platform.name, platform.listen),
+        processes_(ops::shared_folder(), platform.name, platform.listen),
         nodes_(make_nodes(loop_, platform, settings.grpc_nodes)),
         router_(platform.settings, platform.zones, platform.kinds, platform.seed, clock_, *nodes_),
         watch_(first_list(loop_, platform, router_)),
@@ -149,6 +148,8 @@
       return;
     draining_ = true;
     processes_.serves(false);
+    if (handover_)
+      handover_->finish();
     handover_.reset();
     const bool successor = processes_.another_serves();
     logging::info() << signal << ": draining, " << router_.open() << " requests open"
@@ -164,6 +165,7 @@
   }
   // Whoever asks about this address from now on asks the other process, which is well.
   void hand_over() {
+    handed_over_ = true;
     front_.hand_over();
     if (grpc_)
       grpc_->server.stop_accepting();
@@ -188,6 +190,12 @@
   // limits of one, so each has half of the places while two run.
   void look() {
     router_.refresh_bans();
+    // Guards against an order to end that comes before the successor is ready: what goes on here for longer
+    // than this process has, and who is turned away here, is well off there.
+    if (draining_ && !handed_over_ && platform_.socket && processes_.another_serves()) {
+      logging::info() << "another process takes the clients by now";
+      hand_over();
+    }
     const bool shares = processes_.another_runs();
     if (std::exchange(shares_, shares) != shares) {
       logging::info() << (shares ? "another process of this router runs, places are halved"
@@ -224,7 +232,7 @@
       if (watch_ && std::exchange(platform_.discovery, platform.discovery) != platform.discovery)
         watch_->move(platform.discovery);
       ++reloads_.loaded;
-    } catch (const config::ConfigError& error) {
+    } catch (const std::exception& error) {
       ++reloads_.invalid;
       logging::error() << "SIGHUP: the configuration stays as it was: " << error.what();
     }
@@ -263,7 +271,7 @@
   ops::Reloads reloads_;
   std::unique_ptr<ops::Handover> handover_;
   std::unique_ptr<ops::Management> management_;
-  bool draining_ = false, shares_ = false;
+  bool draining_ = false, handed_over_ = false, shares_ = false;
 };
 
 Program::Program(net::Loop& loop, const config::Platform& platform, const config::Operator& settings,
--- a/src/ops/handover.cpp
+++ b/src/ops/handover.cpp
@@ -130,12 +130,23 @@
   flush();
 }
 
-void Handover::receive() {
+// Danger: a stream that was sent is its sender's no more, so one left in the socket's queue would be cut when
+// the socket closes. Shut for receiving it takes no more, and still gives out what it has.
+void Handover::finish() {
+  event_.reset();
+  if (fd_ < 0)
+    return;
+  shutdown(fd_, SHUT_RD);
+  while (receive()) {
+  }
+}
+
+bool Handover::receive() {
   char text[most_text];
   Message message(text, sizeof text);
   const ssize_t size = recvmsg(fd_, &message.header, MSG_CMSG_CLOEXEC);
-  if (size < 0)
-    return;
+  if (size <= 0)
+    return false;
   Descriptors both{-1, -1};
   const cmsghdr* control = CMSG_FIRSTHDR(&message.header);
   // Guards against a process short of descriptors, which gets only the first of them: that one is closed
@@ -156,7 +167,8 @@
       for (int& fd : both)  // such a message brings none; whatever came along is closed, once
         if (fd >= 0)
           close(std::exchange(fd, -1));
-      return told_(handover_state);
+      told_(handover_state);
+      return true;
     }
     if (both[1] < 0)
       throw std::runtime_error("it brings no connections");
@@ -170,6 +182,7 @@
       if (fd >= 0)
         close(fd);
   }
+  return true;
 }
 
 }  // namespace lemonroute::ops
--- a/src/ops/handover.h
+++ b/src/ops/handover.h
@@ -21,6 +21,9 @@
   Handover(const Handover&) = delete;
   Handover& operator=(const Handover&) = delete;
 
+  // Takes what has been sent and refuses what is sent from now on, which stays with its sender.
+  void finish();
+
   // Sends a stream to whoever receives at `path`; false: nobody does, or not now. Its descriptors stay open
   // here.
   static bool send(const std::string& path, const PassedStream& stream);
@@ -28,7 +31,7 @@
   static void tell(const std::string& path, const HandoverState& handover_state);
 
  private:
-  void receive();
+  bool receive();  // false: nothing waits
   int fd_ = -1;
   Taken taken_;
   Told told_;
--- a/src/ops/processes.h
+++ b/src/ops/processes.h
@@ -5,11 +5,20 @@
 #include <cctype>
 #include <filesystem>
 #include <string>
+#include <system_error>
 
 #include "base/lock_file.h"
 
 namespace lemonroute::ops {
 
+// The folder for the files that processes of one router share: TMPDIR's, or /tmp where that is no folder,
+// which is no reason not to serve.
+inline std::filesystem::path shared_folder() {
+  std::error_code none;
+  const auto folder = std::filesystem::temp_directory_path(none);
+  return none ? std::filesystem::path("/tmp") : folder;
+}
+
 class Processes {
  public:
   // They find each other by the router's name and its clients' address, in the folder that they share.
