--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -5,6 +5,7 @@
 #include <csignal>
 
 #include "base/log.h"
+#include "cli/start.h"
 
 namespace lemonroute::cli {
 
@@ -13,6 +14,8 @@
   logging::set_level(settings.log_level);
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
+  if (!platform.socket)
+    wait_for_address(platform.listen);
   net::Loop loop;
   Program program(loop, platform, settings, std::move(reload));
   logging::info() << settings.application << ' ' << platform.name << " serves on " << platform.listen << ", "
--- a/src/cli/start.cpp
+++ b/src/cli/start.cpp
@@ -1,6 +1,13 @@
 #include "cli/start.h"
 
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <thread>
+
 #include "base/log.h"
+#include "net/connection.h"
 
 namespace lemonroute::cli {
 namespace {
@@ -9,6 +16,21 @@
 // two calls at the least are made in this time, and then the last list that the platform knows of has to do.
 constexpr std::chrono::milliseconds first_list_within{500};
 
+// The process before listens for 0.6 s after SIGTERM.
+constexpr std::chrono::milliseconds address_within{3000}, address_again{20};
+
+bool taken(const net::Endpoint& address) {
+  const int fd = socket(address.address()->sa_family, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  if (fd < 0)
+    return false;
+  const int on = 1;
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const bool in_use =
+      bind(fd, address.address(), static_cast<socklen_t>(address.length())) != 0 && errno == EADDRINUSE;
+  close(fd);
+  return in_use;
+}
+
 std::string joined(const std::vector<std::string>& keys) {
   std::string text;
   for (const auto& key : keys)
@@ -29,6 +51,15 @@
   pthread_sigmask(SIG_SETMASK, &before_, nullptr);
 }
 
+void wait_for_address(const std::string& address) {
+  const net::Endpoint at(address);
+  const auto until = std::chrono::steady_clock::now() + address_within;
+  if (taken(at))
+    logging::warn() << address << " is taken, it may be by a process that ends";
+  while (taken(at) && std::chrono::steady_clock::now() < until)
+    std::this_thread::sleep_for(address_again);
+}
+
 discovery::Lists lists_of(const Settings& settings) {
   return settings.discovery_on_request ? discovery::Lists::asked : discovery::Lists::pushed;
 }
--- a/src/cli/start.h
+++ b/src/cli/start.h
@@ -22,6 +22,10 @@
   sigset_t before_;
 };
 
+// Returns once `address` can be listened on, or after a while in which it can't. Guards a start that overlaps
+// the end of the process before, which goes on listening for what is still on its way.
+void wait_for_address(const std::string& address);
+
 // The list that the router serves from. What the agent has counts as told from the first moment of a process,
 // so `known` alone would have it send to nodes that have long been draining: no client is taken before the
 // first list has come, or half a second has passed without one. None where the nodes are fixed.
