--- a/src/expect/read/requests.cpp
+++ b/src/expect/read/requests.cpp
@@ -22,7 +22,8 @@
     return std::nullopt;
   Ask ask;
   read_class(*in, ask.cls);
-  ask.name = "q" + std::to_string(asked_.size() + 1);
+  ask.name = "q";
+  ask.name += std::to_string(asked_.size() + 1);
   in->text("name", ask.name);
   if (!asked_.insert(ask.name).second)
     in->fault("name", "'" + ask.name + "' is asked for twice");
