--- a/src/expect/read/requests.cpp
+++ b/src/expect/read/requests.cpp
@@ -22,7 +22,7 @@
     return std::nullopt;
   Ask ask;
   read_class(*in, ask.cls);
-  ask.name = "q";
+  ask.name.assign(1, 'q');
   ask.name += std::to_string(asked_.size() + 1);
   in->text("name", ask.name);
   if (!asked_.insert(ask.name).second)
