--- a/src/core/types.h
+++ b/src/core/types.h
@@ -42,6 +42,7 @@
   std::string id;      // as the client gave it
   std::string target;  // where the client asked for it
   std::shared_ptr<const std::string> body;
+  std::string fields = {};  // further header fields for the node, each "Name: value\r\n"
 };
 
 // A client's request.
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -53,8 +53,9 @@
     set_up();
     std::ostringstream head;
     head << "POST " << prompt.target << " HTTP/1.1\r\nHost: " << node.address << "\r\nReq-Id: " << prompt.id
-         << "\r\nReq-Deadline: " << seconds_text(within)
-         << "\r\nContent-Type: application/json\r\nContent-Length: " << prompt.body->size() << "\r\n\r\n";
+         << "\r\nReq-Deadline: " << seconds_text(within) << "\r\n"
+         << prompt.fields << "Content-Type: application/json\r\nContent-Length: " << prompt.body->size()
+         << "\r\n\r\n";
     exchange_ = client.start(node.address, head.str(), prompt.body, *this);
   }
   // Goes on with a stream that another process began, after one of its events.
--- a/src/http/request_fields.cpp
+++ b/src/http/request_fields.cpp
@@ -36,6 +36,55 @@
   return true;
 }
 
+// Fields that end here: those of one connection, the framing's, and those that are read or written by the
+// router.
+constexpr std::string_view not_passed_on[] = {"Connection",
+                                              "Content-Length",
+                                              "Content-Type",
+                                              "Expect",
+                                              "Host",
+                                              "Keep-Alive",
+                                              "Proxy-Connection",
+                                              "Proxy-Authenticate",
+                                              "Proxy-Authorization",
+                                              "Req-Deadline",
+                                              "Req-Extra",
+                                              "Req-Id",
+                                              "Req-Key",
+                                              "Req-Kind",
+                                              "Req-Owner",
+                                              "Req-Retry",
+                                              "TE",
+                                              "Trailer",
+                                              "Transfer-Encoding",
+                                              "Upgrade"};
+
+// Whether the client's Connection field names this one, which then ends here as well.
+bool of_connection(const Head& head, std::string_view name) {
+  std::string_view listed = head.field("Connection");
+  while (!listed.empty()) {
+    const auto comma = listed.find(',');
+    if (same_name(trim(listed.substr(0, comma)), name))
+      return true;
+    listed.remove_prefix(comma == std::string_view::npos ? listed.size() : comma + 1);
+  }
+  return false;
+}
+
+// What a client says beside what the router understands is the node's to read, such as the key by which a
+// node knows a repeat of a request.
+std::string fields_for_node(const Head& head) {
+  std::string fields;
+  for (const Field& field : head.all()) {
+    const bool ends_here = std::any_of(std::begin(not_passed_on), std::end(not_passed_on),
+                                       [&](std::string_view name) { return same_name(name, field.name); });
+    if (ends_here || of_connection(head, field.name))
+      continue;
+    fields.append(field.name).append(": ").append(field.value).append("\r\n");
+  }
+  return fields;
+}
+
 }  // namespace
 
 int answer_of(const Head& head, bool draining, ClientRequest& client_request) {
@@ -51,6 +100,7 @@
   client_request = {};
   client_request.prompt.id = head.field("Req-Id");
   client_request.prompt.target = head.target;
+  client_request.prompt.fields = fields_for_node(head);
   if (!valid_id(client_request.prompt.id))
     return 400;
   client_request.kind = head.field("Req-Kind");
