--- a/tests/crossings/http/stream_play.h
+++ b/tests/crossings/http/stream_play.h
@@ -57,12 +57,14 @@
     return all;
   }
   const std::vector<Stream>& streams() const { return streams_; }
+  // Of the peers' thread: so much of a delay may be theirs.
+  std::chrono::microseconds longest_round() const { return longest_round_; }
 
  private:
   struct Peer {
     int fd;
     std::size_t stream = 0;
-    std::string input, output;
+    std::string input{}, output{};
     bool streams = false, done = false;
     SteadyTime next{};
   };
@@ -88,6 +90,7 @@
     for (std::size_t i = 0; i < streams_.size(); ++i)
       connect_client(port, i);
     while (!stop_) {
+      const SteadyTime began = std::chrono::steady_clock::now();
       wait();
       for (const Door* door : {&reader_, &writer_})
         while (readable(door->fd))
@@ -98,6 +101,8 @@
         read_events(client);
       over_ = std::all_of(streams_.begin(), streams_.end(),
                           [](const Stream& one) { return one.slow || one.ended; });
+      longest_round_ = std::max(longest_round_, std::chrono::duration_cast<std::chrono::microseconds>(
+                                                    std::chrono::steady_clock::now() - began));
     }
     for (const auto* peers : {&nodes_, &clients_})
       for (const Peer& peer : *peers)
@@ -195,6 +200,7 @@
   Door reader_{256}, writer_{256};
   std::vector<Peer> nodes_, clients_;
   std::map<std::size_t, int> begun_;  // attempts, by stream
+  std::chrono::microseconds longest_round_{0};
   std::atomic<bool> over_{false}, stop_{false};
   net::Loop loop_;
   http::NodeClient node_client_{loop_, http::ClientLimits{}};
