--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -253,7 +253,7 @@
   connection.rest();
   // Guards the process's descriptors: what rests here is what clients and calls can't have. The one at rest
   // the longest is the least missed.
-  if (idle_.size() > limits_.idle_most)
+  while (idle_.size() > limits_.idle_most)
     discard(*idle_.longest());
 }
 
--- a/src/http/client_ending.cpp
+++ b/src/http/client_ending.cpp
@@ -18,9 +18,11 @@
   if (leaving())
     return close();
   front_.loop_.tally().note(net::Overdone::dismissed);
-  if (!in_request_)
+  const bool asked_again =
+      evbuffer_get_length(connection_.input()) > 0;  // behind an answer that has just ended
+  if (!in_request_ && !asked_again)
     return half_close();
-  keep_ = false;
+  keep_ = whole_ = false;
   answer(503, "Retry-After: 0.1\r\n");
   connection_.push();
   if (state_ != State::ending)
--- a/tests/crossings/http/client_test.cpp
+++ b/tests/crossings/http/client_test.cpp
@@ -161,6 +161,26 @@
   }
 }
 
+// Its first answer is whole and the request behind it is here, not looked at yet, as a descriptor is wanted:
+// it hears that this one is not taken.
+TEST_F(ClientCrossing, IsDismissedBetweenAnAnswerAndTheRequestBehind) {
+  Plug client = door.client();
+  reads(client, "q1");
+  door.done(Outcome::read);
+  door.last().event("one");
+  client.send(Door::request("q2"));
+  door.settle();
+  door.done(Outcome::ok);
+  door.loop.reserve().run_short();
+  door.settle();
+  EXPECT_EQ(door.sent(), 2u);
+  const std::string got = client.read();
+  EXPECT_NE(got.find("\r\n0\r\n\r\nHTTP/1.1 503 "), std::string::npos) << got;
+  EXPECT_NE(got.find("Retry-After: "), std::string::npos);
+  EXPECT_TRUE(client.ended);
+  EXPECT_EQ(client.error, 0);
+}
+
 // ---- a node's answer that breaks off ----
 
 // Whichever comes first, the client's connection ends without the last chunk, and nothing stays.
--- a/tests/crossings/http/reuse_test.cpp
+++ b/tests/crossings/http/reuse_test.cpp
@@ -229,6 +229,34 @@
   EXPECT_EQ(hear(b).text, request);
 }
 
+// Where fewer may rest than do, they go as the next one comes to rest, the longest at rest first.
+TEST(Reuse, ALowerBoundIsKeptAtTheNextRest) {
+  constexpr auto idle = 60s;  // longer than this test waits
+  Bed bed;
+  std::list<Answer> answers;
+  std::vector<std::unique_ptr<http::Exchange>> exchanges;
+  std::vector<int> nodes;
+  for (int i = 0; i < 4; ++i) {
+    exchanges.push_back(bed.client.start(bed.door.address, request, {}, answers.emplace_back()));
+    nodes.push_back(bed.accepts());
+  }
+  bed.client.limit(250ms, idle, 3);
+  auto answer = answers.begin();
+  for (const int node : nodes) {
+    if (node == nodes.back())
+      bed.client.limit(250ms, idle, 1);
+    EXPECT_TRUE(until(bed.loop, [&] { return hear(node).text == request; }));
+    say(node, plain_answer);
+    ASSERT_TRUE(until(bed.loop, [&] { return answer->over(); }));
+    ++answer;
+  }
+  for (const int node : {nodes[0], nodes[1], nodes[2]})
+    EXPECT_TRUE(until(bed.loop, [&] { return hear(node).ended; }));
+  Answer next;
+  bed.ask(next);
+  EXPECT_EQ(hear(nodes[3]).text, request);
+}
+
 // ---- given up ----
 
 // Half an answer lies unread as the exchange is let go of: the close resets the connection, and nothing of
