--- a/src/http/client_ending.cpp
+++ b/src/http/client_ending.cpp
@@ -18,9 +18,11 @@
   if (leaving())
     return close();
   front_.loop_.tally().note(net::Overdone::dismissed);
-  if (!in_request_)
+  const bool asked_again =
+      evbuffer_get_length(connection_.input()) > 0;  // behind an answer that has just ended
+  if (!in_request_ && !asked_again)
     return half_close();
-  keep_ = false;
+  keep_ = whole_ = false;
   answer(503, "Retry-After: 0.1\r\n");
   connection_.push();
   if (state_ != State::ending)
@@ -74,10 +76,11 @@
 }
 
 // Guards the end of an answer that a slow client's kernel has not had yet: a close over bytes unread resets
-// the connection and takes it along. The client has as long for it as for any part of an answer.
+// the connection and takes it along. The client has as long for it as for any part of an answer. With nothing
+// unread the kernel goes on sending after a close.
 bool ClientConnection::leaves_on() {
   left_for_ += linger_for;
-  if (left_for_ >= front_.options_.sending || !connection_.unacknowledged())
+  if (left_for_ >= front_.options_.sending || connection_.silent() || !connection_.unacknowledged())
     return false;
   timer_.start(linger_for);
   return true;
--- a/tests/crossings/http/stream_play.h
+++ b/tests/crossings/http/stream_play.h
@@ -48,6 +48,7 @@
     const bool all = until(
         loop_,
         [&] {
+          note_round();
           core_.run_due();
           return over_.load();
         },
@@ -57,12 +58,18 @@
     return all;
   }
   const std::vector<Stream>& streams() const { return streams_; }
+  // Of the router's loop, which waits for 1 ms at the most: by the wall clock, and how long its thread ran in
+  // it. What is missing it waited for a processor.
+  std::chrono::microseconds longest_router_round() const { return longest_router_round_; }
+  std::chrono::microseconds ran_in_it() const { return ran_in_it_; }
+  // Of the peers' thread: so much of a delay may be theirs.
+  std::chrono::microseconds longest_round() const { return longest_round_; }
 
  private:
   struct Peer {
     int fd;
     std::size_t stream = 0;
-    std::string input, output;
+    std::string input{}, output{};
     bool streams = false, done = false;
     SteadyTime next{};
   };
@@ -76,6 +83,19 @@
     s.max_attempts = 6;
     return s;
   }
+  void note_round() {
+    timespec cpu{};
+    clock_gettime(CLOCK_THREAD_CPUTIME_ID, &cpu);
+    const std::chrono::microseconds ran(cpu.tv_sec * 1'000'000 + cpu.tv_nsec / 1000);
+    const SteadyTime now = std::chrono::steady_clock::now();
+    const auto took = std::chrono::duration_cast<std::chrono::microseconds>(now - round_began_);
+    if (round_began_ != SteadyTime{} && took > longest_router_round_) {
+      longest_router_round_ = took;
+      ran_in_it_ = ran - ran_before_;
+    }
+    round_began_ = now;
+    ran_before_ = ran;
+  }
   static std::string chunk(const std::string& text) {
     std::ostringstream out;
     out << std::hex << text.size() << "\r\n" << text << "\r\n";
@@ -88,6 +108,7 @@
     for (std::size_t i = 0; i < streams_.size(); ++i)
       connect_client(port, i);
     while (!stop_) {
+      const SteadyTime began = std::chrono::steady_clock::now();
       wait();
       for (const Door* door : {&reader_, &writer_})
         while (readable(door->fd))
@@ -98,6 +119,8 @@
         read_events(client);
       over_ = std::all_of(streams_.begin(), streams_.end(),
                           [](const Stream& one) { return one.slow || one.ended; });
+      longest_round_ = std::max(longest_round_, std::chrono::duration_cast<std::chrono::microseconds>(
+                                                    std::chrono::steady_clock::now() - began));
     }
     for (const auto* peers : {&nodes_, &clients_})
       for (const Peer& peer : *peers)
@@ -195,6 +218,8 @@
   Door reader_{256}, writer_{256};
   std::vector<Peer> nodes_, clients_;
   std::map<std::size_t, int> begun_;  // attempts, by stream
+  SteadyTime round_began_{};
+  std::chrono::microseconds longest_round_{0}, longest_router_round_{0}, ran_in_it_{0}, ran_before_{0};
   std::atomic<bool> over_{false}, stop_{false};
   net::Loop loop_;
   http::NodeClient node_client_{loop_, http::ClientLimits{}};
