--- a/src/core/router.h
+++ b/src/core/router.h
@@ -139,10 +139,13 @@
   const Node* asked_to_release(const PendingRelease& released) const;
   const Node* holder_to_ask(const PendingRelease& released) const;
   const Node* other_to_ask(const PendingRelease& released) const;
+  bool asks_others_too(const PendingRelease& released) const;
   bool doubtful(HostId host) const;
   bool answered_since(HostId host, Micros since) const;
   Micros release_step(const PendingRelease& released) const;
   Micros release_time() const;
+  Micros release_patience() const;
+  void close_unanswered(PendingRelease& released);
   Ordered order(const std::string& node, bool out);
   bool lay_over(Node& node);
   void lay_again();
--- a/src/core/router/parts.h
+++ b/src/core/router/parts.h
@@ -86,6 +86,7 @@
   struct Open {  // a call under way
     std::uint64_t number = 0;
     HostId host = 0;
+    Micros at{};
     std::unique_ptr<Call> call;
   };
   RequestId request = 0;
--- a/src/core/router/release_targets.cpp
+++ b/src/core/router/release_targets.cpp
@@ -11,9 +11,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t release_round = 4;   // of so many calls one asks the holder
-constexpr Micros::rep steps = 8;           // calls that start within the settings' time
-constexpr Micros usual_time = seconds(1);  // where the settings give none
+constexpr std::size_t release_round = 4;    // of so many calls one asks the holder
+constexpr Micros::rep most_open = 3;        // calls under way for one state
+constexpr Micros::rep steps = 8;            // calls that start within the settings' time
+constexpr Micros::rep others_told_for = 8;  // of the settings' times, once one of them has taken the call
+constexpr Micros usual_time = seconds(1);   // where the settings give none
 constexpr Micros longest_step = seconds(1);
 constexpr Micros answered_lately = seconds(1);
 
@@ -23,18 +25,29 @@
   return settings_.release_within > Micros(0) ? settings_.release_within : usual_time;
 }
 
+// What a node that is reached needs at most, while there is time to ask others.
+Micros Router::release_patience() const {
+  return release_time() * most_open / steps;
+}
+
 // So many calls start within the settings' time, sooner after one to a holder that has failed last. Once that
 // time is over, or only a holder that hangs has still to be told, they become slower.
 Micros Router::release_step(const PendingRelease& released) const {
   const Micros step = release_time() / steps;
   if (released.arrived)
-    return std::min(release_time() / 2, longest_step);
+    return std::min(release_time() / (asks_others_too(released) ? 4 : 2), longest_step);
   if (released.tries <= 1 && doubtful(released.holders.front().host))
     return step / 2;
   const auto times = (clock_.now() - released.since) / release_time();
   return std::min(step * (1 + times), std::max(step, longest_step));
 }
 
+// A holder that hangs may go on for a moment and be cut off again, with its read ended: so for a while the
+// others go on being told in turn with it.
+bool Router::asks_others_too(const PendingRelease& released) const {
+  return clock_.now() - released.since < release_time() * others_told_for;
+}
+
 bool Router::doubtful(HostId host) const {
   const auto found = liveness_.find(host);
   return found != liveness_.end() && found->second.failed > Micros(0) &&
@@ -52,7 +65,9 @@
 // may still end are asked.
 const Node* Router::asked_to_release(const PendingRelease& released) const {
   const Node* holder = holder_to_ask(released);
-  if (released.arrived || (holder && released.tries % release_round == 0))
+  if (released.arrived && (released.tries % 2 == 0 || !asks_others_too(released)))
+    return holder;
+  if (!released.arrived && holder && released.tries % release_round == 0)
     return holder;
   const Node* other = other_to_ask(released);
   return other ? other : holder;
--- a/src/core/router/releases.cpp
+++ b/src/core/router/releases.cpp
@@ -94,7 +94,19 @@
     std::erase_if(released.holders, [&](const auto& one) { return one.host == entry->held.host; });
 }
 
+// Guards against a machine that has vanished with the connection open: the call never arrives and nothing
+// tells so, while the state goes on being held there or the program waits to end.
+void Router::close_unanswered(PendingRelease& released) {
+  std::erase_if(released.open, [&](const PendingRelease::Open& open) {
+    const bool unanswered = clock_.now() - open.at >= release_patience();
+    if (unanswered)
+      note_failed(open.host);
+    return unanswered;
+  });
+}
+
 void Router::try_release(PendingRelease& released) {
+  close_unanswered(released);
   forget_ended_holders(released);
   if (released.holders.empty())
     return drop_release(released);
@@ -135,16 +147,12 @@
 }
 
 void Router::ask_to_release(PendingRelease& released, const Node& node) {
-  // Guards against a machine that has vanished with the connection open: the call never arrives and nothing
-  // tells so, while the state goes on being held there or the program waits to end.
-  if (released.open.size() >= most_open) {
-    note_failed(released.open.front().host);
+  if (released.open.size() >= most_open)
     released.open.erase(released.open.begin());
-  }
   ++released.tries;
   ++released.asked[node.id];
   const std::uint64_t number = next_release_call_++;
-  released.open.push_back({number, node.id, nullptr});
+  released.open.push_back({number, node.id, clock_.now(), nullptr});
   auto call =
       nodes_.release(node, released.id, [this, number](bool arrived) { release_answered(number, arrived); });
   released.open.back().call = std::move(call);
--- /dev/null
+++ b/tests/crossings/core/crossings_test.cpp
@@ -0,0 +1,330 @@
+// Two events that cross in the core, each order forced on a clock of the test's. Held state: held_test.cpp.
+#include <gtest/gtest.h>
+
+#include "base/log.h"
+#include "net/core_bed.h"
+
+namespace lemonroute::test {
+namespace {
+
+// Attempts of the test's that are unsent until it says otherwise, with the time that their node is told.
+struct WireNodes : TestNodes {
+  struct WireCall : NoteCall {
+    WireCall(std::function<void()> over, const bool& unsent) : NoteCall(std::move(over)), unsent_(unsent) {}
+    bool unsent() const override { return unsent_; }
+    const bool& unsent_;
+  };
+  std::unique_ptr<Call> begin(const Node& node, const Prompt&, Micros within, Attempt& attempt) override {
+    told.push_back(within);
+    begun.push_back({node.id, &attempt, true});
+    return std::make_unique<WireCall>([this, i = begun.size() - 1] { begun[i].open = false; }, unsent);
+  }
+  bool unsent = false;  // those that are out
+  std::vector<Micros> told;
+};
+
+struct Crossing : ::testing::Test {
+  Crossing() { logging::set_level(logging::Level::error); }
+  static Settings limits(Effect effect = Effect::safe, Micros window = 1s) {
+    Settings s = settings();
+    s.release_within = 1s;
+    s.drain_grace = 500ms;
+    s.classes[0].effect = effect;
+    s.classes[0].window = window;
+    return s;
+  }
+  void start(Settings with, std::vector<std::string> names = {"r", "r2", "w", "w2"}) {
+    core.reset();
+    nodes = {};
+    client = {};
+    limit = with;
+    core.emplace(with, zones, kinds, 1, clock, nodes);
+    std::vector<Router::Listed> list;
+    for (const auto& name : names)
+      list.push_back(Bed::node(name));
+    core->update(ListKind::full, 1, list);
+    take("q");
+  }
+  void take(const std::string& name) {
+    ClientRequest request;
+    request.prompt = {name, "/", std::make_shared<std::string>("{}")};
+    request.kind = "k";
+    request.prompt_tokens = 100;
+    ASSERT_EQ(core->take(request, client, id), Router::Taken::yes);
+  }
+  void retune(Settings with) { core->retune(with, zones, kinds); }
+  void done(Outcome outcome, std::uint32_t kept = 0) {
+    nodes.begun.back().attempt->done({outcome, kept, {}, {}});
+  }
+  void pass(Micros span) {
+    clock.at += span;
+    core->run_due();
+  }
+  std::size_t open() const {
+    return static_cast<std::size_t>(
+        std::count_if(nodes.begun.begin(), nodes.begun.end(), [](const auto& one) { return one.open; }));
+  }
+  std::string at() const { return core->name_of(nodes.begun.back().host); }
+  // Nothing is sent and nobody is told anything any more.
+  void expect_quiet(std::size_t begun, int answers) {
+    for (int i = 0; i < 80; ++i)
+      pass(100ms);
+    EXPECT_EQ(nodes.begun.size(), begun);
+    EXPECT_EQ(client.answers, answers);
+  }
+
+  const std::vector<std::string> zones{"a"}, kinds{"r", "w"};
+  TestClock clock;
+  WireNodes nodes;
+  TestClient client;
+  Settings limit;
+  std::optional<Router> core;
+  RequestId id = 0;
+};
+
+// ---- client gone x ... ----
+
+TEST_F(Crossing, ClientGoneAndConnectionUp) {
+  for (const bool cancels : {true, false})
+    for (const bool gone_first : {true, false}) {
+      Settings with = limits();
+      with.may_cancel = cancels;
+      start(with);
+      nodes.unsent = gone_first;
+      core->gone(id);
+      EXPECT_EQ(nodes.begun[0].open, !gone_first && !cancels);
+      if (nodes.begun[0].open)
+        done(Outcome::read);  // what it has read is let go of at once
+      EXPECT_EQ(nodes.released.size(), gone_first ? 0u : 1u);
+      expect_quiet(1, 0);
+    }
+}
+
+TEST_F(Crossing, ClientGoneAndReadDone) {
+  for (const bool gone_first : {true, false}) {
+    Settings with = limits();
+    with.may_cancel = false;
+    start(with);
+    if (gone_first)
+      core->gone(id);
+    done(Outcome::read);
+    if (!gone_first) {
+      nodes.unsent = true;
+      core->gone(id);
+    }
+    EXPECT_EQ(open(), 0u);
+    ASSERT_EQ(nodes.released.size(), 1u);
+    EXPECT_EQ(nodes.released[0].first, nodes.begun[0].host);
+    expect_quiet(gone_first ? 1 : 2, 0);
+  }
+}
+
+TEST_F(Crossing, ClientGoneAndRetryTimer) {
+  for (const bool gone_first : {true, false}) {
+    start(limits());
+    // The read becomes overdue some time; the attempt after it is begun in the same moment.
+    if (gone_first)
+      core->gone(id);
+    for (int i = 0; i < 50 && nodes.begun.size() < 2; ++i)
+      pass(100ms);
+    ASSERT_EQ(nodes.begun.size(), gone_first ? 1u : 2u);
+    if (!gone_first)
+      core->gone(id);
+    EXPECT_EQ(open(), 0u);
+    expect_quiet(gone_first ? 1 : 2, 0);
+  }
+}
+
+TEST_F(Crossing, ClientGoneAndLastByteOfTheAnswer) {
+  for (const bool gone_first : {true, false}) {
+    start(limits());
+    done(Outcome::read);
+    nodes.begun.back().attempt->event("a");
+    if (gone_first)
+      core->gone(id);
+    else
+      done(Outcome::ok);
+    core->gone(id);  // the close that follows the answer
+    EXPECT_EQ(client.seen, gone_first ? "a" : "a|end");
+    EXPECT_TRUE(core->idle());
+    expect_quiet(2, gone_first ? 0 : 1);
+  }
+}
+
+// ---- retry x ... ----
+
+// The terms are those with which the request was taken, whichever comes first.
+TEST_F(Crossing, RetryAndAShorterWindow) {
+  for (const bool settings_first : {true, false}) {
+    start(limits(Effect::keyed, 1s));
+    done(Outcome::read);
+    pass(300ms);
+    if (settings_first)
+      retune(limits(Effect::keyed, 200ms));
+    done(Outcome::error);
+    if (!settings_first)
+      retune(limits(Effect::keyed, 200ms));
+    ASSERT_EQ(nodes.begun.size(), 3u);
+    EXPECT_EQ(open(), 1u);
+  }
+  // One that is taken later has the new ones.
+  start(limits(Effect::keyed, 1s));
+  core->gone(id);
+  retune(limits(Effect::keyed, 200ms));
+  take("later");
+  done(Outcome::read);
+  pass(300ms);
+  const std::size_t begun = nodes.begun.size();
+  done(Outcome::error);
+  EXPECT_EQ(client.answers, 1);
+  EXPECT_EQ(nodes.begun.size(), begun);
+}
+
+TEST_F(Crossing, RetryAndAnotherEffect) {
+  for (const bool settings_first : {true, false})
+    for (const bool becomes_safe : {true, false}) {
+      start(limits(becomes_safe ? Effect::unsafe : Effect::safe));
+      const Settings later = limits(becomes_safe ? Effect::safe : Effect::unsafe);
+      done(Outcome::read);
+      if (settings_first)
+        retune(later);
+      done(Outcome::error);  // it may have run
+      if (!settings_first)
+        retune(later);
+      EXPECT_EQ(nodes.begun.size(), becomes_safe ? 2u : 3u);
+      EXPECT_EQ(client.answers, becomes_safe ? 1 : 0);
+    }
+}
+
+TEST_F(Crossing, RetryAndDeadline) {
+  for (const bool deadline_first : {true, false}) {
+    start(limits());
+    done(Outcome::read);
+    const std::size_t begun = nodes.begun.size();
+    clock.at += 6s - (deadline_first ? 0us : 1us);
+    if (deadline_first)
+      core->run_due();
+    else
+      done(Outcome::error);
+    EXPECT_LE(nodes.begun.size(), begun + 1);
+    if (!deadline_first)
+      pass(1us);
+    EXPECT_EQ(client.answers, 1);
+    EXPECT_EQ(open(), 0u);
+    EXPECT_FALSE(nodes.released.empty());
+    expect_quiet(nodes.begun.size(), 1);
+  }
+}
+
+TEST_F(Crossing, RetryAndNodeLeaving) {
+  for (const bool list_first : {true, false}) {
+    start(limits(), {"r", "w", "w2"});
+    done(Outcome::read);
+    const std::string first = at(), other = first == "w" ? "w2" : "w";
+    if (list_first)
+      core->update(ListKind::delta, 2, {Bed::node(other, Phase::draining)});
+    nodes.unsent = true;
+    done(Outcome::error);
+    if (list_first) {
+      for (std::size_t i = 2; i < nodes.begun.size(); ++i)
+        EXPECT_NE(core->name_of(nodes.begun[i].host), other);
+      continue;
+    }
+    ASSERT_EQ(nodes.begun.size(), 3u);
+    ASSERT_EQ(at(), other);
+    core->update(ListKind::delta, 2, {Bed::node(other, Phase::draining)});
+    pass(249ms);
+    EXPECT_TRUE(nodes.begun[2].open);
+    pass(1ms);
+    EXPECT_FALSE(nodes.begun[2].open);  // half of the grace is left to the wire
+  }
+}
+
+// Its node starts anew at the same address while the state waits there: it is gone with the old process.
+TEST_F(Crossing, RetryAndNodeRestarted) {
+  for (const bool list_first : {true, false}) {
+    start(limits(), {"r", "w", "w2"});
+    done(Outcome::read);
+    auto again = Bed::node("r");
+    again.started = clock.at + 1ms;
+    clock.at += 10ms;
+    if (list_first)
+      core->update(ListKind::delta, 2, {again});
+    done(Outcome::full, 1);  // the decode node finds no state, and the prompt is read anew
+    if (!list_first)
+      core->update(ListKind::delta, 2, {again});
+    EXPECT_EQ(nodes.released.size(), list_first ? 0u : 1u);
+    ASSERT_EQ(nodes.begun.size(), 3u);
+    EXPECT_EQ(at(), "r");
+    EXPECT_EQ(client.answers, 0);
+  }
+}
+
+// ---- the process ends, or another one goes on ----
+
+TEST_F(Crossing, EndOfWaitsAndAnAttempt) {
+  enum class Stage { connecting, sent, streaming };
+  for (const Stage stage : {Stage::connecting, Stage::sent, Stage::streaming})
+    for (const bool end_first : {true, false}) {
+      start(limits(), {"r", "w"});
+      done(Outcome::read);
+      const auto reach = [&] {
+        nodes.unsent = stage == Stage::connecting;
+        if (stage == Stage::streaming)
+          nodes.begun.back().attempt->event("a");
+      };
+      if (!end_first)
+        reach();
+      core->end_waits(clock.at + 300ms);
+      if (end_first)
+        reach();
+      pass(300ms);
+      EXPECT_EQ(client.answers, stage == Stage::streaming ? 0 : 1);
+      EXPECT_EQ(open(), stage == Stage::streaming ? 1u : 0u);
+      EXPECT_EQ(nodes.released.size(), stage == Stage::streaming ? 0u : 1u);
+      // Nobody takes the release: it does not outlast the process.
+      pass(300ms), pass(300ms);
+      EXPECT_EQ(core->idle(), stage != Stage::streaming);
+    }
+}
+
+TEST_F(Crossing, AdoptedStreamAndItsEnds) {
+  for (const bool gone_first : {true, false}) {
+    start(limits(), {"r", "w"});
+    core->gone(id);
+    const std::size_t begun = nodes.begun.size();
+    TestClient given;
+    RequestId adopted = 0;
+    ASSERT_TRUE(core->adopt({"s", "k", "w", 1, {}, {}}, given, adopted));
+    RequestId again = 0;
+    EXPECT_FALSE(core->adopt({"s", "k", "w", 1, {}, {}}, given, again));  // open here by now
+    core->end_waits(clock.at + 100ms);
+    pass(200ms);
+    EXPECT_TRUE(nodes.begun.back().open);  // a stream is left alone
+    if (gone_first)
+      core->gone(adopted);
+    else
+      done(Outcome::ok);
+    core->gone(adopted);
+    EXPECT_EQ(given.answers, gone_first ? 0 : 1);
+    EXPECT_EQ(open(), 0u);
+    EXPECT_EQ(nodes.begun.size(), begun + 1);
+  }
+}
+
+// ---- what a node is told of the time ----
+
+TEST_F(Crossing, NoAttemptIsToldMoreThanTheClientHasLeft) {
+  start(limits());
+  const Micros deadline = clock.at + 6s;
+  for (std::size_t seen = 0; client.answers == 0;) {
+    for (; seen < nodes.told.size(); ++seen)
+      EXPECT_LE(clock.at + nodes.told[seen], deadline) << "attempt " << seen;
+    clock.at += 700ms;
+    done(Outcome::error);
+  }
+  EXPECT_GE(nodes.told.size(), 2u);
+}
+
+}  // namespace
+}  // namespace lemonroute::test
