--- a/tests/crossings/process/shutdown_test.cpp
+++ b/tests/crossings/process/shutdown_test.cpp
@@ -21,6 +21,10 @@
   void serve_at_node(Socket& at_node, const std::string& event) {
     at_node.send(stream_head + stream_event(event) + stream_end);
   }
+  void serve_next(const std::string& event) {
+    Socket at_node = next_at_node();
+    serve_at_node(at_node, event);
+  }
   // Answered with a whole stream whose connection ends behind it.
   void expect_served(Socket& client, const std::string& event) {
     EXPECT_TRUE(until([&] { return client.ended(); }));
@@ -43,13 +47,11 @@
   before.send(request("before"));
   program->drain();
   after.send(request("after"));
-  for (const char* event : {"one", "other"}) {
-    Socket at_node = next_at_node();
-    serve_at_node(at_node, event);
-  }
+  for (const char* event : {"one", "other"})
+    serve_next(event);
   EXPECT_TRUE(until([&] { return before.ended() && after.ended(); }));
-  for (Socket* client : {&before, &after})
-    EXPECT_TRUE(client->has("0\r\n\r\n") && client->has("Connection: close")) << client->text();
+  EXPECT_TRUE(before.has("0\r\n\r\n") && before.has("Connection: close")) << before.text();
+  EXPECT_TRUE(after.has("0\r\n\r\n") && after.has("Connection: close")) << after.text();
 }
 
 TEST_F(Shutdown, TakesARequestInPieces) {
@@ -62,8 +64,7 @@
   client.send(text.substr(30, 60));
   run(window_over);
   client.send(text.substr(90));
-  Socket at_node = next_at_node();
-  serve_at_node(at_node, "late");
+  serve_next("late");
   expect_served(client, "late");
 }
 
@@ -99,8 +100,7 @@
   Socket asks = resting(), rests = resting();
   program->drain();
   asks.send(request("asks"));
-  Socket at_node = next_at_node();
-  serve_at_node(at_node, "served");
+  serve_next("served");
   expect_served(asks, "served");
   EXPECT_TRUE(until([&] { return rests.ended(); }));
   const std::string answers = rests.text();
@@ -124,10 +124,8 @@
   program->drain();
   Socket after = ask("after");
   std::this_thread::sleep_for(window_over);
-  for (int i = 0; i < 3; ++i) {
-    Socket at_node = next_at_node();
-    serve_at_node(at_node, "taken");
-  }
+  for (int i = 0; i < 3; ++i)
+    serve_next("taken");
   expect_served(before, "taken");
   expect_served(after, "taken");
   expect_served(last, "taken");
@@ -260,11 +258,7 @@
   EXPECT_TRUE(until([&] { return waits.ended(); }));
   EXPECT_TRUE(waits.has(refused) && waits.has("Connection: close")) << waits.text();
   EXPECT_FALSE(node.accept().open());
-  net::Timer bound(loop, [this] { loop.stop(); });
-  const auto begun = Wall::now();
-  bound.start(comes_within);
-  loop.run();
-  EXPECT_LT(Wall::now() - begun, comes_within / 2);  // it has ended by itself
+  EXPECT_TRUE(until([&] { return event_base_got_break(loop.base()) != 0; }));  // it has ended by itself
 }
 
 INSTANTIATE_TEST_SUITE_P(Orders, Reloaded,
