--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -12,7 +12,7 @@
 #include <random>
 #include <vector>
 
-#include "pools/rider/planning.h"
+#include "pools/extension/planning.h"
 
 namespace {
 
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -13,11 +13,11 @@
 // to make.
 constexpr milliseconds look_again{100}, text_per_member{1};
 
-std::vector<peers::Rider*> riders_of(const std::vector<Guest>& guests) {
-  std::vector<peers::Rider*> riders;
+std::vector<peers::Extension*> extensions_of(const std::vector<Guest>& guests) {
+  std::vector<peers::Extension*> extensions;
   for (const auto& guest : guests)
-    riders.push_back(guest.rider.get());
-  return riders;
+    extensions.push_back(guest.extension.get());
+  return extensions;
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
       told_(told_at_most),
       take_(loop, [this] { take(); }),
       siblings_(options.siblings),
-      service_(std::make_unique<peers::Service>(std::move(options.service), clock, riders_of(guests_),
+      service_(std::make_unique<peers::Service>(std::move(options.service), clock, extensions_of(guests_),
                                                 static_cast<peers::Service::Desk&>(*this))) {
   for (const auto& guest : guests_)
     if (guest.observer)
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -1,5 +1,5 @@
-// What puts the peers' service, its riders and the serving loop together: guides come to the one side, notes
-// go to the other, each through a bounded ring. Made and met on the serving loop.
+// What puts the peers' service, its extensions and the serving loop together: guides come to the one side,
+// notes go to the other, each through a bounded ring. Made and met on the serving loop.
 #pragma once
 
 #include <atomic>
--- a/src/guide/fleet_guide.h
+++ b/src/guide/fleet_guide.h
@@ -1,4 +1,5 @@
-// One guide out of several: how many routers there are, and what each rider has to say of nodes and prompts.
+// One guide out of several: how many routers there are, and what each extension has to say of nodes and
+// prompts.
 #pragma once
 
 #include <memory>
--- a/src/guide/guest.h
+++ b/src/guide/guest.h
@@ -1,5 +1,5 @@
-// A rider with what it gives the serving loop and wants to hear from it. Riders know neither Guide nor
-// NodeObserver: what their snapshot answers and what they hear is taken up by name.
+// An extension with what it gives the serving loop and wants to hear from it. Extensions know neither Guide
+// nor NodeObserver: what their snapshot answers and what they hear is taken up by name.
 #pragma once
 
 #include <functional>
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "core/guide.h"
-#include "peers/rider.h"
+#include "peers/extension.h"
 
 namespace lemonroute::guide {
 
 struct Guest {
-  std::unique_ptr<peers::Rider> rider;
-  std::unique_ptr<NodeObserver> observer;               // writes to the rider; null: it hears nothing
+  std::unique_ptr<peers::Extension> extension;
+  std::unique_ptr<NodeObserver> observer;               // writes to the extension; null: it hears nothing
   std::function<std::shared_ptr<const Guide>()> guide;  // its newest; another pointer where it has changed
 };
 
@@ -46,52 +46,53 @@
   std::shared_ptr<const Snapshot> of_;
 };
 
-// The NodeObserver for a rider that has any of its functions.
-template <class Rider>
+// The NodeObserver for an extension that has any of its functions.
+template <class Extension>
 class Hears final : public NodeObserver {
  public:
-  explicit Hears(Rider& rider) : rider_(rider) {}
+  explicit Hears(Extension& extension) : extension_(extension) {}
   void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
             Micros now) override {
-    if constexpr (requires(Rider & r) { r.kept(node, session, shared, tokens, shared_tokens, now); })
-      rider_.kept(node, session, shared, tokens, shared_tokens, now);
+    if constexpr (requires(Extension & r) { r.kept(node, session, shared, tokens, shared_tokens, now); })
+      extension_.kept(node, session, shared, tokens, shared_tokens, now);
   }
   void found(const Node& node, Key session, Key shared, double tokens, Micros now) override {
-    if constexpr (requires(Rider & r) { r.found(node, session, shared, tokens, now); })
-      rider_.found(node, session, shared, tokens, now);
+    if constexpr (requires(Extension & r) { r.found(node, session, shared, tokens, now); })
+      extension_.found(node, session, shared, tokens, now);
   }
   void lost(const Node& node, Micros now) override {
-    if constexpr (requires(Rider & r) { r.lost(node, now); })
-      rider_.lost(node, now);
+    if constexpr (requires(Extension & r) { r.lost(node, now); })
+      extension_.lost(node, now);
   }
   void listed(const std::vector<Node>& nodes, Micros now) override {
-    if constexpr (requires(Rider & r) { r.listed(nodes, now); })
-      rider_.listed(nodes, now);
+    if constexpr (requires(Extension & r) { r.listed(nodes, now); })
+      extension_.listed(nodes, now);
   }
   void demand(const Demand& demand, Micros now) override {
-    if constexpr (requires(Rider & r) { r.demand(demand, now); })
-      rider_.demand(demand, now);
+    if constexpr (requires(Extension & r) { r.demand(demand, now); })
+      extension_.demand(demand, now);
   }
 
  private:
-  Rider& rider_;
+  Extension& extension_;
 };
 
-// `newest`: the snapshot of a rider, a std::shared_ptr<const Snapshot> that may be null.
-template <class Rider, class Newest>
-Guest guest_of(std::unique_ptr<Rider> rider, Newest newest) {
-  using Pointer = std::invoke_result_t<Newest, const Rider&>;
+// `newest`: the snapshot of an extension, a std::shared_ptr<const Snapshot> that may be null.
+template <class Extension, class Newest>
+Guest guest_of(std::unique_ptr<Extension> extension, Newest newest) {
+  using Pointer = std::invoke_result_t<Newest, const Extension&>;
   using Snapshot = std::remove_const_t<typename Pointer::element_type>;
   Guest guest;
-  guest.observer = std::make_unique<Hears<Rider>>(*rider);
-  guest.guide = [&at = *rider, newest, last = Pointer{}, said = std::shared_ptr<const Guide>{}]() mutable {
+  guest.observer = std::make_unique<Hears<Extension>>(*extension);
+  guest.guide = [&at = *extension, newest, last = Pointer{},
+                 said = std::shared_ptr<const Guide>{}]() mutable {
     if (auto now = newest(at); now != last) {
       last = now;
       said = now ? std::make_shared<const Says<Snapshot>>(std::move(now)) : nullptr;
     }
     return said;
   };
-  guest.rider = std::move(rider);
+  guest.extension = std::move(extension);
   return guest;
 }
 
--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -19,8 +19,8 @@
     return;
   shown = members.version();
   shown_at = now;
-  for (Rider* rider : riders)
-    rider->viewed(now, members.view(now));
+  for (Extension* extension : extensions)
+    extension->viewed(now, members.view(now));
 }
 
 void Agent::Parts::say_notices() {
@@ -32,8 +32,8 @@
     : parts_(std::make_unique<Parts>(std::move(options), seed)) {}
 Agent::~Agent() = default;
 
-void Agent::add(Rider& rider) {
-  parts_->riders.push_back(&rider);
+void Agent::add(Extension& extension) {
+  parts_->extensions.push_back(&extension);
 }
 
 void Agent::start(Micros now) {
@@ -69,9 +69,9 @@
   parts.show(false);
   parts.say_notices();
   if (const auto* parcel = std::get_if<wire::Parcel>(&packet.body); parcel && member)
-    for (Rider* rider : parts.riders)
-      if (static_cast<std::uint32_t>(rider->topic()) == parcel->topic)
-        rider->receive(parts.now, packet.sender.name, parcel->content, parts);
+    for (Extension* extension : parts.extensions)
+      if (static_cast<std::uint32_t>(extension->topic()) == parcel->topic)
+        extension->receive(parts.now, packet.sender.name, parcel->content, parts);
 }
 
 void Agent::run_due(Micros now) {
@@ -82,15 +82,15 @@
   parts.members.run_due(parts.now);
   parts.show(false);
   parts.say_notices();
-  for (Rider* rider : parts.riders)
-    if (rider->next_due() <= parts.now)
-      rider->run_due(parts.now, parts);
+  for (Extension* extension : parts.extensions)
+    if (extension->next_due() <= parts.now)
+      extension->run_due(parts.now, parts);
 }
 
 Micros Agent::next_due() const {
   Micros due = parts_->members.next_due();
-  for (const Rider* rider : parts_->riders)
-    due = std::min(due, rider->next_due());
+  for (const Extension* extension : parts_->extensions)
+    due = std::min(due, extension->next_due());
   return due;
 }
 
--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -1,4 +1,4 @@
-// One router among its peers: membership, and the riders on its datagrams. Free of I/O: told the time and
+// One router among its peers: membership, and the extensions on its datagrams. Free of I/O: told the time and
 // what came, it says what to send. The service on sockets (peers/service.h) and the deterministic world of
 // the tests drive the same.
 #pragma once
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "peers/rider.h"
+#include "peers/extension.h"
 
 namespace lemonroute::peers {
 
@@ -37,7 +37,7 @@
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  void add(Rider& rider);  // before start; must outlive the agent
+  void add(Extension& extension);  // before start; must outlive the agent
   void start(Micros now);
   void receive(Micros now, const std::string& from,
                std::string_view bytes);  // opened and proven by the service
@@ -47,7 +47,7 @@
   std::vector<Datagram> take();  // what is to be sent, in order; empty afterwards
 
   const View& view() const;
-  nlohmann::json describe(Micros now) const;  // the view, counters and each rider's own
+  nlohmann::json describe(Micros now) const;  // the view, counters and each extension's own
 
  private:
   struct Parts;
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -84,8 +84,8 @@
   json& list = out["members"] = json::array();
   for (const Member& member : view.members)
     list.push_back(described(member, at));
-  for (const Rider* rider : riders)
-    out[rider->topic() == Topic::pools ? "pools" : "tiers"] = rider->describe(at);
+  for (const Extension* extension : extensions)
+    out[extension->topic() == Topic::pools ? "pools" : "tiers"] = extension->describe(at);
   return out;
 }
 
--- a/src/peers/agent_parts.h
+++ b/src/peers/agent_parts.h
@@ -1,4 +1,4 @@
-// The inside of an agent: membership, the riders, and the way of their parcels.
+// The inside of an agent: membership, the extensions, and the way of their parcels.
 #pragma once
 
 #include "peers/agent.h"
@@ -10,13 +10,13 @@
   Parts(Options options, std::uint64_t seed);
 
   void send(Topic topic, std::string_view to, std::string bytes) override;
-  void show(bool always);  // the view to the riders, once a tick at most
+  void show(bool always);  // the view to the extensions, once a tick at most
   void say_notices();
   nlohmann::json describe(Micros now) const;
 
   Options options;
   mutable membership::Membership members;
-  std::vector<Rider*> riders;
+  std::vector<Extension*> extensions;
   Micros now{}, shown_at{};
   std::uint64_t shown = 0;
   bool started = false;
--- a/src/peers/rider.h
+++ b/src/peers/extension.h
@@ -1,7 +1,7 @@
-// What rides on the datagrams between routers beside membership: pools and the map of kept state. A rider
-// does no I/O and reads no clock; all its calls come from one thread, with times that never go back.
-// Datagrams may be lost, repeated, reordered and late, so what a rider says must bear that (a merge, or a
-// question with its answer).
+// What rides on the datagrams between routers beside membership: pools and the map of kept state. An
+// extension does no I/O and reads no clock; all its calls come from one thread, with times that never go
+// back. Datagrams may be lost, repeated, reordered and late, so what an extension says must bear that (a
+// merge, or a question with its answer).
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -22,9 +22,9 @@
   virtual void send(Topic topic, std::string_view to, std::string bytes) = 0;
 };
 
-class Rider {
+class Extension {
  public:
-  virtual ~Rider() = default;
+  virtual ~Extension() = default;
   virtual Topic topic() const = 0;
   virtual void viewed(Micros now, const View& view) = 0;  // it has changed; first call before any other
   // The sender's name is proven by the key; what it says need not be true. What can't be read is counted and
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -28,7 +28,7 @@
 
   void start(Micros now);
   bool receive(Micros now,
-               const wire::Packet& packet);  // false: not from a member, its parcel is not for riders
+               const wire::Packet& packet);  // false: not from a member, its parcel is not for extensions
   void run_due(Micros now);
   Micros next_due() const { return left_ ? Micros::max() : next_tick_; }
   void leave(Micros now);
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -42,7 +42,8 @@
 }  // namespace
 
 struct Service::Parts {
-  Parts(Service& service, Options options, const Clock& clock, const std::vector<Rider*>& riders, Desk& desk)
+  Parts(Service& service, Options options, const Clock& clock, const std::vector<Extension*>& extensions,
+        Desk& desk)
       : service_(service),
         options_(std::move(options)),
         clock_(clock),
@@ -56,8 +57,8 @@
         due_(loop_, [this] { guarded([this] { run_due(); }); }),
         rest_(loop_, [this] { resume(); }),
         home_again_(loop_, [this] { take_home(); }) {
-    for (Rider* rider : riders)
-      agent_.add(*rider);
+    for (Extension* extension : extensions)
+      agent_.add(*extension);
   }
 
   std::unique_ptr<Udp> open(const std::string& address) {
@@ -236,8 +237,8 @@
   std::unordered_map<std::string, std::string> via_;  // by the address that is replaced
 };
 
-Service::Service(Options options, const Clock& clock, const std::vector<Rider*>& riders, Desk& desk)
-    : parts_(std::make_unique<Parts>(*this, std::move(options), clock, riders, desk)) {}
+Service::Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk)
+    : parts_(std::make_unique<Parts>(*this, std::move(options), clock, extensions, desk)) {}
 
 Service::~Service() {
   ending_ = true;
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -39,9 +39,9 @@
     virtual Micros next_due() const = 0;  // when it wants a round, if nothing else happens
   };
 
-  // All of them outlive the service; the riders and the desk are met on its thread only once it is started.
-  // Throws if the address is taken.
-  Service(Options options, const Clock& clock, const std::vector<Rider*>& riders, Desk& desk);
+  // All of them outlive the service; the extensions and the desk are met on its thread only once it is
+  // started. Throws if the address is taken.
+  Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk);
   ~Service();  // tells the others that this router ends, and ends the thread
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -2,8 +2,8 @@
 
 #include <google/protobuf/arena.h>
 
+#include "peers/extension.h"
 #include "peers/membership/limits.h"
-#include "peers/rider.h"
 #include "proto/peers.pb.h"
 
 namespace lemonroute::peers::wire {
--- a/src/pools/rider.h
+++ b/src/pools/extension.h
@@ -9,18 +9,18 @@
 #include <vector>
 
 #include "core/guide.h"
-#include "peers/rider.h"
+#include "peers/extension.h"
 #include "pools/demand/sum.h"
+#include "pools/extension/planning.h"
+#include "pools/extension/questions.h"
 #include "pools/move/move.h"
-#include "pools/rider/planning.h"
-#include "pools/rider/questions.h"
 #include "pools/rights/holder/holder.h"
 #include "pools/rights/rights.h"
 #include "pools/wire/wire.h"
 
 namespace lemonroute::pools {
 
-class Pools : public peers::Rider {
+class Pools : public peers::Extension {
  public:
   struct Options {
     Settings settings;              // on
--- a/src/pools/rider/heard.cpp
+++ b/src/pools/extension/heard.cpp
@@ -1,8 +1,8 @@
 // What comes in from other routers, and what operators are shown.
 #include <nlohmann/json.hpp>
 
-#include "pools/rider.h"
-#include "pools/rider/planners.h"
+#include "pools/extension.h"
+#include "pools/extension/planners.h"
 
 namespace lemonroute::pools {
 
--- a/src/pools/rider/inventory.cpp
+++ b/src/pools/extension/inventory.cpp
@@ -1,4 +1,4 @@
-#include "pools/rider/inventory.h"
+#include "pools/extension/inventory.h"
 
 namespace lemonroute::pools {
 
--- a/src/pools/rider/planners.cpp
+++ b/src/pools/extension/planners.cpp
@@ -1,4 +1,4 @@
-#include "pools/rider/planners.h"
+#include "pools/extension/planners.h"
 
 #include <algorithm>
 
--- a/src/pools/rider/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -1,4 +1,4 @@
-#include "pools/rider/planning.h"
+#include "pools/extension/planning.h"
 
 #include <algorithm>
 
--- a/src/pools/rider/planning.h
+++ b/src/pools/extension/planning.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "pools/calendar/calendar.h"
+#include "pools/extension/inventory.h"
 #include "pools/planner/planner.h"
-#include "pools/rider/inventory.h"
 
 namespace lemonroute::pools {
 
--- a/src/pools/rider/pools.cpp
+++ b/src/pools/extension/pools.cpp
@@ -1,8 +1,8 @@
-// What pools do with time: questions, plans, proposals. What comes in is in rider/heard.cpp.
+// What pools do with time: questions, plans, proposals. What comes in is in extension/heard.cpp.
 #include <algorithm>
 
-#include "pools/rider.h"
-#include "pools/rider/planners.h"
+#include "pools/extension.h"
+#include "pools/extension/planners.h"
 
 namespace lemonroute::pools {
 
--- a/src/pools/rider/questions.cpp
+++ b/src/pools/extension/questions.cpp
@@ -1,4 +1,4 @@
-#include "pools/rider/questions.h"
+#include "pools/extension/questions.h"
 
 #include <algorithm>
 
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "peers/rider.h"
+#include "peers/extension.h"
 #include "proto/pools.pb.h"
 
 namespace lemonroute::pools::wire {
--- a/src/tiers/describe.cpp
+++ b/src/tiers/describe.cpp
@@ -1,7 +1,7 @@
 // What operators see of the map, on the management listener.
 #include <nlohmann/json.hpp>
 
-#include "tiers/rider.h"
+#include "tiers/extension.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/rider.cpp
+++ b/src/tiers/extension.cpp
@@ -1,4 +1,4 @@
-#include "tiers/rider.h"
+#include "tiers/extension.h"
 
 #include <algorithm>
 #include <set>
--- a/src/tiers/rider.h
+++ b/src/tiers/extension.h
@@ -1,4 +1,4 @@
-// The map of kept state from device to site to region, as a rider on the datagrams between routers.
+// The map of kept state from device to site to region, as an extension on the datagrams between routers.
 // docs/tiers-design.md has the ways weighed, the bounds and what was measured. No I/O, no clock.
 #pragma once
 
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "core/guide.h"
-#include "peers/rider.h"
+#include "peers/extension.h"
 #include "tiers/era/gossip.h"
 #include "tiers/share/uplift.h"
 #include "tiers/snapshot/maker.h"
@@ -15,7 +15,7 @@
 
 namespace lemonroute::tiers {
 
-class Tiers : public peers::Rider, public NodeObserver {
+class Tiers : public peers::Extension, public NodeObserver {
  public:
   Tiers(Options options, std::uint64_t seed);
 
--- a/src/tiers/share/known.h
+++ b/src/tiers/share/known.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-#include "peers/rider.h"
+#include "peers/extension.h"
 #include "tiers/era/eras.h"
 #include "tiers/merge/choose.h"
 #include "tiers/trust/trust.h"
--- a/src/tiers/wire/parcel.cpp
+++ b/src/tiers/wire/parcel.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <unordered_map>
 
-#include "peers/rider.h"
+#include "peers/extension.h"
 #include "proto/tiers.pb.h"
 
 namespace lemonroute::tiers {
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -124,8 +124,8 @@
   EXPECT_EQ(one.there(), 2);
 }
 
-// A rider that hears of nodes and says of each that it is away once a loss was told of it.
-struct Talker : peers::Rider {
+// An extension that hears of nodes and says of each that it is away once a loss was told of it.
+struct Talker : peers::Extension {
   struct Away {
     Guide::Laid lay(const Node&) const { return {true, Micros(0), Micros::max()}; }
   };
--- a/tests/peers/cases_test.cpp
+++ b/tests/peers/cases_test.cpp
@@ -228,8 +228,8 @@
   EXPECT_TRUE(world.run_until([&] { return world.one_view(&why); }, most)) << why;
 }
 
-TEST_P(Case, riders_parcels_arrive_by_name_and_the_view_comes_first) {
-  struct Echo : Rider {
+TEST_P(Case, extensions_parcels_arrive_by_name_and_the_view_comes_first) {
+  struct Echo : Extension {
     Topic topic() const override { return Topic::pools; }
     void viewed(Micros, const View& view) override { seen = view.there(); }
     void receive(Micros, std::string_view from, std::string_view bytes, Outbox& out) override {
@@ -250,14 +250,14 @@
     Micros due{};
   };
   world.attach([](std::size_t) {
-    std::vector<std::unique_ptr<Rider>> riders;
-    riders.push_back(std::make_unique<Echo>());
-    return riders;
+    std::vector<std::unique_ptr<Extension>> extensions;
+    extensions.push_back(std::make_unique<Echo>());
+    return extensions;
   });
   for (const auto member : members)
     world.restart(member);
   world.run_periods(10);
-  EXPECT_EQ(static_cast<Echo&>(world.rider(1, Topic::pools)).seen, members.size());
+  EXPECT_EQ(static_cast<Echo&>(world.extension(1, Topic::pools)).seen, members.size());
   EXPECT_GE(world.agent(1).describe(world.local(1))["pools"]["got"], 5);
   EXPECT_GE(counter(1, "parcels_dropped"), 18u);
 }
--- a/tests/peers/decisions_test.cpp
+++ b/tests/peers/decisions_test.cpp
@@ -4,12 +4,12 @@
 #include <map>
 #include <set>
 
+#include "peers/extension.h"
 #include "peers/membership/detector/probe_order.h"
 #include "peers/membership/dissemination/news.h"
 #include "peers/membership/merge/judge.h"
 #include "peers/membership/merge/own_name.h"
 #include "peers/membership/table.h"
-#include "peers/rider.h"
 #include "peers/wire/packet.h"
 
 namespace lemonroute::peers::membership {
--- a/tests/peers/world.cpp
+++ b/tests/peers/world.cpp
@@ -20,7 +20,7 @@
 struct World::Node {
   std::string name, site, address;
   std::unique_ptr<Agent> agent;
-  std::vector<std::unique_ptr<Rider>> riders;
+  std::vector<std::unique_ptr<Extension>> extensions;
   std::uint64_t run = 0;  // which process; what was meant for an older one is dropped
   bool frozen = false;
   std::vector<std::pair<std::string, std::string>> waiting;  // for a frozen one: from, bytes
@@ -99,9 +99,9 @@
     options.seeds.push_back(nodes_[at]->address);
   node.agent = std::make_unique<Agent>(options, settings_.seed * 1'000'003 + member * 1009 + node.run);
   if (attach_)
-    node.riders = attach_(member);
-  for (auto& rider : node.riders)
-    node.agent->add(*rider);
+    node.extensions = attach_(member);
+  for (auto& extension : node.extensions)
+    node.agent->add(*extension);
   node.agent->start(local(member));
   flush(member);
 }
@@ -117,7 +117,7 @@
     return;
   note("kill " + node.name);
   node.agent.reset();
-  node.riders.clear();
+  node.extensions.clear();
   node.waiting.clear();
   node.frozen = false;
 }
@@ -138,7 +138,7 @@
   node.agent->leave(local(member));
   flush(member);
   node.agent.reset();
-  node.riders.clear();
+  node.extensions.clear();
 }
 
 void World::freeze(std::size_t member) {
@@ -353,11 +353,11 @@
   return nodes_[member]->traffic;
 }
 
-Rider& World::rider(std::size_t member, Topic topic) const {
-  for (const auto& rider : nodes_[member]->riders)
-    if (rider->topic() == topic)
-      return *rider;
-  throw std::out_of_range("no such rider");
+Extension& World::extension(std::size_t member, Topic topic) const {
+  for (const auto& extension : nodes_[member]->extensions)
+    if (extension->topic() == topic)
+      return *extension;
+  throw std::out_of_range("no such extension");
 }
 
 std::size_t World::find(std::string_view name) const {
--- a/tests/peers/world.h
+++ b/tests/peers/world.h
@@ -31,8 +31,8 @@
     bool unsealed = false;  // corrupted datagrams arrive, flipped; else they are dropped, as the service does
                             // by their MAC
   };
-  // Riders of a process that starts; the world keeps them as long as the process.
-  using Attach = std::function<std::vector<std::unique_ptr<Rider>>(std::size_t member)>;
+  // Extensions of a process that starts; the world keeps them as long as the process.
+  using Attach = std::function<std::vector<std::unique_ptr<Extension>>(std::size_t member)>;
   using Members = std::vector<std::size_t>;
 
   struct Traffic {
@@ -79,7 +79,7 @@
   std::size_t size() const { return nodes_.size(); }
   bool running(std::size_t member) const;  // started, neither killed nor left; it may be frozen
   Agent& agent(std::size_t member) const;
-  Rider& rider(std::size_t member, Topic topic) const;
+  Extension& extension(std::size_t member, Topic topic) const;
   const std::string& name(std::size_t member) const;
   const std::string& address(std::size_t member) const;
   std::size_t find(std::string_view name) const;
--- a/tests/pools/rider_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -1,4 +1,4 @@
-#include "pools/rider.h"
+#include "pools/extension.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/pools/parts_test.cpp
+++ b/tests/pools/parts_test.cpp
@@ -3,9 +3,9 @@
 #include <numeric>
 #include <random>
 
-#include "peers/rider.h"
+#include "peers/extension.h"
 #include "pools/demand/sum.h"
-#include "pools/rider/planning.h"
+#include "pools/extension/planning.h"
 #include "pools/wire/wire.h"
 
 namespace lemonroute::pools {
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-#include "pools/rider.h"
+#include "pools/extension.h"
 
 namespace lemonroute::pools::test {
 
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "config/tiers.h"
-#include "peers/rider.h"
+#include "peers/extension.h"
 #include "tiers/store/heavy.h"
 #include "tiers/store/keeper.h"
 #include "tiers/wire/parcel.h"
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -22,7 +22,7 @@
   }
   lists_.assign(count, devices_);
   for (std::size_t i = 0; i < count; ++i)
-    riders_.push_back(make(i));
+    extensions_.push_back(make(i));
   tell_views();
 }
 
@@ -30,10 +30,10 @@
   Options options{name(i), site(i), start_[i], 4711, {}, options_.limits};
   for (std::size_t s = 0; s < options_.sites; ++s)
     options.regions[numbered("r", s % options_.regions)].push_back(numbered("s", s));
-  auto rider = std::make_unique<Tiers>(options, options_.seed + i);
-  rider->listed(lists_[i], now_);
+  auto extension = std::make_unique<Tiers>(options, options_.seed + i);
+  extension->listed(lists_[i], now_);
   begins_[i] = now_ + Micros(static_cast<long>(random_() % static_cast<std::uint64_t>(tick.count())));
-  return rider;
+  return extension;
 }
 
 void Net::tell_views() {
@@ -54,7 +54,7 @@
       member.standing = part_[i] == part_[j] && !dead_[j] ? peers::Standing::alive : peers::Standing::gone;
       view.members.push_back(member);
     }
-    riders_[i]->viewed(now_, view);
+    extensions_[i]->viewed(now_, view);
   }
 }
 
@@ -80,7 +80,7 @@
     auto next = end;
     std::size_t who = size();
     for (std::size_t i = 0; i < size(); ++i)
-      if (const auto due = std::max(begins_[i], riders_[i]->next_due()); !dead_[i] && due < next)
+      if (const auto due = std::max(begins_[i], extensions_[i]->next_due()); !dead_[i] && due < next)
         next = due, who = i;
     while (!posts_.empty() && posts_.top().at <= std::min(next, end)) {
       const auto post = posts_.top();
@@ -90,13 +90,13 @@
         continue;
       bytes_in_[post.to] += post.bytes->size();
       Out out{*this, post.to};
-      riders_[post.to]->receive(now_, name(post.from), *post.bytes, out);
+      extensions_[post.to]->receive(now_, name(post.from), *post.bytes, out);
     }
     if (who == size())
       break;
     now_ = std::max(now_, next);
     Out out{*this, who};
-    riders_[who]->run_due(now_, out);
+    extensions_[who]->run_due(now_, out);
   }
   now_ = end;
 }
@@ -112,7 +112,7 @@
 void Net::restart(std::size_t i) {
   dead_[i] = false;
   start_[i] += 1'000'000;
-  riders_[i] = make(i);
+  extensions_[i] = make(i);
   tell_views();
 }
 void Net::restart_device(std::size_t j, const std::function<bool(std::size_t)>& listed_at) {
@@ -122,7 +122,7 @@
       continue;
     lists_[i][j] = devices_[j];
     if (!dead_[i])
-      riders_[i]->listed(lists_[i], now_);
+      extensions_[i]->listed(lists_[i], now_);
   }
 }
 
--- a/tests/tiers/net.h
+++ b/tests/tiers/net.h
@@ -1,5 +1,5 @@
-// Many riders of the map and a net between them that loses, repeats, reorders and cuts, all from one seed and
-// on one clock. Views are given, at once and right, but for what a case makes of them; the world of
+// Many extensions of the map and a net between them that loses, repeats, reorders and cuts, all from one seed
+// and on one clock. Views are given, at once and right, but for what a case makes of them; the world of
 // tests/peers has real ones.
 #pragma once
 
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "tiers/rider.h"
+#include "tiers/extension.h"
 
 namespace lemonroute::tiers {
 
@@ -29,9 +29,9 @@
  public:
   explicit Net(NetOptions options);
   Micros now() const { return now_; }
-  Tiers& at(std::size_t i) { return *riders_[i]; }
+  Tiers& at(std::size_t i) { return *extensions_[i]; }
   std::string name(std::size_t i) const { return numbered("c", i); }
-  std::size_t size() const { return riders_.size(); }
+  std::size_t size() const { return extensions_.size(); }
   const Node& device(std::size_t i) const { return devices_[i]; }
 
   void run(Micros span);
@@ -78,7 +78,7 @@
   NetOptions options_;
   std::mt19937_64 random_;
   Micros now_ = std::chrono::seconds(1000);
-  std::vector<std::unique_ptr<Tiers>> riders_;
+  std::vector<std::unique_ptr<Tiers>> extensions_;
   std::vector<int> part_;
   std::vector<bool> dead_;
   std::vector<Micros> begins_;  // processes tick out of step
