--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -82,8 +82,8 @@
     }
     if (settings.peers) {
       fleet_ = std::make_unique<guide::Fleet>(
-          loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()), std::vector<guide::Guest>{},
-          [this](auto newer) { router_.guide(std::move(newer)); });
+          loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()),
+          std::vector<guide::Binding>{}, [this](auto newer) { router_.guide(std::move(newer)); });
       router_.observer(&fleet_->observer());
       logging::info() << "peers on " << fleet_->address();
     }
--- a/src/guide/guest.h
+++ b/src/guide/binding.h
@@ -12,7 +12,7 @@
 
 namespace lemonroute::guide {
 
-struct Guest {
+struct Binding {
   std::unique_ptr<peers::Extension> extension;
   std::unique_ptr<NodeObserver> observer;               // writes to the extension; null: it hears nothing
   std::function<std::shared_ptr<const Guide>()> guide;  // its newest; another pointer where it has changed
@@ -79,21 +79,21 @@
 
 // `newest`: the snapshot of an extension, a std::shared_ptr<const Snapshot> that may be null.
 template <class Extension, class Newest>
-Guest guest_of(std::unique_ptr<Extension> extension, Newest newest) {
+Binding binding_of(std::unique_ptr<Extension> extension, Newest newest) {
   using Pointer = std::invoke_result_t<Newest, const Extension&>;
   using Snapshot = std::remove_const_t<typename Pointer::element_type>;
-  Guest guest;
-  guest.observer = std::make_unique<Hears<Extension>>(*extension);
-  guest.guide = [&at = *extension, newest, last = Pointer{},
-                 said = std::shared_ptr<const Guide>{}]() mutable {
+  Binding binding;
+  binding.observer = std::make_unique<Hears<Extension>>(*extension);
+  binding.guide = [&at = *extension, newest, last = Pointer{},
+                   said = std::shared_ptr<const Guide>{}]() mutable {
     if (auto now = newest(at); now != last) {
       last = now;
       said = now ? std::make_shared<const Says<Snapshot>>(std::move(now)) : nullptr;
     }
     return said;
   };
-  guest.extension = std::move(extension);
-  return guest;
+  binding.extension = std::move(extension);
+  return binding;
 }
 
 }  // namespace lemonroute::guide
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -13,27 +13,28 @@
 // to make.
 constexpr milliseconds look_again{100}, text_per_member{1};
 
-std::vector<peers::Extension*> extensions_of(const std::vector<Guest>& guests) {
+std::vector<peers::Extension*> extensions_of(const std::vector<Binding>& bindings) {
   std::vector<peers::Extension*> extensions;
-  for (const auto& guest : guests)
-    extensions.push_back(guest.extension.get());
+  for (const auto& binding : bindings)
+    extensions.push_back(binding.extension.get());
   return extensions;
 }
 
 }  // namespace
 
-Fleet::Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Guest> guests, Guided guided)
+Fleet::Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
+             Guided guided)
     : guided_(std::move(guided)),
-      guests_(std::move(guests)),
+      bindings_(std::move(bindings)),
       notes_([this] { service_->wake(); }),
       told_(told_at_most),
       take_(loop, [this] { take(); }),
       siblings_(options.siblings),
-      service_(std::make_unique<peers::Service>(std::move(options.service), clock, extensions_of(guests_),
+      service_(std::make_unique<peers::Service>(std::move(options.service), clock, extensions_of(bindings_),
                                                 static_cast<peers::Service::Desk&>(*this))) {
-  for (const auto& guest : guests_)
-    if (guest.observer)
-      witnesses_.push_back(guest.observer.get());
+  for (const auto& binding : bindings_)
+    if (binding.observer)
+      observers_.push_back(binding.observer.get());
   service_->start();
 }
 
@@ -48,11 +49,11 @@
 }
 
 void Fleet::woken(Micros) {
-  notes_.read(witnesses_);
+  notes_.read(observers_);
 }
 
 void Fleet::round(Micros now, const peers::Service& service) {
-  notes_.read(witnesses_);
+  notes_.read(observers_);
   const bool guide = renew_guide(now, service), text = renew_text(now, service);
   if (guide || text || waiting_) {
     waiting_ = !told_.push(newest_);
@@ -67,8 +68,8 @@
 bool Fleet::renew_guide(Micros now, const peers::Service& service) {
   const auto count = siblings_.see(now, service.view());
   FleetGuide::Parts parts;
-  for (const auto& guest : guests_)
-    if (auto part = guest.guide ? guest.guide() : nullptr)
+  for (const auto& binding : bindings_)
+    if (auto part = binding.guide ? binding.guide() : nullptr)
       parts.push_back(std::move(part));
   if (newest_.guide && count == count_ && parts == parts_)
     return false;
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "guide/binding.h"
 #include "guide/fleet_guide.h"
-#include "guide/guest.h"
 #include "guide/notes.h"
 #include "guide/siblings.h"
 #include "peers/service.h"
@@ -26,7 +26,7 @@
   };
   // `guided` is called on the loop with each newer guide, within reason: at most once in `least_between`.
   using Guided = std::function<void(std::shared_ptr<const Guide>)>;
-  Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Guest> guests, Guided guided);
+  Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings, Guided guided);
   ~Fleet() override;
 
   static constexpr std::chrono::milliseconds least_between{10};
@@ -54,8 +54,8 @@
   void take();
 
   Guided guided_;
-  std::vector<Guest> guests_;
-  std::vector<NodeObserver*> witnesses_;
+  std::vector<Binding> bindings_;
+  std::vector<NodeObserver*> observers_;
   Notes notes_;
   boost::lockfree::spsc_queue<Told> told_;
   peers::Wake take_;
--- a/src/guide/notes.h
+++ b/src/guide/notes.h
@@ -1,5 +1,5 @@
 // What the serving loop tells the thread of the peers of nodes, through a bounded ring: a NodeObserver that
-// writes it, and its reader, who repeats it to the witnesses there.
+// writes it, and its reader, who repeats it to the observers there.
 #pragma once
 
 #include <atomic>
--- a/tests/edges/descriptors.cpp
+++ b/tests/edges/descriptors.cpp
@@ -96,17 +96,17 @@
   net::Loop loop;
   bool paused = false;
   net::Admission admission(loop, 16, [&](bool on) { paused = on; });
-  std::vector<Peer> guests(20);
+  std::vector<Peer> bindings(20);
   for (int i = 0; i < 16; ++i) {
-    guests[i].in = &admission;
-    admission.arrived(guests[i]);
-    admission.busy(guests[i]);
+    bindings[i].in = &admission;
+    admission.arrived(bindings[i]);
+    admission.busy(bindings[i]);
   }
   assert(paused && admission.free() == 0);
   for (int i = 0; i < 4; ++i)
-    admission.leaving(guests[i]);
+    admission.leaving(bindings[i]);
   assert(!paused && admission.free() == 4);
-  assert(guests[0].gone && guests[1].gone && !guests[2].gone && !guests[3].gone);
+  assert(bindings[0].gone && bindings[1].gone && !bindings[2].gone && !bindings[3].gone);
 }
 
 // Another process, whose descriptors are its own: clients that ask once and stay, to rest or to wait.
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -23,10 +23,10 @@
 
 struct Router {
   Router(net::Loop& loop, const Clock& clock, const std::string& name, std::vector<std::string> seeds,
-         std::vector<peers::seal::Key> keys, std::vector<Guest> guests = {},
+         std::vector<peers::seal::Key> keys, std::vector<Binding> bindings = {},
          std::string listen = "127.0.0.1:0", bool beside = false)
       : fleet(loop, clock, options(clock, name, std::move(seeds), std::move(keys), std::move(listen), beside),
-              std::move(guests), [this](auto newer) { siblings = newer->siblings(); }) {}
+              std::move(bindings), [this](auto newer) { siblings = newer->siblings(); }) {}
   static Fleet::Options options(const Clock& clock, const std::string& name, std::vector<std::string> seeds,
                                 std::vector<peers::seal::Key> keys, std::string listen, bool beside) {
     Fleet::Options to;
@@ -154,15 +154,16 @@
 };
 
 TEST_F(World, what_one_sees_of_a_node_guides_the_other) {
-  const auto guest = [] {
-    std::vector<Guest> guests;
-    guests.push_back(guest_of(std::make_unique<Talker>(), [](const Talker& at) { return at.guide; }));
-    return guests;
+  const auto binding = [] {
+    std::vector<Binding> bindings;
+    bindings.push_back(binding_of(std::make_unique<Talker>(), [](const Talker& at) { return at.guide; }));
+    return bindings;
   };
   std::shared_ptr<const Guide> newest;
-  Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), guest(), [](auto) {});
-  Fleet two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false), guest(),
-            [&](auto newer) { newest = std::move(newer); });
+  Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), binding(),
+            [](auto) {});
+  Fleet two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false),
+            binding(), [&](auto newer) { newest = std::move(newer); });
   ASSERT_TRUE(comes([&] { return newest && newest->siblings() == 2; }));
   Node node;
   node.id = 4;
@@ -177,9 +178,9 @@
 };
 
 TEST_F(World, a_fault_on_the_thread_of_the_peers_ends_them_and_not_what_serves) {
-  std::vector<Guest> guests;
-  guests.push_back(guest_of(std::make_unique<Broken>(), [](const Broken& at) { return at.guide; }));
-  Router one(loop, clock, "one", {}, keys, std::move(guests)),
+  std::vector<Binding> bindings;
+  bindings.push_back(binding_of(std::make_unique<Broken>(), [](const Broken& at) { return at.guide; }));
+  Router one(loop, clock, "one", {}, keys, std::move(bindings)),
       two(loop, clock, "two", {one.fleet.address()}, keys);
   ASSERT_TRUE(comes([&] { return one.siblings == 2 && two.there() == 2; }));
   Node node;
