--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -11,7 +11,7 @@
 Agent::Parts::Parts(Options given, std::uint64_t seed) : options(given), members(std::move(given), seed) {}
 
 void Agent::Parts::send(Topic topic, std::string_view to, std::string bytes) {
-  members.parcel(topic, to, std::move(bytes));
+  members.payload(topic, to, std::move(bytes));
 }
 
 void Agent::Parts::show(bool always) {
@@ -68,10 +68,10 @@
   const bool member = parts.members.receive(parts.now, packet);
   parts.show(false);
   parts.say_notices();
-  if (const auto* parcel = std::get_if<wire::Parcel>(&packet.body); parcel && member)
+  if (const auto* payload = std::get_if<wire::Payload>(&packet.body); payload && member)
     for (Extension* extension : parts.extensions)
-      if (static_cast<std::uint32_t>(extension->topic()) == parcel->topic)
-        extension->receive(parts.now, packet.sender.name, parcel->content, parts);
+      if (static_cast<std::uint32_t>(extension->topic()) == payload->topic)
+        extension->receive(parts.now, packet.sender.name, payload->content, parts);
 }
 
 void Agent::run_due(Micros now) {
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -50,8 +50,8 @@
           {"names_twice", it.names_twice},
           {"superseded", it.superseded},
           {"reclaimed", it.reclaimed},
-          {"parcels", it.parcels},
-          {"parcels_dropped", it.parcels_dropped}};
+          {"parcels", it.payloads},
+          {"payloads_dropped", it.payloads_dropped}};
 }
 
 json described(const Member& member, Micros now) {
--- a/src/peers/agent_parts.h
+++ b/src/peers/agent_parts.h
@@ -1,4 +1,4 @@
-// The inside of an agent: membership, the extensions, and the way of their parcels.
+// The inside of an agent: membership, the extensions, and the way of their payloads.
 #pragma once
 
 #include "peers/agent.h"
--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -17,7 +17,7 @@
 class Outbox {
  public:
   virtual ~Outbox() = default;
-  static constexpr std::size_t most = 1000;  // bytes of one parcel; a longer one is dropped, and counted
+  static constexpr std::size_t most = 1000;  // bytes of one payload; a longer one is dropped, and counted
   // To a member by name; dropped where the view does not know it. Nothing says whether it arrives.
   virtual void send(Topic topic, std::string_view to, std::string bytes) = 0;
 };
--- a/src/peers/membership/counters.h
+++ b/src/peers/membership/counters.h
@@ -12,7 +12,7 @@
   std::uint64_t suspected = 0, refuted = 0, gone = 0, returned = 0;
   std::uint64_t syncs = 0, syncs_refused = 0, members_refused = 0, from_the_gone = 0;
   std::uint64_t names_twice = 0, superseded = 0, reclaimed = 0;
-  std::uint64_t parcels = 0, parcels_dropped = 0;
+  std::uint64_t payloads = 0, payloads_dropped = 0;
 };
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -34,11 +34,11 @@
 inline constexpr int last_call = 2;   // periods before a deadline, the member is told once more
 inline constexpr int last_calls = 8;  // in a period
 
-inline constexpr int slices = 8;             // datagrams of facts for one exchange
-inline constexpr int syncs_answered = 4;     // in a period
-inline constexpr std::size_t again = 64;     // members that are to be asked next
-inline constexpr int asides = 4;             // pings in a period that nobody waits for
-inline constexpr std::size_t parcels = 512;  // of extensions, in a period
+inline constexpr int slices = 8;              // datagrams of facts for one exchange
+inline constexpr int syncs_answered = 4;      // in a period
+inline constexpr std::size_t again = 64;      // members that are to be asked next
+inline constexpr int asides = 4;              // pings in a period that nobody waits for
+inline constexpr std::size_t payloads = 512;  // of extensions, in a period
 
 inline constexpr int gone_ping = 5;    // periods between pings to one of the gone
 inline constexpr int seed_ping = 30;   // periods between pings to a seed that is no member
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -28,11 +28,11 @@
 
   void start(Micros now);
   bool receive(Micros now,
-               const wire::Packet& packet);  // false: not from a member, its parcel is not for extensions
+               const wire::Packet& packet);  // false: not from a member, its payload is not for extensions
   void run_due(Micros now);
   Micros next_due() const { return left_ ? Micros::max() : next_tick_; }
   void leave(Micros now);
-  void parcel(Topic topic, std::string_view to, std::string bytes);
+  void payload(Topic topic, std::string_view to, std::string bytes);
 
   std::vector<Datagram> take() { return std::exchange(out_, {}); }
   std::vector<std::string> take_notices() { return std::exchange(notices_, {}); }  // lines for the operator
@@ -65,7 +65,7 @@
   void on(const Fact& sender, const wire::Nack& nack);
   void on(const Fact& sender, const wire::Sync& sync);
   void on(const Fact&, const wire::Facts&) {}
-  void on(const Fact&, const wire::Parcel&) {}
+  void on(const Fact&, const wire::Payload&) {}
   void heard_from(Entry& entry);
   // facts.cpp
   void take(const Fact& said, const Fact& sender, bool only_good);
@@ -108,7 +108,7 @@
   std::uint32_t sequence_;
   int syncs_answered_ = 0, asides_ = 0, last_calls_ = 0;
   bool synced_ = false;
-  std::size_t parcels_ = 0, next_seed_ = 0;
+  std::size_t payloads_ = 0, next_seed_ = 0;
   std::vector<Datagram> out_;
   std::vector<std::string> notices_;
   Counters counters_;
--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -13,7 +13,7 @@
       return false;  // itself, by a seed's address
     own_.heard(sender, now_);
   }
-  if (std::holds_alternative<wire::Parcel>(packet.body)) {
+  if (std::holds_alternative<wire::Payload>(packet.body)) {
     Entry* entry = table_.find(sender.name);
     if (!entry || sender.name == own_.own().name)
       return false;
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -18,7 +18,7 @@
 
 void Membership::send(const std::string& address, wire::Body body, const Entry* about, bool with_news) {
   Packet packet{own_.own(), std::move(body), {}};
-  if (std::holds_alternative<wire::Parcel>(packet.body))
+  if (std::holds_alternative<wire::Payload>(packet.body))
     packet.sender.site.clear(), packet.sender.address.clear();
   const std::size_t first = about && about->fact.standing != Standing::alive ? 1 : 0;
   if (first)
@@ -87,16 +87,16 @@
   }
 }
 
-void Membership::parcel(Topic topic, std::string_view to, std::string bytes) {
+void Membership::payload(Topic topic, std::string_view to, std::string bytes) {
   const Entry* entry = table_.find(to);
   if (left_ || !entry || entry->fact.name == own_.own().name || bytes.size() > Outbox::most ||
-      parcels_ >= limits::parcels) {
-    ++counters_.parcels_dropped;
+      payloads_ >= limits::payloads) {
+    ++counters_.payloads_dropped;
     return;
   }
-  ++parcels_;
-  ++counters_.parcels;
-  send(entry->fact.address, wire::Parcel{static_cast<std::uint32_t>(topic), std::move(bytes)}, nullptr,
+  ++payloads_;
+  ++counters_.payloads;
+  send(entry->fact.address, wire::Payload{static_cast<std::uint32_t>(topic), std::move(bytes)}, nullptr,
        false);
 }
 
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -70,7 +70,7 @@
   ++periods_;
   synced_ = false;
   syncs_answered_ = asides_ = last_calls_ = 0;
-  parcels_ = 0;
+  payloads_ = 0;
   if (own_.check(now_) == OwnName::Then::reclaimed) {
     ++counters_.reclaimed;
     self_changed();
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -62,9 +62,9 @@
     case pb::Packet::kOnly:
       body = Facts{};
       return true;
-    case pb::Packet::kParcel:
-      body = Parcel{in.parcel().topic(), in.parcel().content()};
-      return in.parcel().content().size() <= Outbox::most;
+    case pb::Packet::kPayload:
+      body = Payload{in.payload().topic(), in.payload().content()};
+      return in.payload().content().size() <= Outbox::most;
     case pb::Packet::BODY_NOT_SET:
       break;
   }
@@ -98,9 +98,9 @@
                           out.mutable_sync()->add_buckets(one);
                         out.mutable_sync()->set_answer(it.answer);
                       },
-                      [&](const Parcel& it) {
-                        out.mutable_parcel()->set_topic(it.topic);
-                        out.mutable_parcel()->set_content(it.content);
+                      [&](const Payload& it) {
+                        out.mutable_payload()->set_topic(it.topic);
+                        out.mutable_payload()->set_content(it.content);
                       }},
              body);
 }
@@ -140,9 +140,9 @@
     return Fault::unreadable;
   if (in.version() != version)
     return Fault::version;
-  const bool parcel = in.has_parcel();  // says only who sends it: its content needs the room
+  const bool payload = in.has_payload();  // says only who sends it: its content needs the room
   auto& sender = packet.sender;
-  if (parcel) {
+  if (payload) {
     sender = {in.sender().name(), "", "", in.sender().start(), in.sender().incarnation(),
               Standing::alive,    ""};
     if (!membership::valid_name(sender.name))
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -37,11 +37,11 @@
   bool answer = false;
 };
 struct Facts {};
-struct Parcel {
+struct Payload {
   std::uint32_t topic = 0;
   std::string content;
 };
-using Body = std::variant<Facts, Ping, Ask, Ack, Nack, Sync, Parcel>;
+using Body = std::variant<Facts, Ping, Ask, Ack, Nack, Sync, Payload>;
 
 struct Packet {
   Fact sender;
--- a/src/pools/extension/heard.cpp
+++ b/src/pools/extension/heard.cpp
@@ -30,8 +30,8 @@
     grant.pools.push_back({entry.pool, answer.owned, answer.ok, answer.active});
     grant.abstains = keeper_->abstains(now);
   }
-  for (auto& parcel : wire::write(grant, mark_, now))
-    out.send(topic(), from, std::move(parcel));
+  for (auto& payload : wire::write(grant, mark_, now))
+    out.send(topic(), from, std::move(payload));
 }
 
 void Pools::take(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox&) {
--- a/src/pools/extension/pools.cpp
+++ b/src/pools/extension/pools.cpp
@@ -117,8 +117,8 @@
         continue;
       }
       ask.nonce = questions_.ask(keeper, now);
-      for (auto& parcel : wire::write(ask, mark_, now))
-        out.send(topic(), keeper, std::move(parcel));
+      for (auto& payload : wire::write(ask, mark_, now))
+        out.send(topic(), keeper, std::move(payload));
     }
   }
 }
@@ -132,8 +132,8 @@
   for (const auto& region : regions_)
     for (const auto& keeper : region.settings->keepers)
       if (keeper != options_.name)
-        for (auto& parcel : wire::write(*report, mark_, now))
-          out.send(topic(), keeper, std::move(parcel));
+        for (auto& payload : wire::write(*report, mark_, now))
+          out.send(topic(), keeper, std::move(payload));
 }
 
 void Pools::follow(Pool& pool, Micros now) {
@@ -196,8 +196,8 @@
       if (keeper == options_.name)
         keeper_->learn(name, entry.owned);
       else
-        for (auto& parcel : wire::write(wire::Propose{entry}, mark_, now))
-          out.send(topic(), keeper, std::move(parcel));
+        for (auto& payload : wire::write(wire::Propose{entry}, mark_, now))
+          out.send(topic(), keeper, std::move(payload));
     }
     // This router stops sending there by its own word, before any answer.
     pool.holder.learn(entry.owned);
--- a/src/pools/rights/ballot.h
+++ b/src/pools/rights/ballot.h
@@ -17,7 +17,7 @@
   std::uint64_t by = 0;       // its process
   auto operator<=>(const Ballot&) const = default;
 
-  // Most by which a counter may run ahead of the one known. Guards against a damaged or hostile parcel that
+  // Most by which a counter may run ahead of the one known. Guards against a damaged or hostile payload that
   // would take the last number there is; no fleet makes so many moves between two words from one of its
   // routers.
   static constexpr std::uint64_t most_leap = 1 << 20;
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -55,17 +55,17 @@
   return true;
 }
 
-// Fills parcels one after the other; `begin` writes what each begins with and says where its entries go.
+// Fills payloads one after the other; `begin` writes what each begins with and says where its entries go.
 template <class Begin>
 std::vector<std::string> pieces(const std::vector<Entry>& entries, std::uint64_t mark, Micros now,
                                 Begin begin) {
   std::vector<std::string> all;
-  v1::Parcel parcel;
+  v1::Payload payload;
   google::protobuf::RepeatedPtrField<v1::Known>* to = nullptr;
   std::size_t used = 0;
   const auto end = [&] {
     if (to && to->size() > 0)
-      all.push_back(parcel.SerializeAsString());
+      all.push_back(payload.SerializeAsString());
     to = nullptr;
   };
   for (const auto& entry : entries) {
@@ -76,11 +76,11 @@
     if (to && used + size + 2 > peers::Outbox::most)
       end();
     if (!to) {
-      parcel.Clear();
-      parcel.set_version(version);
-      parcel.set_mark(mark);
-      to = begin(parcel);
-      used = parcel.ByteSizeLong();
+      payload.Clear();
+      payload.set_version(version);
+      payload.set_mark(mark);
+      to = begin(payload);
+      used = payload.ByteSizeLong();
     }
     *to->Add() = std::move(known);
     used += size;
@@ -92,40 +92,40 @@
 }  // namespace
 
 Read read(std::string_view bytes, std::uint64_t mark, std::size_t regions, Micros now) {
-  v1::Parcel parcel;
+  v1::Payload payload;
   if (bytes.size() > peers::Outbox::most ||
-      !parcel.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+      !payload.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return {std::nullopt, Fault::unreadable};
-  if (parcel.version() != version)
+  if (payload.version() != version)
     return {std::nullopt, Fault::version};
-  if (parcel.mark() != mark)
+  if (payload.mark() != mark)
     return {std::nullopt, Fault::mark};
-  switch (parcel.what_case()) {
-    case v1::Parcel::kAsk: {
-      Ask ask{parcel.ask().nonce(), parcel.ask().region(), {}};
-      if (ask.region < regions && take_all(parcel.ask().pools(), regions, now, ask.pools))
+  switch (payload.what_case()) {
+    case v1::Payload::kAsk: {
+      Ask ask{payload.ask().nonce(), payload.ask().region(), {}};
+      if (ask.region < regions && take_all(payload.ask().pools(), regions, now, ask.pools))
         return {std::move(ask)};
       break;
     }
-    case v1::Parcel::kGrant: {
-      Grant grant{parcel.grant().nonce(), parcel.grant().abstains(), {}};
-      if (take_all(parcel.grant().pools(), regions, now, grant.pools))
+    case v1::Payload::kGrant: {
+      Grant grant{payload.grant().nonce(), payload.grant().abstains(), {}};
+      if (take_all(payload.grant().pools(), regions, now, grant.pools))
         return {std::move(grant)};
       break;
     }
-    case v1::Parcel::kPropose: {
+    case v1::Payload::kPropose: {
       Propose propose;
-      if (take(parcel.propose().pool(), regions, now, propose.pool))
+      if (take(payload.propose().pool(), regions, now, propose.pool))
         return {std::move(propose)};
       break;
     }
-    case v1::Parcel::kDemand: {
-      const auto& demand = parcel.demand();
+    case v1::Payload::kDemand: {
+      const auto& demand = payload.demand();
       if (demand.milliwriters() <= most_milliwriters && demand.refused() <= 1000)
         return {Report{demand.sequence(), demand.milliwriters() / 1000.0, demand.refused() / 1000.0}};
       break;
     }
-    case v1::Parcel::WHAT_NOT_SET:
+    case v1::Payload::WHAT_NOT_SET:
       return {std::nullopt, Fault::unreadable};
   }
   return {std::nullopt, Fault::bounds};
@@ -133,31 +133,31 @@
 
 std::vector<std::string> write(const Message& message, std::uint64_t mark, Micros now) {
   if (const auto* ask = std::get_if<Ask>(&message))
-    return pieces(ask->pools, mark, now, [ask](v1::Parcel& parcel) {
-      parcel.mutable_ask()->set_nonce(ask->nonce);
-      parcel.mutable_ask()->set_region(ask->region);
-      return parcel.mutable_ask()->mutable_pools();
+    return pieces(ask->pools, mark, now, [ask](v1::Payload& payload) {
+      payload.mutable_ask()->set_nonce(ask->nonce);
+      payload.mutable_ask()->set_region(ask->region);
+      return payload.mutable_ask()->mutable_pools();
     });
   if (const auto* grant = std::get_if<Grant>(&message))
-    return pieces(grant->pools, mark, now, [grant](v1::Parcel& parcel) {
-      parcel.mutable_grant()->set_nonce(grant->nonce);
-      parcel.mutable_grant()->set_abstains(grant->abstains);
-      return parcel.mutable_grant()->mutable_pools();
+    return pieces(grant->pools, mark, now, [grant](v1::Payload& payload) {
+      payload.mutable_grant()->set_nonce(grant->nonce);
+      payload.mutable_grant()->set_abstains(grant->abstains);
+      return payload.mutable_grant()->mutable_pools();
     });
-  v1::Parcel parcel;
-  parcel.set_version(version);
-  parcel.set_mark(mark);
+  v1::Payload payload;
+  payload.set_version(version);
+  payload.set_mark(mark);
   if (const auto* propose = std::get_if<Propose>(&message)) {
-    put(propose->pool, now, *parcel.mutable_propose()->mutable_pool());
+    put(propose->pool, now, *payload.mutable_propose()->mutable_pool());
   } else {
     const auto& report = std::get<Report>(message);
-    parcel.mutable_demand()->set_sequence(report.sequence);
-    parcel.mutable_demand()->set_milliwriters(static_cast<std::uint32_t>(
+    payload.mutable_demand()->set_sequence(report.sequence);
+    payload.mutable_demand()->set_milliwriters(static_cast<std::uint32_t>(
         std::clamp(std::round(report.writers * 1000), 0.0, static_cast<double>(most_milliwriters))));
-    parcel.mutable_demand()->set_refused(
+    payload.mutable_demand()->set_refused(
         static_cast<std::uint32_t>(std::clamp(std::round(report.refused * 1000), 0.0, 1000.0)));
   }
-  return {parcel.SerializeAsString()};
+  return {payload.SerializeAsString()};
 }
 
 }  // namespace lemonroute::pools::wire
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -1,4 +1,4 @@
-// Pools' parcels: read strictly, with every field bounded, and written in pieces that fit.
+// Pools' payloads: read strictly, with every field bounded, and written in pieces that fit.
 #pragma once
 
 #include <optional>
@@ -41,7 +41,7 @@
 // `mark`: of this router's settings; `regions`: how many it knows. Never throws.
 Read read(std::string_view bytes, std::uint64_t mark, std::size_t regions, Micros now);
 
-// One parcel, or several where entries need them; each within peers::Outbox::most.
+// One payload, or several where entries need them; each within peers::Outbox::most.
 std::vector<std::string> write(const Message& message, std::uint64_t mark, Micros now);
 
 }  // namespace lemonroute::pools::wire
--- a/src/tiers/describe.cpp
+++ b/src/tiers/describe.cpp
@@ -30,9 +30,9 @@
 nlohmann::json Tiers::describe(Micros now) const {
   nlohmann::json traffic = nlohmann::json::object();
   for (const auto& [kind, counts] : known_.traffic)
-    traffic[kind] = {{"parcels_out", counts.parcels_out},
+    traffic[kind] = {{"payloads_out", counts.payloads_out},
                      {"bytes_out", counts.bytes_out},
-                     {"parcels_in", counts.parcels_in},
+                     {"payloads_in", counts.payloads_in},
                      {"bytes_in", counts.bytes_in}};
   nlohmann::json devices = nlohmann::json::object();
   for (const auto& [id, device] : devices_)
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 namespace {
-constexpr std::size_t eras_of_parcel = 40;
+constexpr std::size_t eras_of_payload = 40;
 constexpr std::size_t keys_at_once = 256;     // told to keepers in a tick
 constexpr std::size_t vote_bytes_about = 75;  // of one key, to its three keepers
 constexpr std::size_t era_bytes = 32 * 1024;  // a second: who floods with eras makes nobody pass on more
@@ -132,8 +132,8 @@
   uplift_.again(region_.viewed(view));
 }
 
-void Tiers::learn(const Parcel& parcel, Micros now) {
-  for (const auto& [device, era] : parcel.devices) {
+void Tiers::learn(const Payload& payload, Micros now) {
+  for (const auto& [device, era] : payload.devices) {
     const auto* had = known_.eras.find(device);
     const bool before = had != nullptr, same = before && *had == era;
     if (same)
@@ -145,36 +145,36 @@
 
 void Tiers::receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) {
   const char* why = "";
-  const auto parcel = read(bytes, now, why);
-  if (!parcel) {
+  const auto payload = read(bytes, now, why);
+  if (!payload) {
     ++known_.dropped[why];
     return;
   }
   static constexpr const char* words[] = {"", "votes", "rows", "eras", "digests", "asks"};
-  auto& traffic = known_.traffic[words[static_cast<int>(parcel->kind)]];
-  ++traffic.parcels_in;
+  auto& traffic = known_.traffic[words[static_cast<int>(payload->kind)]];
+  ++traffic.payloads_in;
   traffic.bytes_in += bytes.size();
-  auto& level = parcel->tier == Tier::site ? site_ : region_;
+  auto& level = payload->tier == Tier::site ? site_ : region_;
   const bool ours = level.homes().has(from);
-  if (!ours && parcel->kind != Kind::eras && parcel->kind != Kind::digest) {
+  if (!ours && payload->kind != Kind::eras && payload->kind != Kind::digest) {
     ++known_.dropped["stranger"];
     return;
   }
-  learn(*parcel, now);
-  switch (parcel->kind) {
+  learn(*payload, now);
+  switch (payload->kind) {
     case Kind::votes:
-      level.votes(now, known_.names.of(from), *parcel);
+      level.votes(now, known_.names.of(from), *payload);
       break;
     case Kind::rows:
-      changed_ |= level.rows(now, from, *parcel);
+      changed_ |= level.rows(now, from, *payload);
       break;
     case Kind::ask:
       level.asked(now, from);
       break;
     case Kind::digest:
       era_budget_.refill(now);
-      if (parcel->digest != known_.eras.digest() && era_budget_.left() > 0)
-        send_eras(from, known_.eras.slice(eras_cursor_, eras_of_parcel), out);
+      if (payload->digest != known_.eras.digest() && era_budget_.left() > 0)
+        send_eras(from, known_.eras.slice(eras_cursor_, eras_of_payload), out);
       break;
     case Kind::eras:
       break;
@@ -200,7 +200,7 @@
   if (era_budget_.left() <= 0)
     return;
   std::vector<std::pair<NameId, Era>> eras;
-  for (const auto device : gossip_.take(eras_of_parcel))
+  for (const auto device : gossip_.take(eras_of_payload))
     if (const auto* era = known_.eras.find(device))
       eras.emplace_back(device, *era);
   if (eras.empty())
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -41,7 +41,7 @@
 
  private:
   void advanced(NameId device);
-  void learn(const Parcel& parcel, Micros now);
+  void learn(const Payload& payload, Micros now);
   void gossip(Micros now, peers::Outbox& out);
   void compare(Micros now, peers::Outbox& out);
   void send_eras(std::string_view to, const std::vector<std::pair<NameId, Era>>& eras, peers::Outbox& out);
--- a/src/tiers/merge/row.h
+++ b/src/tiers/merge/row.h
@@ -19,7 +19,7 @@
 };
 
 struct Stamp {
-  std::uint64_t start = 0, number = 0;  // the contributor's process, and its parcel
+  std::uint64_t start = 0, number = 0;  // the contributor's process, and its payload
   friend auto operator<=>(const Stamp&, const Stamp&) = default;
 };
 
--- a/src/tiers/names/homes.h
+++ b/src/tiers/names/homes.h
@@ -1,5 +1,5 @@
 // Which routers keep a shard: the first few by rendezvous hash over those that the view holds to be there.
-// Views may differ; then some votes go to one too many, which costs a parcel and no harm.
+// Views may differ; then some votes go to one too many, which costs a payload and no harm.
 #pragma once
 
 #include <array>
--- a/src/tiers/share/known.h
+++ b/src/tiers/share/known.h
@@ -12,8 +12,8 @@
 
 namespace lemonroute::tiers {
 
-// At most so many bytes a second, a second's worth at once. A parcel goes while anything is left, so that the
-// debt is one parcel's.
+// At most so many bytes a second, a second's worth at once. A payload goes while anything is left, so that
+// the debt is one payload's.
 class Budget {
  public:
   explicit Budget(std::size_t a_second) : rate_(static_cast<double>(a_second)), left_(rate_) {}
@@ -30,7 +30,7 @@
 };
 
 struct Traffic {
-  std::uint64_t parcels_out = 0, bytes_out = 0, parcels_in = 0, bytes_in = 0;
+  std::uint64_t payloads_out = 0, bytes_out = 0, payloads_in = 0, bytes_in = 0;
 };
 
 struct Known {
@@ -46,7 +46,7 @@
   Eras eras;
   Trust trust;
   Denied denied;
-  std::uint64_t number = 0;                // of the last parcel of votes
+  std::uint64_t number = 0;                // of the last payload of votes
   std::map<std::string, Traffic> traffic;  // by kind
   std::map<std::string, std::uint64_t> dropped;
 
@@ -54,7 +54,7 @@
   Stamp next_stamp() { return {options.start, ++number}; }
   void send(const char* kind, peers::Outbox& out, std::string_view to, const std::string& bytes) {
     auto& counts = traffic[kind];
-    ++counts.parcels_out;
+    ++counts.payloads_out;
     counts.bytes_out += bytes.size();
     out.send(peers::Topic::tiers, to, bytes);
   }
--- a/src/tiers/share/level.cpp
+++ b/src/tiers/share/level.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 constexpr Micros ask_every = std::chrono::seconds(5);  // of one member; the earlier ones of it are not heard
-constexpr std::size_t slice_parcels = 4, askers_at_once = 4;  // in a tick
-constexpr std::size_t parcels_at_once = 8;                    // told in a tick
-constexpr std::size_t lines_of_parcel = 64;  // more than ever fit, so that a parcel gets full
+constexpr std::size_t slice_payloads = 4, askers_at_once = 4;  // in a tick
+constexpr std::size_t payloads_at_once = 8;                    // told in a tick
+constexpr std::size_t lines_of_payload = 64;  // more than ever fit, so that a payload gets full
 }  // namespace
 
 Level::Level(Known& known, Tier tier, std::size_t most_keys)
@@ -40,19 +40,19 @@
   return changed;
 }
 
-void Level::votes(Micros now, NameId contributor, const Parcel& parcel) {
-  for (const auto& line : parcel.lines) {
-    Vote vote{parcel.stamp, {}, line.weight, now};
+void Level::votes(Micros now, NameId contributor, const Payload& payload) {
+  for (const auto& line : payload.lines) {
+    Vote vote{payload.stamp, {}, line.weight, now};
     for (const auto& holder : line.holders)
       vote.holders.push_back({holder.device, holder.era, holder.tokens, holder.confidence, holder.seen});
     keeper_.put(line.key, contributor, std::move(vote));
   }
 }
 
-bool Level::rows(Micros now, std::string_view from, const Parcel& parcel) {
+bool Level::rows(Micros now, std::string_view from, const Payload& payload) {
   const auto teller = known_.names.of(from);
   bool other = false;
-  for (const auto& line : parcel.lines) {
+  for (const auto& line : payload.lines) {
     // Guards against one member telling about shards that are not its own. Where views differ for a moment,
     // the next repeat makes good for it.
     if (!homes_.keeps(from, shard_of(line.key)))
@@ -66,7 +66,7 @@
 void Level::vote(Mail& mail, const Line& line, Micros now, Budget& budget, peers::Outbox& out) {
   for (const auto& keeper : homes_.keepers(shard_of(line.key))) {
     if (keeper == known_.options.name) {
-      Parcel own;
+      Payload own;
       own.stamp = known_.next_stamp();
       own.lines.push_back(line);
       votes(now, known_.me, own);
@@ -142,9 +142,9 @@
       board_.told(key, now);
     return;
   }
-  for (std::size_t i = 0; i < parcels_at_once && push_.left() > 0; ++i) {
+  for (std::size_t i = 0; i < payloads_at_once && push_.left() > 0; ++i) {
     Packer packer(Kind::rows, tier_, {});
-    for (const auto* line : board_.due(now, known_.options.limits.repeat, lines_of_parcel)) {
+    for (const auto* line : board_.due(now, known_.options.limits.repeat, lines_of_payload)) {
       if (!packer.add(*line, now))
         break;
       board_.told(line->key, now);
@@ -174,10 +174,10 @@
     if (!asker.open || served == askers_at_once || push_.left() <= 0)
       continue;
     ++served;
-    for (std::size_t i = 0; i < slice_parcels && asker.open; ++i) {
+    for (std::size_t i = 0; i < slice_payloads && asker.open; ++i) {
       Packer packer(Kind::rows, tier_, {});
       // Of what it was told as well: a head that has just started anew has nothing yet, the next in rank has.
-      const auto lines = told_.after(asker.cursor, lines_of_parcel, [&](std::size_t shard) {
+      const auto lines = told_.after(asker.cursor, lines_of_payload, [&](std::size_t shard) {
         return homes_.keeps(known_.options.name, shard);
       });
       std::size_t packed = 0;
@@ -187,7 +187,7 @@
         asker.cursor = line.key;
         ++packed;
       }
-      asker.open = packed < lines.size() || lines.size() == lines_of_parcel;
+      asker.open = packed < lines.size() || lines.size() == lines_of_payload;
       if (packer.empty())
         break;
       const auto bytes = packer.bytes();
--- a/src/tiers/share/level.h
+++ b/src/tiers/share/level.h
@@ -17,14 +17,14 @@
   Level(Known& known, Tier tier, std::size_t most_keys);
 
   std::vector<std::size_t> viewed(const peers::View& view);  // the shards whose keepers have changed
-  void votes(Micros now, NameId contributor, const Parcel& parcel);
-  bool rows(Micros now, std::string_view from, const Parcel& parcel);  // whether hints have changed
+  void votes(Micros now, NameId contributor, const Payload& payload);
+  bool rows(Micros now, std::string_view from, const Payload& payload);  // whether hints have changed
   void asked(Micros now, std::string_view from);
   void ask(Micros now, peers::Outbox& out);  // for all rows, of each head
   bool run(Micros now, peers::Outbox& out);  // whether hints have changed
   void eras_advanced() { choose_all_ = true; }
 
-  // Puts a vote of this router to the key's keepers, itself included; the parcels go with `flush`.
+  // Puts a vote of this router to the key's keepers, itself included; the payloads go with `flush`.
   struct Mail {
     std::unordered_map<std::string, Packer> open;
   };
--- a/src/tiers/store/board.h
+++ b/src/tiers/store/board.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <vector>
 
-#include "tiers/wire/parcel.h"
+#include "tiers/wire/payload.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/store/told.h
+++ b/src/tiers/store/told.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <map>
 
-#include "tiers/wire/parcel.h"
+#include "tiers/wire/payload.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/wire/parcel.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -1,4 +1,4 @@
-#include "tiers/wire/parcel.h"
+#include "tiers/wire/payload.h"
 
 #include <algorithm>
 #include <unordered_map>
@@ -12,7 +12,7 @@
 constexpr std::uint32_t version = 1, most_tokens = 1 << 24, most_tenths = 1 << 16;
 constexpr std::uint64_t year_2100 = 4'102'444'800'000'000;
 constexpr int most_devices = 64, most_lines = 128, numbers_of_holder = 6;
-constexpr std::size_t head_bytes = 48;  // the parcel's own fields at their longest
+constexpr std::size_t head_bytes = 48;  // the payload's own fields at their longest
 const Micros tenth = std::chrono::milliseconds(100);
 
 std::size_t varint(std::uint64_t value) {
@@ -23,12 +23,12 @@
 }
 }  // namespace
 
-std::optional<Parcel> read(std::string_view bytes, Micros now, const char*& why) {
+std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why) {
   const auto bad = [&](const char* word) {
     why = word;
     return std::nullopt;
   };
-  v1::Parcel from;
+  v1::Payload from;
   if (bytes.size() > peers::Outbox::most)
     return bad("oversize");
   if (!from.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
@@ -42,17 +42,17 @@
     return bad("count");
   if (from.start() >= year_2100)
     return bad("start");
-  Parcel parcel;
-  parcel.kind = static_cast<Kind>(from.kind());
-  parcel.tier = static_cast<Tier>(from.tier());
-  parcel.stamp = {from.start(), from.number()};
-  parcel.digest = from.digest();
+  Payload payload;
+  payload.kind = static_cast<Kind>(from.kind());
+  payload.tier = static_cast<Tier>(from.tier());
+  payload.stamp = {from.start(), from.number()};
+  payload.digest = from.digest();
   for (const auto& device : from.devices()) {
     if (device.name() == 0 || device.start() >= year_2100)
       return bad("device");
-    parcel.devices.emplace_back(device.name(), Era{device.start(), device.lanes()});
+    payload.devices.emplace_back(device.name(), Era{device.start(), device.lanes()});
   }
-  const int most_holders = parcel.kind == Kind::votes ? 2 : holders_bound;
+  const int most_holders = payload.kind == Kind::votes ? 2 : holders_bound;
   for (const auto& row : from.rows()) {
     Line line{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
     if (row.weight() > 255)
@@ -61,14 +61,14 @@
       return bad("holders");
     for (int i = 0; i < row.holders_size(); i += numbers_of_holder) {
       const auto at = [&](int field) { return row.holders(i + field); };
-      if (at(0) >= parcel.devices.size())
+      if (at(0) >= payload.devices.size())
         return bad("index");
-      const bool votes = parcel.kind == Kind::votes;
+      const bool votes = payload.kind == Kind::votes;
       if (!votes && at(4) >= static_cast<std::uint32_t>(from.contributors_size()))
         return bad("index");
       if (at(1) == 0 || at(1) > most_tokens || at(2) > 255 || at(3) > most_tenths || at(5) > Row::most)
         return bad("holder");
-      const auto& [device, era] = parcel.devices[at(0)];
+      const auto& [device, era] = payload.devices[at(0)];
       for (const auto& other : line.holders)
         if (other.device == device)
           return bad("twice");
@@ -76,39 +76,39 @@
                               votes ? 0 : from.contributors(static_cast<int>(at(4))),
                               static_cast<std::uint8_t>(at(5))});
     }
-    parcel.lines.push_back(std::move(line));
+    payload.lines.push_back(std::move(line));
   }
-  return parcel;
+  return payload;
 }
 
 struct Packer::Parts {
-  v1::Parcel parcel;
+  v1::Payload payload;
   std::unordered_map<NameId, std::uint32_t> devices, contributors;
   std::size_t bytes = head_bytes;
 };
 
 Packer::Packer(Kind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
-  auto& parcel = parts_->parcel;
-  parcel.set_version(version);
-  parcel.set_kind(static_cast<v1::Kind>(kind));
-  parcel.set_tier(static_cast<std::uint32_t>(tier));
-  parcel.set_start(stamp.start);
-  parcel.set_number(stamp.number);
+  auto& payload = parts_->payload;
+  payload.set_version(version);
+  payload.set_kind(static_cast<v1::Kind>(kind));
+  payload.set_tier(static_cast<std::uint32_t>(tier));
+  payload.set_start(stamp.start);
+  payload.set_number(stamp.number);
 }
 Packer::~Packer() = default;
 Packer::Packer(Packer&&) noexcept = default;
 Packer& Packer::operator=(Packer&&) noexcept = default;
 
 bool Packer::add(NameId device, const Era& era) {
-  auto& [parcel, devices, contributors, bytes] = *parts_;
+  auto& [payload, devices, contributors, bytes] = *parts_;
   if (devices.count(device))
     return true;
   const auto cost = 2 + 9 + 1 + varint(era.start) + (era.lanes ? 1 + varint(era.lanes) : 0);
-  if (bytes + cost > peers::Outbox::most || parcel.devices_size() == most_devices)
+  if (bytes + cost > peers::Outbox::most || payload.devices_size() == most_devices)
     return false;
   bytes += cost;
-  devices[device] = static_cast<std::uint32_t>(parcel.devices_size());
-  auto* to = parcel.add_devices();
+  devices[device] = static_cast<std::uint32_t>(payload.devices_size());
+  auto* to = payload.add_devices();
   to->set_name(device);
   to->set_start(era.start);
   to->set_lanes(era.lanes);
@@ -116,8 +116,8 @@
 }
 
 bool Packer::add(const Line& line, Micros now) {
-  auto& [parcel, devices, contributors, bytes] = *parts_;
-  if (parcel.rows_size() == most_lines)
+  auto& [payload, devices, contributors, bytes] = *parts_;
+  if (payload.rows_size() == most_lines)
     return false;
   // At its longest: every name new, each number of a holder at its bound.
   std::size_t cost = 2 + 9 + 3 + 2;
@@ -125,21 +125,21 @@
     cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint(holder.era.start) +
             (holder.era.lanes ? 1 + varint(holder.era.lanes) : 0);
   const auto room = static_cast<int>(line.holders.size());
-  if (bytes + cost > peers::Outbox::most || parcel.devices_size() + room > most_devices ||
-      parcel.contributors_size() + room > most_devices)
+  if (bytes + cost > peers::Outbox::most || payload.devices_size() + room > most_devices ||
+      payload.contributors_size() + room > most_devices)
     return false;
-  auto* row = parcel.add_rows();
+  auto* row = payload.add_rows();
   row->set_key(line.key);
   row->set_weight(line.weight);
   for (const auto& holder : line.holders) {
     add(holder.device, holder.era);
     std::uint32_t by = 0;
-    if (parcel.kind() == v1::rows) {
+    if (payload.kind() == v1::rows) {
       const auto [at, fresh] =
-          contributors.try_emplace(holder.by, static_cast<std::uint32_t>(parcel.contributors_size()));
+          contributors.try_emplace(holder.by, static_cast<std::uint32_t>(payload.contributors_size()));
       by = at->second;
       if (fresh) {
-        parcel.add_contributors(holder.by);
+        payload.add_contributors(holder.by);
         bytes += 8 + 2;
       }
     }
@@ -149,7 +149,7 @@
                                      holder.confidence,
                                      static_cast<std::uint32_t>(tenths),
                                      by,
-                                     parcel.kind() == v1::rows ? holder.votes : 0u};
+                                     payload.kind() == v1::rows ? holder.votes : 0u};
     for (const auto number : numbers) {
       row->add_holders(number);
       bytes += varint(number);
@@ -160,12 +160,12 @@
 }
 
 bool Packer::empty() const {
-  return parts_->devices.empty() && parts_->parcel.rows_size() == 0;
+  return parts_->devices.empty() && parts_->payload.rows_size() == 0;
 }
 
 std::string Packer::bytes(std::uint64_t digest) const {
-  parts_->parcel.set_digest(digest);
-  return parts_->parcel.SerializeAsString();
+  parts_->payload.set_digest(digest);
+  return parts_->payload.SerializeAsString();
 }
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/wire/parcel.h
+++ b/src/tiers/wire/payload.h
@@ -1,5 +1,5 @@
-// Parcels as bytes (proto/tiers.proto). Every field is checked against its bound; one that is over it voids
-// the parcel.
+// Payloads as bytes (proto/tiers.proto). Every field is checked against its bound; one that is over it voids
+// the payload.
 #pragma once
 
 #include <memory>
@@ -21,7 +21,7 @@
   std::vector<Shown> holders;  // up to 3, of votes 2; none: taken back
 };
 
-struct Parcel {
+struct Payload {
   Kind kind = Kind::eras;
   Tier tier = Tier::site;
   Stamp stamp;
@@ -31,9 +31,9 @@
 };
 
 // `why`: a word for the counters where there is none.
-std::optional<Parcel> read(std::string_view bytes, Micros now, const char*& why);
+std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why);
 
-// Fills one parcel with lines or eras until it is full.
+// Fills one payload with lines or eras until it is full.
 class Packer {
  public:
   Packer(Kind kind, Tier tier, Stamp stamp);
--- a/tests/peers/cases_test.cpp
+++ b/tests/peers/cases_test.cpp
@@ -228,7 +228,7 @@
   EXPECT_TRUE(world.run_until([&] { return world.one_view(&why); }, most)) << why;
 }
 
-TEST_P(Case, extensions_parcels_arrive_by_name_and_the_view_comes_first) {
+TEST_P(Case, extensions_payloads_arrive_by_name_and_the_view_comes_first) {
   struct Echo : Extension {
     Topic topic() const override { return Topic::pools; }
     void viewed(Micros, const View& view) override { seen = view.there(); }
@@ -259,7 +259,7 @@
   world.run_periods(10);
   EXPECT_EQ(static_cast<Echo&>(world.extension(1, Topic::pools)).seen, members.size());
   EXPECT_GE(world.agent(1).describe(world.local(1))["pools"]["got"], 5);
-  EXPECT_GE(counter(1, "parcels_dropped"), 18u);
+  EXPECT_GE(counter(1, "payloads_dropped"), 18u);
 }
 
 }  // namespace
--- a/tests/peers/decisions_test.cpp
+++ b/tests/peers/decisions_test.cpp
@@ -188,7 +188,7 @@
           wire::Ack{9, "of", 98},
           wire::Nack{10, "of"},
           wire::Sync{std::vector<std::uint32_t>(limits::buckets, ~0u), true},
-          wire::Parcel{1, std::string(Outbox::most, '\xff')}};
+          wire::Payload{1, std::string(Outbox::most, '\xff')}};
 }
 
 TEST(Wire, what_is_written_is_read_and_never_longer_than_a_datagram) {
@@ -203,10 +203,10 @@
     EXPECT_EQ(read.facts.size(), told);
     EXPECT_EQ(left_out, 0u);
   }
-  // The longest names there are still leave room for the longest parcel.
+  // The longest names there are still leave room for the longest payload.
   wire::Packet longest{
       fact(std::string(limits::name_bytes, 'n'), limits::incarnation, Standing::alive, limits::start),
-      wire::Parcel{~0u, std::string(Outbox::most, 'x')},
+      wire::Payload{~0u, std::string(Outbox::most, 'x')},
       {}};
   longest.sender.site.clear();
   longest.sender.address.clear();
--- a/tests/pools/parts_test.cpp
+++ b/tests/pools/parts_test.cpp
@@ -89,17 +89,17 @@
         grant.pools.back().owned.since = now - std::chrono::milliseconds(1 + rng() % 100000);
     }
     std::vector<wire::Entry> got;
-    for (auto parcel : wire::write(grant, 9, now)) {
-      ASSERT_LE(parcel.size(), peers::Outbox::most);
-      const auto read = wire::read(parcel, 9, 4, now);
+    for (auto payload : wire::write(grant, 9, now)) {
+      ASSERT_LE(payload.size(), peers::Outbox::most);
+      const auto read = wire::read(payload, 9, 4, now);
       ASSERT_TRUE(read.message);
       const auto& one = std::get<wire::Grant>(*read.message);
       EXPECT_EQ(one.nonce, grant.nonce);
       EXPECT_EQ(one.abstains, grant.abstains);
       got.insert(got.end(), one.pools.begin(), one.pools.end());
-      EXPECT_EQ(wire::read(parcel, 8, 4, now).fault, wire::Fault::mark);
+      EXPECT_EQ(wire::read(payload, 8, 4, now).fault, wire::Fault::mark);
       for (int damage = 0; damage < 20; ++damage) {
-        auto bad = parcel;
+        auto bad = payload;
         bad[rng() % bad.size()] = static_cast<char>(rng());
         if (rng() % 3 == 0)
           bad.resize(rng() % bad.size());
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -157,7 +157,7 @@
   std::vector<std::unique_ptr<Process>> processes;
   std::function<bool(const Process&, const Process&)> linked = [](auto&, auto&) { return true; };
   double loss = 0;
-  std::uint64_t parcels = 0, bytes = 0;
+  std::uint64_t payloads = 0, bytes = 0;
   std::string broken;
 
  private:
@@ -179,17 +179,17 @@
       wake(one, life);
     });
   }
-  void carry(Process& from, std::string_view to, std::string parcel) {
-    ++parcels;
-    bytes += parcel.size();
-    if (parcel.size() > peers::Outbox::most)
-      broken = "a parcel of " + std::to_string(parcel.size()) + " bytes";
+  void carry(Process& from, std::string_view to, std::string payload) {
+    ++payloads;
+    bytes += payload.size();
+    if (payload.size() > peers::Outbox::most)
+      broken = "a payload of " + std::to_string(payload.size()) + " bytes";
     for (auto& one : processes) {
       if (one->name != to || !linked(from, *one) || static_cast<double>(rng() % 1000) < loss * 1000)
         continue;
       const Micros delay = Micros(1000 + rng() % 20000);
-      when_awake(*one, one->life, now + delay, [&one = *one, sender = from.name, parcel] {
-        one.pools->receive(one.local(), sender, parcel, one);
+      when_awake(*one, one->life, now + delay, [&one = *one, sender = from.name, payload] {
+        one.pools->receive(one.local(), sender, payload, one);
       });
     }
   }
--- a/tests/tiers/map_test.cpp
+++ b/tests/tiers/map_test.cpp
@@ -263,7 +263,7 @@
   Packer rows(Kind::rows, Tier::site, {});
   rows.add({Names(4711).session(5), 9, {{Names(4711).of("d1"), {10'000'000, 0}, 500, 255, net.now(), 1, 1}}},
            net.now());
-  net.say(0, 2, "no parcel");
+  net.say(0, 2, "no payload");
   net.say(0, 2, std::string(900, '\xff'));
   net.say(1, 2, rows.bytes());  // of the other site
   net.run(seconds(1));
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -1,4 +1,4 @@
-// Merges, summaries and parcels: properties over random operations, each from a seed.
+// Merges, summaries and payloads: properties over random operations, each from a seed.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -7,7 +7,7 @@
 #include "peers/extension.h"
 #include "tiers/store/heavy.h"
 #include "tiers/store/keeper.h"
-#include "tiers/wire/parcel.h"
+#include "tiers/wire/payload.h"
 
 namespace lemonroute::tiers {
 namespace {
@@ -135,7 +135,7 @@
   EXPECT_EQ(choose(row, {}, believed)[0].tokens, 1100u);
 }
 
-TEST(Parcel, ReadsBackWhatWasPackedAndFits) {
+TEST(Payload, ReadsBackWhatWasPackedAndFits) {
   Random random(6);
   for (int round = 0; round < 300; ++round) {
     const bool votes = random() % 2;
@@ -159,14 +159,14 @@
     ASSERT_LE(bytes.size(), peers::Outbox::most);
     EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the bound on its length is not wasteful
     const char* why = "";
-    const auto parcel = read(bytes, std::chrono::seconds(1000), why);
-    ASSERT_TRUE(parcel) << why;
-    ASSERT_EQ(parcel->lines.size(), lines.size());
+    const auto payload = read(bytes, std::chrono::seconds(1000), why);
+    ASSERT_TRUE(payload) << why;
+    ASSERT_EQ(payload->lines.size(), lines.size());
     for (std::size_t i = 0; i < lines.size(); ++i) {
-      EXPECT_EQ(parcel->lines[i].key, lines[i].key);
-      ASSERT_EQ(parcel->lines[i].holders.size(), lines[i].holders.size());
+      EXPECT_EQ(payload->lines[i].key, lines[i].key);
+      ASSERT_EQ(payload->lines[i].holders.size(), lines[i].holders.size());
       for (std::size_t h = 0; h < lines[i].holders.size(); ++h) {
-        const auto &got = parcel->lines[i].holders[h], &put = lines[i].holders[h];
+        const auto &got = payload->lines[i].holders[h], &put = lines[i].holders[h];
         EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens && got.by == put.by &&
                     got.votes == put.votes && got.confidence == put.confidence && got.seen == put.seen);
       }
