--- a/src/tiers/describe.cpp
+++ b/src/tiers/describe.cpp
@@ -36,25 +36,25 @@
                      {"bytes_in", counts.bytes_in}};
   nlohmann::json devices = nlohmann::json::object();
   for (const auto& [id, device] : devices_)
-    if (const auto* era = known_.eras.find(id))
-      devices[device.name] = {
-          {"start", era->start},
-          {"losses",
-           {era->lanes & 0xffff, era->lanes >> 16 & 0xffff, era->lanes >> 32 & 0xffff, era->lanes >> 48}}};
-  const auto& eras = known_.eras.counts();
+    if (const auto* generation = known_.generations.find(id))
+      devices[device.name] = {{"start", generation->start},
+                              {"losses",
+                               {generation->lanes & 0xffff, generation->lanes >> 16 & 0xffff,
+                                generation->lanes >> 32 & 0xffff, generation->lanes >> 48}}};
+  const auto& generations = known_.generations.counts();
   return {{"device",
            {{"keys", device_.size()}, {"evicted", device_.evicted()}, {"worth_error", device_.error()}}},
           {"site", described(site_, known_.options.name)},
           {"region", described(region_, known_.options.name)},
           {"map", {{"version", map_->version()}, {"keys", map_->keys()}, {"holders_bound", holders_bound}}},
           {"eras",
-           {{"known", known_.eras.size()},
-            {"digest", known_.eras.digest()},
-            {"advanced", eras.advanced},
-            {"voids_told", eras.told_voids},
-            {"voids_held_back", eras.held_back},
-            {"losses_disproved", eras.disproved},
-            {"refused", eras.refused},
+           {{"known", known_.generations.size()},
+            {"digest", known_.generations.digest()},
+            {"advanced", generations.advanced},
+            {"voids_told", generations.told_voids},
+            {"voids_held_back", generations.held_back},
+            {"losses_disproved", generations.disproved},
+            {"refused", generations.refused},
             {"devices", devices}}},
           {"trust",
            {{"judged", known_.trust.size()},
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -8,10 +8,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 namespace {
-constexpr std::size_t eras_of_payload = 40;
+constexpr std::size_t generations_of_payload = 40;
 constexpr std::size_t keys_at_once = 256;     // told to keepers in a tick
 constexpr std::size_t vote_bytes_about = 75;  // of one key, to its three keepers
-constexpr std::size_t era_bytes = 32 * 1024;  // a second: who floods with eras makes nobody pass on more
+constexpr std::size_t generation_bytes =
+    32 * 1024;  // a second: who floods with generations makes nobody pass on more
 constexpr double most_tokens = 1 << 24;
 constexpr unsigned most_asks = 3;  // datagrams may be lost
 std::uint32_t whole(double tokens) {
@@ -26,18 +27,19 @@
       region_(known_, Tier::region, known_.options.limits.region_keys),
       gossip_(seed ^ known_.me),
       vote_budget_(known_.options.limits.vote_bytes),
-      era_budget_(era_bytes),
+      generation_budget_(generation_bytes),
       map_(std::make_shared<Map>(known_.names)) {}
 
 void Tiers::kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) {
   const auto device = known_.names.of(node.name);
-  const auto* era = known_.eras.find(device);
-  if (!era)
+  const auto* generation = known_.generations.find(device);
+  if (!generation)
     return;  // not of the list
   if (session != 0)
-    device_.saw(known_.names.session(session), device, *era, whole(tokens), now);
+    device_.saw(known_.names.session(session), device, *generation, whole(tokens), now);
   if (shared != 0)
-    device_.saw(known_.names.shared(shared), device, *era, whole(std::min(tokens, shared_tokens)), now);
+    device_.saw(known_.names.shared(shared), device, *generation, whole(std::min(tokens, shared_tokens)),
+                now);
 }
 
 void Tiers::judge(KeyId key, NameId device, double tokens, Micros now, std::map<NameId, double>& wrong,
@@ -64,8 +66,8 @@
 
 void Tiers::found(const Node& node, Key session, Key shared, double tokens, Micros now) {
   const auto device = known_.names.of(node.name);
-  const auto* era = known_.eras.find(device);
-  if (!era)
+  const auto* generation = known_.generations.find(device);
+  if (!generation)
     return;
   std::map<NameId, double> wrong;
   std::set<NameId> right;
@@ -77,9 +79,9 @@
     const auto* own = device_.find(key, device);
     // Only what this router saw before the loss was told can disprove it, and only a session's text: an
     // opening may have been read there anew for somebody else.
-    if (session != 0 && key == known_.names.session(session) && own && !(own->era == *era) &&
-        tokens >= own->tokens / 2.0 && known_.eras.void_lately(device, now))
-      known_.eras.disproved(device, now);
+    if (session != 0 && key == known_.names.session(session) && own && !(own->generation == *generation) &&
+        tokens >= own->tokens / 2.0 && known_.generations.void_lately(device, now))
+      known_.generations.disproved(device, now);
     device_.found(key, device, whole(tokens), now);
   }
   for (const auto& [name, factor] : wrong)
@@ -92,27 +94,27 @@
 
 void Tiers::advanced(NameId device) {
   gossip_.advanced(device);
-  site_.eras_advanced();
-  region_.eras_advanced();
+  site_.generations_advanced();
+  region_.generations_advanced();
   changed_ = true;
   due_ = Micros{};  // at once
 }
 
 void Tiers::lost(const Node& node, Micros now) {
   const auto device = known_.names.of(node.name);
-  if (devices_.count(device) && known_.eras.lost(device, now))
+  if (devices_.count(device) && known_.generations.lost(device, now))
     advanced(device);
 }
 
 void Tiers::listed(const std::vector<Node>& nodes, Micros now) {
-  known_.eras.unlist_all();
+  known_.generations.unlist_all();
   devices_.clear();
   for (const auto& node : nodes) {
     const auto device = known_.names.of(node.name);
-    const bool before = known_.eras.find(device) != nullptr;
+    const bool before = known_.generations.find(device) != nullptr;
     const auto start = static_cast<std::uint64_t>(std::max<std::int64_t>(0, node.listed_start.count()));
     devices_[device] = {node.name, node.zone};
-    if (known_.eras.listed(device, start, now) && before)
+    if (known_.generations.listed(device, start, now) && before)
       advanced(device);
   }
   changed_ = true;
@@ -133,12 +135,12 @@
 }
 
 void Tiers::learn(const Payload& payload, Micros now) {
-  for (const auto& [device, era] : payload.devices) {
-    const auto* had = known_.eras.find(device);
-    const bool before = had != nullptr, same = before && *had == era;
+  for (const auto& [device, generation] : payload.devices) {
+    const auto* had = known_.generations.find(device);
+    const bool before = had != nullptr, same = before && *had == generation;
     if (same)
       gossip_.heard(device);
-    else if (known_.eras.told(device, era, now) && before)
+    else if (known_.generations.told(device, generation, now) && before)
       advanced(device);
   }
 }
@@ -156,7 +158,7 @@
   traffic.bytes_in += bytes.size();
   auto& level = payload->tier == Tier::site ? site_ : region_;
   const bool ours = level.homes().has(from);
-  if (!ours && payload->kind != Kind::eras && payload->kind != Kind::digest) {
+  if (!ours && payload->kind != Kind::generations && payload->kind != Kind::digest) {
     ++known_.dropped["stranger"];
     return;
   }
@@ -172,41 +174,42 @@
       level.asked(now, from);
       break;
     case Kind::digest:
-      era_budget_.refill(now);
-      if (payload->digest != known_.eras.digest() && era_budget_.left() > 0)
-        send_eras(from, known_.eras.slice(eras_cursor_, eras_of_payload), out);
+      generation_budget_.refill(now);
+      if (payload->digest != known_.generations.digest() && generation_budget_.left() > 0)
+        send_generations(from, known_.generations.slice(generations_cursor_, generations_of_payload), out);
       break;
-    case Kind::eras:
+    case Kind::generations:
       break;
   }
   if (due_ == Micros{})
     gossip(now, out);
 }
 
-void Tiers::send_eras(std::string_view to, const std::vector<std::pair<NameId, Era>>& eras,
-                      peers::Outbox& out) {
-  Packer packer(Kind::eras, Tier::site, {});
-  for (const auto& [device, era] : eras)
-    packer.add(device, era);
+void Tiers::send_generations(std::string_view to,
+                             const std::vector<std::pair<NameId, Generation>>& generations,
+                             peers::Outbox& out) {
+  Packer packer(Kind::generations, Tier::site, {});
+  for (const auto& [device, generation] : generations)
+    packer.add(device, generation);
   if (packer.empty())
     return;
   const auto bytes = packer.bytes();
-  era_budget_.spend(bytes.size());
+  generation_budget_.spend(bytes.size());
   known_.send("eras", out, to, bytes);
 }
 
 void Tiers::gossip(Micros now, peers::Outbox& out) {
-  era_budget_.refill(now);
-  if (era_budget_.left() <= 0)
+  generation_budget_.refill(now);
+  if (generation_budget_.left() <= 0)
     return;
-  std::vector<std::pair<NameId, Era>> eras;
-  for (const auto device : gossip_.take(eras_of_payload))
-    if (const auto* era = known_.eras.find(device))
-      eras.emplace_back(device, *era);
-  if (eras.empty())
+  std::vector<std::pair<NameId, Generation>> generations;
+  for (const auto device : gossip_.take(generations_of_payload))
+    if (const auto* generation = known_.generations.find(device))
+      generations.emplace_back(device, *generation);
+  if (generations.empty())
     return;
   for (const auto& to : gossip_.draw(members_, known_.options.name, Gossip::fan_out))
-    send_eras(to, eras, out);
+    send_generations(to, generations, out);
 }
 
 void Tiers::compare(Micros now, peers::Outbox& out) {
@@ -214,7 +217,7 @@
     return;
   compared_ = now;
   for (const auto& to : gossip_.draw(members_, known_.options.name, 1))
-    known_.send("digests", out, to, Packer(Kind::digest, Tier::site, {}).bytes(known_.eras.digest()));
+    known_.send("digests", out, to, Packer(Kind::digest, Tier::site, {}).bytes(known_.generations.digest()));
 }
 
 void Tiers::contribute(Micros now, peers::Outbox& out) {
@@ -226,8 +229,9 @@
   for (const auto key : device_.due(now, std::min(keys_at_once, room))) {
     Line line{key, device_.weight(key), {}};
     for (const auto& holder : device_.holders(key))
-      if (known_.eras.holds(holder.device, holder.era))
-        line.holders.push_back({holder.device, holder.era, holder.tokens, holder.confidence, holder.seen});
+      if (known_.generations.holds(holder.device, holder.generation))
+        line.holders.push_back(
+            {holder.device, holder.generation, holder.tokens, holder.confidence, holder.seen});
     site_.vote(mail, line, now, vote_budget_, out);
   }
   site_.flush(mail, vote_budget_, out);
@@ -256,8 +260,8 @@
   if (now - swept_ >= seconds(1)) {
     swept_ = now;
     device_.expire(
-        [&](NameId device, const Era& era) {
-          return known_.eras.holds(device, era) || known_.eras.void_lately(device, now);
+        [&](NameId device, const Generation& generation) {
+          return known_.generations.holds(device, generation) || known_.generations.void_lately(device, now);
         },
         now);
     known_.denied.expire(now);
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -8,7 +8,7 @@
 
 #include "core/guide.h"
 #include "peers/extension.h"
-#include "tiers/era/gossip.h"
+#include "tiers/generation/gossip.h"
 #include "tiers/share/uplift.h"
 #include "tiers/snapshot/maker.h"
 #include "tiers/store/device.h"
@@ -44,7 +44,8 @@
   void learn(const Payload& payload, Micros now);
   void gossip(Micros now, peers::Outbox& out);
   void compare(Micros now, peers::Outbox& out);
-  void send_eras(std::string_view to, const std::vector<std::pair<NameId, Era>>& eras, peers::Outbox& out);
+  void send_generations(std::string_view to, const std::vector<std::pair<NameId, Generation>>& generations,
+                        peers::Outbox& out);
   void contribute(Micros now, peers::Outbox& out);
   void ask(Micros now, peers::Outbox& out);
   void judge(KeyId key, NameId device, double tokens, Micros now, std::map<NameId, double>& wrong,
@@ -55,14 +56,14 @@
   Level site_, region_;
   Uplift uplift_;
   Gossip gossip_;
-  Budget vote_budget_, era_budget_;
+  Budget vote_budget_, generation_budget_;
   std::vector<std::string> members_;  // that are there, of all sites
   MapMaker::Devices devices_;
   std::shared_ptr<const Map> map_;
   bool changed_ = false;
   Micros due_{}, made_{}, compared_{}, uplifted_{}, swept_{}, asked_{};
   unsigned asks_ = 0;
-  NameId eras_cursor_ = 0;
+  NameId generations_cursor_ = 0;
 };
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/era/era.cpp
+++ b/src/tiers/generation/generation.cpp
@@ -1,4 +1,4 @@
-#include "tiers/era/era.h"
+#include "tiers/generation/generation.h"
 
 #include <algorithm>
 
@@ -11,20 +11,20 @@
 }
 }  // namespace
 
-Era join(const Era& a, const Era& b) {
+Generation join(const Generation& a, const Generation& b) {
   if (a.start != b.start)
     return a.start > b.start ? a : b;
-  Era both{a.start, 0};
+  Generation both{a.start, 0};
   for (unsigned i = 0; i < 4; ++i)
     both.lanes |= std::max(lane(a.lanes, i), lane(b.lanes, i)) << (16 * i);
   return both;
 }
 
-Era lose(Era era, unsigned at) {
+Generation lose(Generation generation, unsigned at) {
   at %= 4;
-  if (lane(era.lanes, at) < lane_most)
-    era.lanes += std::uint64_t{1} << (16 * at);
-  return era;
+  if (lane(generation.lanes, at) < lane_most)
+    generation.lanes += std::uint64_t{1} << (16 * at);
+  return generation;
 }
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/era/eras.h
+++ b/src/tiers/generation/generations.h
@@ -1,31 +1,32 @@
-// The eras of all devices as far as they are known here: from the own list, from what this router noticed,
-// and from what others say. Bounded; the devices of the own list always have a place.
+// The generations of all devices as far as they are known here: from the own list, from what this router
+// noticed, and from what others say. Bounded; the devices of the own list always have a place.
 #pragma once
 
 #include <optional>
 #include <unordered_map>
 #include <vector>
 
-#include "tiers/era/era.h"
+#include "tiers/generation/generation.h"
 #include "tiers/names/names.h"
 
 namespace lemonroute::tiers {
 
-class Eras {
+class Generations {
  public:
-  Eras(const Names& names, unsigned lane, std::size_t most) : names_(names), lane_(lane), most_(most) {}
+  Generations(const Names& names, unsigned lane, std::size_t most)
+      : names_(names), lane_(lane), most_(most) {}
 
-  // Each returns whether the device's era has advanced.
+  // Each returns whether the device's generation has advanced.
   bool listed(NameId device, std::uint64_t start, Micros now);
   bool lost(NameId device,
             Micros now);  // this router noticed. Heard or noticed already within 2 s: the same loss
-  bool told(NameId device, const Era& era, Micros now);
+  bool told(NameId device, const Generation& generation, Micros now);
   void unlist_all();  // before the next whole list
 
-  const Era* find(NameId device) const;
-  // Whether what was seen in that era still counts. An era ahead of the one known here does not: only who
-  // knows a device by its list can give hints for it, and hears of the era with the hint.
-  bool holds(NameId device, const Era& era) const;
+  const Generation* find(NameId device) const;
+  // Whether what was seen in that generation still counts. A generation ahead of the one known here does not:
+  // only who knows a device by its list can give hints for it, and hears of the generation with the hint.
+  bool holds(NameId device, const Generation& generation) const;
 
   // When the core is to let its own credit fall, because others told of a loss; 0: never. Guards against a
   // liar with the right key: at most one each 10 s for a device, 16 and then one a second for all, and none
@@ -34,10 +35,10 @@
   void disproved(NameId device, Micros now);
   bool void_lately(NameId device, Micros now) const;  // told, and the core did not notice itself
 
-  std::uint64_t digest() const { return digest_; }  // the same where all eras are
+  std::uint64_t digest() const { return digest_; }  // the same where all generations are
   std::size_t size() const { return all_.size(); }
-  std::vector<std::pair<NameId, Era>> slice(NameId& cursor,
-                                            std::size_t most) const;  // goes on where it ended
+  std::vector<std::pair<NameId, Generation>> slice(NameId& cursor,
+                                                   std::size_t most) const;  // goes on where it ended
 
   struct Counts {
     std::uint64_t advanced = 0, told_voids = 0, held_back = 0, disproved = 0, refused = 0;
@@ -46,12 +47,12 @@
 
  private:
   struct Known {
-    Era era;
+    Generation generation;
     std::optional<std::uint64_t> listed;  // by the own list, now
     Micros advanced{}, void_since{};
   };
   Known* place(NameId device, bool listed);
-  bool set(NameId device, Known& known, const Era& era, Micros now);
+  bool set(NameId device, Known& known, const Generation& generation, Micros now);
   void void_told(Known& known, Micros now);
   Names names_;
   unsigned lane_;
--- a/src/tiers/era/gossip.cpp
+++ b/src/tiers/generation/gossip.cpp
@@ -1,4 +1,4 @@
-#include "tiers/era/gossip.h"
+#include "tiers/generation/gossip.h"
 
 #include <algorithm>
 
--- a/src/tiers/era/gossip.h
+++ b/src/tiers/generation/gossip.h
@@ -1,7 +1,7 @@
-// Whom to tell of eras that have just advanced: a few drawn members at once and in the next ticks, each
-// device a bounded number of times. With fan-out 4 and 4 rounds a member is missed by all with a chance of
-// about e^-16 (e^-11 where 30 of 100 datagrams are lost); what is missed is found by comparing digests, one
-// member a second.
+// Whom to tell of generations that have just advanced: a few drawn members at once and in the next ticks,
+// each device a bounded number of times. With fan-out 4 and 4 rounds a member is missed by all with a chance
+// of about e^-16 (e^-11 where 30 of 100 datagrams are lost); what is missed is found by comparing digests,
+// one member a second.
 #pragma once
 
 #include <map>
--- a/src/tiers/merge/choose.cpp
+++ b/src/tiers/merge/choose.cpp
@@ -25,14 +25,14 @@
     if (trust <= 0)
       continue;
     for (const auto& holder : entry.vote.holders) {
-      if (!believed.holds(holder.device, holder.era))
+      if (!believed.holds(holder.device, holder.generation))
         continue;
       auto& device = devices[holder.device];
       device.support += trust * faded(holder.confidence, holder.seen, believed.now, believed.fade);
       device.claims.push_back({holder.tokens, entry.contributor});
       auto& shown = device.shown;
       if (device.claims.size() == 1)
-        shown = {holder.device, holder.era, 0, holder.confidence, holder.seen, 0, 0};
+        shown = {holder.device, holder.generation, 0, holder.confidence, holder.seen, 0, 0};
       else if (holder.seen > shown.seen)
         shown.seen = holder.seen, shown.confidence = holder.confidence;
     }
@@ -65,7 +65,7 @@
     return true;
   for (const auto& x : a) {
     const auto y = std::find_if(b.begin(), b.end(), [&](const auto& one) { return one.device == x.device; });
-    if (y == b.end() || !(y->era == x.era))
+    if (y == b.end() || !(y->generation == x.generation))
       return true;
     if (std::abs(double(x.tokens) - y->tokens) > 0.25 * std::max(x.tokens, y->tokens))
       return true;
--- a/src/tiers/merge/choose.h
+++ b/src/tiers/merge/choose.h
@@ -11,7 +11,7 @@
 // A holder as the others are told of it.
 struct Shown {
   NameId device = 0;
-  Era era{};
+  Generation generation{};
   std::uint32_t tokens = 0;
   std::uint8_t confidence = 0;
   Micros seen{};
@@ -20,8 +20,9 @@
 };
 
 struct Believed {
-  std::function<bool(NameId device, const Era&)> holds;  // whether the era is the device's own still
-  std::function<double(NameId contributor)> trust;       // 0 to 1
+  std::function<bool(NameId device, const Generation&)>
+      holds;                                        // whether the generation is the device's own still
+  std::function<double(NameId contributor)> trust;  // 0 to 1
   Micros now{}, fade{};
 };
 
--- a/src/tiers/merge/row.cpp
+++ b/src/tiers/merge/row.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 auto said(const Holder& holder) {
-  return std::tuple(holder.device, holder.era.start, holder.era.lanes, holder.tokens, holder.confidence);
+  return std::tuple(holder.device, holder.generation.start, holder.generation.lanes, holder.tokens,
+                    holder.confidence);
 }
 // A total order of what was said, the times apart: two different votes under one stamp (a liar's) have a
 // winner too.
--- a/src/tiers/merge/row.h
+++ b/src/tiers/merge/row.h
@@ -5,14 +5,14 @@
 #include <compare>
 #include <vector>
 
-#include "tiers/era/era.h"
+#include "tiers/generation/generation.h"
 #include "tiers/names/names.h"
 
 namespace lemonroute::tiers {
 
 struct Holder {
   NameId device = 0;
-  Era era{};
+  Generation generation{};
   std::uint32_t tokens = 0;     // of the prompt, from its beginning
   std::uint8_t confidence = 0;  // 255: its contributor is sure
   Micros seen{};                // on this router's clock
--- a/src/tiers/options.h
+++ b/src/tiers/options.h
@@ -15,7 +15,7 @@
   std::size_t device_keys = 1024;            // of this router's own sight, each with two devices at the most
   std::size_t site_keys = 4096;              // in each of: what is kept for the site, what was told of it
   std::size_t region_keys = 2048;            // likewise
-  std::size_t devices = 4096;                // whose eras are known
+  std::size_t devices = 4096;                // whose generations are known
   Micros fade = std::chrono::seconds(60);    // a sight is worth half after it
   Micros repeat = std::chrono::seconds(10);  // everybody says again what still holds
   std::size_t vote_bytes = 16 * 1024;        // a second, to keepers
--- a/src/tiers/share/known.h
+++ b/src/tiers/share/known.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "peers/extension.h"
-#include "tiers/era/eras.h"
+#include "tiers/generation/generations.h"
 #include "tiers/merge/choose.h"
 #include "tiers/trust/trust.h"
 
@@ -38,12 +38,12 @@
       : options(std::move(o)),
         names(options.secret),
         me(names.of(options.name)),
-        eras(names, static_cast<unsigned>(names.of(options.site) % 4), options.limits.devices) {}
+        generations(names, static_cast<unsigned>(names.of(options.site) % 4), options.limits.devices) {}
 
   Options options;
   Names names;
   NameId me;
-  Eras eras;
+  Generations generations;
   Trust trust;
   Denied denied;
   std::uint64_t number = 0;                // of the last payload of votes
--- a/src/tiers/share/level.cpp
+++ b/src/tiers/share/level.cpp
@@ -44,7 +44,8 @@
   for (const auto& line : payload.lines) {
     Vote vote{payload.stamp, {}, line.weight, now};
     for (const auto& holder : line.holders)
-      vote.holders.push_back({holder.device, holder.era, holder.tokens, holder.confidence, holder.seen});
+      vote.holders.push_back(
+          {holder.device, holder.generation, holder.tokens, holder.confidence, holder.seen});
     keeper_.put(line.key, contributor, std::move(vote));
   }
 }
@@ -101,7 +102,9 @@
     return false;
   Line line{key, 0, {}};
   if (const auto* row = keeper_.find(key)) {
-    const Believed believed{[&](NameId device, const Era& era) { return known_.eras.holds(device, era); },
+    const Believed believed{[&](NameId device, const Generation& generation) {
+                              return known_.generations.holds(device, generation);
+                            },
                             [&](NameId by) { return known_.believed(by, now); }, now,
                             known_.options.limits.fade};
     line.holders = choose(*row, board_.holders(key), believed);
--- a/src/tiers/share/level.h
+++ b/src/tiers/share/level.h
@@ -22,7 +22,7 @@
   void asked(Micros now, std::string_view from);
   void ask(Micros now, peers::Outbox& out);  // for all rows, of each head
   bool run(Micros now, peers::Outbox& out);  // whether hints have changed
-  void eras_advanced() { choose_all_ = true; }
+  void generations_advanced() { choose_all_ = true; }
 
   // Puts a vote of this router to the key's keepers, itself included; the payloads go with `flush`.
   struct Mail {
--- a/src/tiers/snapshot/maker.cpp
+++ b/src/tiers/snapshot/maker.cpp
@@ -4,7 +4,7 @@
 
 double MapMaker::confidence(const Known& known, KeyId key, const Told::Row& row, const Shown& holder,
                             Micros now) {
-  if (!known.eras.holds(holder.device, holder.era) || known.denied.has(key, holder.device, now))
+  if (!known.generations.holds(holder.device, holder.generation) || known.denied.has(key, holder.device, now))
     return 0;
   const double trust = known.believed(holder.by, now) * known.believed(row.teller, now);
   // Of nobody is more than half believed at first, so an unproven hint has a quarter of what a proven one
@@ -27,7 +27,7 @@
     index[id] = {static_cast<std::uint32_t>(map->nodes_.size()),
                  device.zone == known.options.site ? 1 : across};
     map->nodes_.push_back(device.name);
-    if (const auto since = known.eras.void_since(id); since != Micros{})
+    if (const auto since = known.generations.void_since(id); since != Micros{})
       map->lost_[device.name] = since;
   }
   // Shards are the keys' leading bits, so that the rows come in the order of keys.
--- a/src/tiers/snapshot/maker.h
+++ b/src/tiers/snapshot/maker.h
@@ -1,4 +1,4 @@
-// Makes the map from what was told, what is believed of the tellers, and which eras hold.
+// Makes the map from what was told, what is believed of the tellers, and which generations hold.
 #pragma once
 
 #include "tiers/share/known.h"
--- a/src/tiers/store/device.cpp
+++ b/src/tiers/store/device.cpp
@@ -14,7 +14,8 @@
   return static_cast<std::uint8_t>(std::clamp(8 * std::log2(1 + std::max(0.0, worth)), 0.0, 255.0));
 }
 
-void DeviceTier::saw(KeyId key, NameId device, const Era& era, std::uint32_t tokens, Micros now) {
+void DeviceTier::saw(KeyId key, NameId device, const Generation& generation, std::uint32_t tokens,
+                     Micros now) {
   if (tokens == 0)
     return;
   // What a key is worth: the tokens whose reading it has saved, or could have.
@@ -26,8 +27,8 @@
   auto& holders = entry.holders;
   auto at =
       std::find_if(holders.begin(), holders.end(), [&](const auto& one) { return one.device == device; });
-  const bool known =
-      at != holders.end() && at->era == era && tokens <= 1.25 * at->tokens && tokens >= 0.75 * at->tokens;
+  const bool known = at != holders.end() && at->generation == generation && tokens <= 1.25 * at->tokens &&
+                     tokens >= 0.75 * at->tokens;
   if (at == holders.end()) {
     // The one seen longest ago makes room.
     if (holders.size() < devices_of_key)
@@ -35,8 +36,8 @@
     else
       at = std::min_element(holders.begin(), holders.end(), [](auto& a, auto& b) { return a.seen < b.seen; });
   }
-  const bool longest_here = at->device == device && at->era == era && at->tokens > tokens;
-  *at = {device, era, longest_here ? at->tokens : tokens, 255, now};
+  const bool longest_here = at->device == device && at->generation == generation && at->tokens > tokens;
+  *at = {device, generation, longest_here ? at->tokens : tokens, 255, now};
   std::sort(holders.begin(), holders.end(), [](auto& a, auto& b) { return a.seen > b.seen; });
   if (!known)
     changed(key, entry);
@@ -82,7 +83,7 @@
   entry.waiting = true;
 }
 
-void DeviceTier::expire(const std::function<bool(NameId, const Era&)>& holds, Micros now) {
+void DeviceTier::expire(const std::function<bool(NameId, const Generation&)>& holds, Micros now) {
   if (now - halved_ >= limits_.fade) {
     heavy_.halve();
     halved_ = now;
@@ -93,7 +94,7 @@
     auto& [key, entry] = *at;
     const auto count = entry.holders.size();
     std::erase_if(entry.holders,
-                  [&](const Holder& one) { return one.seen < before || !holds(one.device, one.era); });
+                  [&](const Holder& one) { return one.seen < before || !holds(one.device, one.generation); });
     if (entry.holders.size() != count)
       changed(key, entry);
     // Taken back, and that was said: nothing is left to keep.
--- a/src/tiers/store/device.h
+++ b/src/tiers/store/device.h
@@ -16,11 +16,12 @@
   explicit DeviceTier(const Limits& limits) : limits_(limits), heavy_(limits.device_keys) {}
 
   // A read that ended well: so many tokens of the key are kept there now.
-  void saw(KeyId key, NameId device, const Era& era, std::uint32_t tokens, Micros now);
+  void saw(KeyId key, NameId device, const Generation& generation, std::uint32_t tokens, Micros now);
   // A node's own count at the beginning of a read. Far less than was thought: what was seen there is gone.
   void found(KeyId key, NameId device, std::uint32_t tokens, Micros now);
   const Holder* find(KeyId key, NameId device) const;
-  void expire(const std::function<bool(NameId, const Era&)>& holds, Micros now);  // void and faded ones
+  void expire(const std::function<bool(NameId, const Generation&)>& holds,
+              Micros now);  // void and faded ones
 
   // Keys to be told of now: new and changed ones in order, then those not said for `repeat`. They count as
   // told.
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -50,7 +50,7 @@
   for (const auto& device : from.devices()) {
     if (device.name() == 0 || device.start() >= year_2100)
       return bad("device");
-    payload.devices.emplace_back(device.name(), Era{device.start(), device.lanes()});
+    payload.devices.emplace_back(device.name(), Generation{device.start(), device.lanes()});
   }
   const int most_holders = payload.kind == Kind::votes ? 2 : holders_bound;
   for (const auto& row : from.rows()) {
@@ -68,12 +68,12 @@
         return bad("index");
       if (at(1) == 0 || at(1) > most_tokens || at(2) > 255 || at(3) > most_tenths || at(5) > Row::most)
         return bad("holder");
-      const auto& [device, era] = payload.devices[at(0)];
+      const auto& [device, generation] = payload.devices[at(0)];
       for (const auto& other : line.holders)
         if (other.device == device)
           return bad("twice");
-      line.holders.push_back({device, era, at(1), static_cast<std::uint8_t>(at(2)), now - at(3) * tenth,
-                              votes ? 0 : from.contributors(static_cast<int>(at(4))),
+      line.holders.push_back({device, generation, at(1), static_cast<std::uint8_t>(at(2)),
+                              now - at(3) * tenth, votes ? 0 : from.contributors(static_cast<int>(at(4))),
                               static_cast<std::uint8_t>(at(5))});
     }
     payload.lines.push_back(std::move(line));
@@ -99,19 +99,20 @@
 Packer::Packer(Packer&&) noexcept = default;
 Packer& Packer::operator=(Packer&&) noexcept = default;
 
-bool Packer::add(NameId device, const Era& era) {
+bool Packer::add(NameId device, const Generation& generation) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (devices.count(device))
     return true;
-  const auto cost = 2 + 9 + 1 + varint(era.start) + (era.lanes ? 1 + varint(era.lanes) : 0);
+  const auto cost =
+      2 + 9 + 1 + varint(generation.start) + (generation.lanes ? 1 + varint(generation.lanes) : 0);
   if (bytes + cost > peers::Outbox::most || payload.devices_size() == most_devices)
     return false;
   bytes += cost;
   devices[device] = static_cast<std::uint32_t>(payload.devices_size());
   auto* to = payload.add_devices();
   to->set_name(device);
-  to->set_start(era.start);
-  to->set_lanes(era.lanes);
+  to->set_start(generation.start);
+  to->set_lanes(generation.lanes);
   return true;
 }
 
@@ -122,8 +123,8 @@
   // At its longest: every name new, each number of a holder at its bound.
   std::size_t cost = 2 + 9 + 3 + 2;
   for (const auto& holder : line.holders)
-    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint(holder.era.start) +
-            (holder.era.lanes ? 1 + varint(holder.era.lanes) : 0);
+    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint(holder.generation.start) +
+            (holder.generation.lanes ? 1 + varint(holder.generation.lanes) : 0);
   const auto room = static_cast<int>(line.holders.size());
   if (bytes + cost > peers::Outbox::most || payload.devices_size() + room > most_devices ||
       payload.contributors_size() + room > most_devices)
@@ -132,7 +133,7 @@
   row->set_key(line.key);
   row->set_weight(line.weight);
   for (const auto& holder : line.holders) {
-    add(holder.device, holder.era);
+    add(holder.device, holder.generation);
     std::uint32_t by = 0;
     if (payload.kind() == v1::rows) {
       const auto [at, fresh] =
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -13,7 +13,7 @@
 
 namespace lemonroute::tiers {
 
-enum class Kind { votes = 1, rows = 2, eras = 3, digest = 4, ask = 5 };
+enum class Kind { votes = 1, rows = 2, generations = 3, digest = 4, ask = 5 };
 
 struct Line {
   KeyId key = 0;
@@ -22,10 +22,10 @@
 };
 
 struct Payload {
-  Kind kind = Kind::eras;
+  Kind kind = Kind::generations;
   Tier tier = Tier::site;
   Stamp stamp;
-  std::vector<std::pair<NameId, Era>> devices;
+  std::vector<std::pair<NameId, Generation>> devices;
   std::vector<Line> lines;  // seen at: this router's clock
   std::uint64_t digest = 0;
 };
@@ -33,7 +33,7 @@
 // `why`: a word for the counters where there is none.
 std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why);
 
-// Fills one payload with lines or eras until it is full.
+// Fills one payload with lines or generations until it is full.
 class Packer {
  public:
   Packer(Kind kind, Tier tier, Stamp stamp);
@@ -41,7 +41,7 @@
   Packer(Packer&&) noexcept;
   Packer& operator=(Packer&&) noexcept;
   bool add(const Line& line, Micros now);  // false: no room left
-  bool add(NameId device, const Era& era);
+  bool add(NameId device, const Generation& generation);
   bool empty() const;
   std::string bytes(std::uint64_t digest = 0) const;
 
--- a/tests/tiers/map_test.cpp
+++ b/tests/tiers/map_test.cpp
@@ -212,7 +212,7 @@
   std::size_t voids = 0;
   Micros last{};
   for (std::uint16_t count = 1; count <= 600; ++count) {
-    Packer packer(Kind::eras, Tier::site, {});
+    Packer packer(Kind::generations, Tier::site, {});
     for (std::size_t d = 0; d < 10; ++d)
       packer.add(names.of(net.device(d).name), {10'000'000, std::uint64_t{count} << 32});
     net.say(2, 8, packer.bytes());
@@ -248,7 +248,7 @@
     for (const auto* tier : {"site", "region"})
       for (const auto* table : {"keys_kept", "keys_told", "keys_headed"})
         EXPECT_LE(told[tier][table], (tier[0] == 's' ? 256 : 128) * (table[5] == 'h' ? 1.25 : 1)) << table;
-    // 30 s and one second's worth at once, of votes, both pushes and eras; debts of one round.
+    // 30 s and one second's worth at once, of votes, both pushes and generations; debts of one round.
     EXPECT_LE(net.bytes_out(i), 32u * (4096 + 2 * 8192 + 4096));
     EXPECT_TRUE(told["dropped"].empty()) << told["dropped"];
   }
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -14,14 +14,14 @@
 
 using Random = std::mt19937_64;
 
-Era era_of(Random& random) {
+Generation generation_of(Random& random) {
   return {random() % 3, (random() % 3) | (random() % 3) << 16 | (random() % 2) << 48};
 }
 
-TEST(Eras, JoinIsASemilatticeAndALossIsLaterThanAllBefore) {
+TEST(Generations, JoinIsASemilatticeAndALossIsLaterThanAllBefore) {
   Random random(1);
   for (int i = 0; i < 20000; ++i) {
-    const auto a = era_of(random), b = era_of(random), c = era_of(random);
+    const auto a = generation_of(random), b = generation_of(random), c = generation_of(random);
     EXPECT_EQ(join(a, b), join(b, a));
     EXPECT_EQ(join(a, join(b, c)), join(join(a, b), c));
     EXPECT_EQ(join(a, a), a);
@@ -41,7 +41,7 @@
   // One stamp says one thing, but for a liar's: there the content has an order of its own.
   for (auto n = random() % 3; n > 0; --n)
     entry.vote.holders.push_back(
-        {n, era_of(random), static_cast<std::uint32_t>(1 + random() % 3), 255, Micros(random() % 5)});
+        {n, generation_of(random), static_cast<std::uint32_t>(1 + random() % 3), 255, Micros(random() % 5)});
   return entry;
 }
 
@@ -119,15 +119,15 @@
 }
 
 TEST(Choose, OneContributorCannotOutbidTwoNorStretchALength) {
-  const Believed believed{[](NameId, const Era& era) { return era.start == 1; }, [](NameId) { return 0.5; },
-                          Micros(10), std::chrono::seconds(60)};
+  const Believed believed{[](NameId, const Generation& generation) { return generation.start == 1; },
+                          [](NameId) { return 0.5; }, Micros(10), std::chrono::seconds(60)};
   const auto vote = [](NameId device, std::uint32_t tokens, std::uint64_t start = 1) {
     return Vote{{1, 1}, {{device, {start, 0}, tokens, 255, Micros(10)}}, 1, Micros(10)};
   };
   Row row;
   row.put({1, 1, vote(7, 1000)});
   row.put({2, 2, vote(7, 1100)});
-  row.put({3, 3, vote(8, 1 << 24, 0)});  // of an era that is past
+  row.put({3, 3, vote(8, 1 << 24, 0)});  // of a generation that is past
   auto chosen = choose(row, {}, believed);
   ASSERT_EQ(chosen.size(), 1u);
   EXPECT_EQ(chosen[0].tokens, 1000u);
