--- a/src/tiers/describe.cpp
+++ b/src/tiers/describe.cpp
@@ -10,20 +10,20 @@
   nlohmann::json shards_of = nlohmann::json::array();
   for (std::size_t shard = 0; shard < shards; ++shard)
     shards_of.push_back({{"shard", shard},
-                         {"keepers", level.homes().keepers(shard)},
+                         {"keepers", level.homes().collectors(shard)},
                          {"kept_here", level.homes().keeps(me, shard)},
                          {"headed_here", level.homes().heads(me, shard)}});
-  const auto& counts = level.keeper().counts();
+  const auto& counts = level.vote_table().counts();
   return {{"members", level.homes().members().size()},
           {"shards", shards_of},
-          {"keys_kept", level.keeper().size()},
+          {"keys_kept", level.vote_table().size()},
           {"keys_headed", level.board().size()},
           {"keys_told", level.told().size()},
           {"votes", counts.votes},
           {"evicted", counts.evicted + level.told().evicted()},
           {"over_quota", counts.over_quota},
           {"expired", counts.expired},
-          {"told_by_no_keeper", level.not_keepers()}};
+          {"told_by_no_keeper", level.not_collectors()}};
 }
 }  // namespace
 
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -9,8 +9,8 @@
 using std::chrono::seconds;
 namespace {
 constexpr std::size_t generations_of_payload = 40;
-constexpr std::size_t keys_at_once = 256;     // told to keepers in a tick
-constexpr std::size_t vote_bytes_about = 75;  // of one key, to its three keepers
+constexpr std::size_t keys_at_once = 256;     // told to collectors in a tick
+constexpr std::size_t vote_bytes_about = 75;  // of one key, to its three collectors
 constexpr std::size_t generation_bytes =
     32 * 1024;  // a second: who floods with generations makes nobody pass on more
 constexpr double most_tokens = 1 << 24;
--- a/src/tiers/names/homes.cpp
+++ b/src/tiers/names/homes.cpp
@@ -22,7 +22,7 @@
     const auto salt = names_.mix(shard, static_cast<std::uint64_t>(tier_));
     for (std::size_t i = 0; i < ids.size(); ++i)
       ranks[i] = {names_.mix(ids[i], salt), i};
-    const auto few = std::min(keepers_of_shard, ranks.size());
+    const auto few = std::min(collectors_of_shard, ranks.size());
     std::partial_sort(ranks.begin(), ranks.begin() + static_cast<std::ptrdiff_t>(few), ranks.end());
     std::vector<std::string> now;
     std::vector<std::uint64_t> since;
@@ -30,9 +30,9 @@
       now.push_back(members_[ranks[i].second]);
       since.push_back(starts[ranks[i].second]);
     }
-    if (now == keepers_[shard] && since == starts_[shard])
+    if (now == collectors_[shard] && since == starts_[shard])
       continue;
-    keepers_[shard] = std::move(now);
+    collectors_[shard] = std::move(now);
     starts_[shard] = std::move(since);
     changed.push_back(shard);
   }
@@ -43,7 +43,7 @@
   return std::binary_search(members_.begin(), members_.end(), name, std::less<>());
 }
 bool Homes::keeps(std::string_view name, std::size_t shard) const {
-  return std::find(keepers_[shard].begin(), keepers_[shard].end(), name) != keepers_[shard].end();
+  return std::find(collectors_[shard].begin(), collectors_[shard].end(), name) != collectors_[shard].end();
 }
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/options.h
+++ b/src/tiers/options.h
@@ -18,8 +18,8 @@
   std::size_t devices = 4096;                // whose generations are known
   Micros fade = std::chrono::seconds(60);    // a sight is worth half after it
   Micros repeat = std::chrono::seconds(10);  // everybody says again what still holds
-  std::size_t vote_bytes = 16 * 1024;        // a second, to keepers
-  std::size_t push_bytes = 128 * 1024;       // a second, from a keeper, for each tier
+  std::size_t vote_bytes = 16 * 1024;        // a second, to collectors
+  std::size_t push_bytes = 128 * 1024;       // a second, from a collector, for each tier
   double cross_least = 2000;  // tokens: with fewer, crossing sites is not worth a line in the region's map
   Micros lease() const { return 6 * repeat; }  // what is not said again is forgotten
 };
@@ -37,9 +37,9 @@
     std::chrono::milliseconds(200);  // between two looks at what is to be said, and two maps
 constexpr unsigned news_again = 2;   // what is new is said so often once more, for datagrams get lost
 constexpr Micros news_every = std::chrono::seconds(1);
-constexpr std::size_t shards = 16;           // of the keys
-constexpr std::size_t keepers_of_shard = 3;  // routers of the site or region
-constexpr std::size_t holders_bound = 3;     // of a key, in one site
-constexpr std::size_t most_hints = 4;        // for a request
+constexpr std::size_t shards = 16;              // of the keys
+constexpr std::size_t collectors_of_shard = 3;  // routers of the site or region
+constexpr std::size_t holders_bound = 3;        // of a key, in one site
+constexpr std::size_t most_hints = 4;           // for a request
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/share/level.cpp
+++ b/src/tiers/share/level.cpp
@@ -15,7 +15,7 @@
     : known_(known),
       tier_(tier),
       homes_(known.names, tier),
-      keeper_(known.names, most_keys),
+      vote_table_(known.names, most_keys),
       board_(most_keys),
       told_(most_keys),
       push_(known.options.limits.push_bytes) {}
@@ -46,7 +46,7 @@
     for (const auto& holder : line.holders)
       vote.holders.push_back(
           {holder.device, holder.generation, holder.tokens, holder.confidence, holder.seen});
-    keeper_.put(line.key, contributor, std::move(vote));
+    vote_table_.put(line.key, contributor, std::move(vote));
   }
 }
 
@@ -57,7 +57,7 @@
     // Guards against one member telling about shards that are not its own. Where views differ for a moment,
     // the next repeat makes good for it.
     if (!homes_.keeps(from, shard_of(line.key)))
-      ++not_keepers_;
+      ++not_collectors_;
     else
       other |= told_.put(line, teller, now, [&](NameId name) { return known_.believed(name, now); });
   }
@@ -65,34 +65,34 @@
 }
 
 void Level::vote(Mail& mail, const Line& line, Micros now, Budget& budget, peers::Outbox& out) {
-  for (const auto& keeper : homes_.keepers(shard_of(line.key))) {
-    if (keeper == known_.options.name) {
+  for (const auto& collector : homes_.collectors(shard_of(line.key))) {
+    if (collector == known_.options.name) {
       Payload own;
       own.stamp = known_.next_stamp();
       own.lines.push_back(line);
       votes(now, known_.me, own);
       continue;
     }
-    auto at = mail.open.find(keeper);
+    auto at = mail.open.find(collector);
     if (at == mail.open.end())
-      at = mail.open.emplace(keeper, Packer(Kind::votes, tier_, known_.next_stamp())).first;
+      at = mail.open.emplace(collector, Packer(Kind::votes, tier_, known_.next_stamp())).first;
     if (at->second.add(line, now))
       continue;
     const auto bytes = at->second.bytes();
     budget.spend(bytes.size());
-    known_.send("votes", out, keeper, bytes);
+    known_.send("votes", out, collector, bytes);
     at->second = Packer(Kind::votes, tier_, known_.next_stamp());
     at->second.add(line, now);
   }
 }
 
 void Level::flush(Mail& mail, Budget& budget, peers::Outbox& out) {
-  for (auto& [keeper, packer] : mail.open) {
+  for (auto& [collector, packer] : mail.open) {
     if (packer.empty())
       continue;
     const auto bytes = packer.bytes();
     budget.spend(bytes.size());
-    known_.send("votes", out, keeper, bytes);
+    known_.send("votes", out, collector, bytes);
   }
   mail.open.clear();
 }
@@ -101,7 +101,7 @@
   if (!homes_.heads(known_.options.name, shard_of(key)))
     return false;
   Line line{key, 0, {}};
-  if (const auto* row = keeper_.find(key)) {
+  if (const auto* row = vote_table_.find(key)) {
     const Believed believed{[&](NameId device, const Generation& generation) {
                               return known_.generations.holds(device, generation);
                             },
@@ -122,14 +122,14 @@
   if (choose_all_ || now - chosen_all_ >= limits.repeat / 2) {
     chosen_all_ = now;
     choose_all_ = false;
-    keeper_.expire(now - limits.lease());
+    vote_table_.expire(now - limits.lease());
     other |= told_.expire(now - limits.lease());
-    keeper_.take_touched();
+    vote_table_.take_touched();
     for (const auto key : board_.keys())
       other |= choose_one(key, now);  // those whose votes are gone as well
-    keeper_.each([&](KeyId key, const Row&) { other |= choose_one(key, now); });
+    vote_table_.each([&](KeyId key, const Row&) { other |= choose_one(key, now); });
   } else {
-    for (const auto key : keeper_.take_touched())
+    for (const auto key : vote_table_.take_touched())
       other |= choose_one(key, now);
   }
   push_.refill(now);
@@ -203,11 +203,11 @@
 void Level::ask(Micros, peers::Outbox& out) {
   std::vector<std::string> heads;
   for (std::size_t shard = 0; shard < shards; ++shard)
-    for (const auto& keeper : homes_.keepers(shard)) {
-      if (keeper == known_.options.name)
+    for (const auto& collector : homes_.collectors(shard)) {
+      if (collector == known_.options.name)
         continue;  // it has nothing yet: the next in rank may have
-      if (std::find(heads.begin(), heads.end(), keeper) == heads.end())
-        heads.push_back(keeper);
+      if (std::find(heads.begin(), heads.end(), collector) == heads.end())
+        heads.push_back(collector);
       break;
     }
   const auto bytes = Packer(Kind::ask, tier_, {}).bytes();
--- a/src/tiers/share/level.h
+++ b/src/tiers/share/level.h
@@ -1,5 +1,5 @@
-// One level above the device: the site's or the region's. Takes votes as a keeper, tells as a head of shards,
-// and takes what the heads of other shards tell.
+// One level above the device: the site's or the region's. Takes votes as a collector, tells as a head of
+// shards, and takes what the heads of other shards tell.
 #pragma once
 
 #include <unordered_map>
@@ -7,8 +7,8 @@
 #include "tiers/names/homes.h"
 #include "tiers/share/known.h"
 #include "tiers/store/board.h"
-#include "tiers/store/keeper.h"
 #include "tiers/store/told.h"
+#include "tiers/store/vote_table.h"
 
 namespace lemonroute::tiers {
 
@@ -16,7 +16,7 @@
  public:
   Level(Known& known, Tier tier, std::size_t most_keys);
 
-  std::vector<std::size_t> viewed(const peers::View& view);  // the shards whose keepers have changed
+  std::vector<std::size_t> viewed(const peers::View& view);  // the shards whose collectors have changed
   void votes(Micros now, NameId contributor, const Payload& payload);
   bool rows(Micros now, std::string_view from, const Payload& payload);  // whether hints have changed
   void asked(Micros now, std::string_view from);
@@ -24,7 +24,7 @@
   bool run(Micros now, peers::Outbox& out);  // whether hints have changed
   void generations_advanced() { choose_all_ = true; }
 
-  // Puts a vote of this router to the key's keepers, itself included; the payloads go with `flush`.
+  // Puts a vote of this router to the key's collectors, itself included; the payloads go with `flush`.
   struct Mail {
     std::unordered_map<std::string, Packer> open;
   };
@@ -32,10 +32,10 @@
   void flush(Mail& mail, Budget& budget, peers::Outbox& out);
 
   const Homes& homes() const { return homes_; }
-  const Keeper& keeper() const { return keeper_; }
+  const VoteTable& vote_table() const { return vote_table_; }
   const Board& board() const { return board_; }
   const Told& told() const { return told_; }
-  std::uint64_t not_keepers() const { return not_keepers_; }
+  std::uint64_t not_collectors() const { return not_collectors_; }
 
  private:
   bool choose_one(KeyId key, Micros now);
@@ -45,7 +45,7 @@
   Known& known_;
   Tier tier_;
   Homes homes_;
-  Keeper keeper_;
+  VoteTable vote_table_;
   Board board_;
   Told told_;
   Budget push_;
@@ -57,7 +57,7 @@
   std::map<std::string, Asker> askers_;  // members only
   Micros chosen_all_{};
   bool choose_all_ = false;
-  std::uint64_t not_keepers_ = 0;
+  std::uint64_t not_collectors_ = 0;
 };
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/share/uplift.h
+++ b/src/tiers/share/uplift.h
@@ -8,7 +8,7 @@
 
 class Uplift {
  public:
-  void again(const std::vector<std::size_t>& of);  // their keepers have changed
+  void again(const std::vector<std::size_t>& of);  // their collectors have changed
   void run(Micros now, const Options& options, NameId me, const Level& site, Level& region, Budget& budget,
            peers::Outbox& out);
   std::size_t size() const { return said_.size(); }
--- a/src/tiers/store/board.h
+++ b/src/tiers/store/board.h
@@ -31,7 +31,7 @@
     bool waiting = false;
     unsigned again = 0;  // it is news still
   };
-  std::map<KeyId, Entry> lines_;      // of keys held, as many as the keeper has
+  std::map<KeyId, Entry> lines_;      // of keys held, as many as the vote table has
   std::size_t most_gone_, gone_ = 0;  // and of those no longer held
 };
 
--- a/src/tiers/store/device.h
+++ b/src/tiers/store/device.h
@@ -1,4 +1,4 @@
-// The device tier: what this router has itself seen kept, and what of it the keepers are still to be told.
+// The device tier: what this router has itself seen kept, and what of it the collectors are still to be told.
 #pragma once
 
 #include <deque>
@@ -26,7 +26,7 @@
   // Keys to be told of now: new and changed ones in order, then those not said for `repeat`. They count as
   // told.
   std::vector<KeyId> due(Micros now, std::size_t most);
-  void again(const std::function<bool(KeyId)>& which);  // their keepers have changed
+  void again(const std::function<bool(KeyId)>& which);  // their collectors have changed
   const std::vector<Holder>& holders(KeyId key) const;  // best first; empty: taken back
   std::uint8_t weight(KeyId key) const;                 // 8 * log2(1 + worth)
 
--- a/src/tiers/store/keeper.cpp
+++ b/src/tiers/store/vote_table.cpp
@@ -1,16 +1,16 @@
-#include "tiers/store/keeper.h"
+#include "tiers/store/vote_table.h"
 
 #include <algorithm>
 
 namespace lemonroute::tiers {
 
-void Keeper::release(Shard& shard, NameId contributor) {
+void VoteTable::release(Shard& shard, NameId contributor) {
   const auto at = shard.by.find(contributor);
   if (at != shard.by.end() && --at->second == 0)
     shard.by.erase(at);
 }
 
-void Keeper::erase(Shard& shard, KeyId key) {
+void VoteTable::erase(Shard& shard, KeyId key) {
   const auto at = shard.rows.find(key);
   for (const auto& entry : at->second.entries())
     release(shard, entry.contributor);
@@ -19,7 +19,7 @@
 }
 
 // The least worth goes, and only for one that is worth more.
-bool Keeper::make_room(Shard& shard, const Row& newcomer) {
+bool VoteTable::make_room(Shard& shard, const Row& newcomer) {
   if (shard.rows.size() < most_)
     return true;
   const auto least = std::min_element(shard.rows.begin(), shard.rows.end(), [](const auto& a, const auto& b) {
@@ -34,7 +34,7 @@
 
 // What the contributor itself has not said for longest goes: it has forgotten that key. What it has just said
 // stays.
-bool Keeper::make_room_of(Shard& shard, NameId contributor, Micros now) {
+bool VoteTable::make_room_of(Shard& shard, NameId contributor, Micros now) {
   auto oldest = shard.rows.end();
   Micros at = now - std::chrono::seconds(1);
   for (auto row = shard.rows.begin(); row != shard.rows.end(); ++row) {
@@ -52,7 +52,7 @@
   return true;
 }
 
-void Keeper::put(KeyId key, NameId contributor, Vote vote) {
+void VoteTable::put(KeyId key, NameId contributor, Vote vote) {
   ++counts_.votes;
   auto& shard = shards_[shard_of(key)];
   Row::Entry entry{names_.mix(key, contributor), contributor, std::move(vote)};
@@ -89,7 +89,7 @@
     release(shard, last);
 }
 
-void Keeper::expire(Micros before) {
+void VoteTable::expire(Micros before) {
   for (auto& shard : shards_)
     for (auto at = shard.rows.begin(); at != shard.rows.end();) {
       const auto whose = at->second.expire(before);
@@ -102,19 +102,19 @@
     }
 }
 
-const Row* Keeper::find(KeyId key) const {
+const Row* VoteTable::find(KeyId key) const {
   const auto& rows = shards_[shard_of(key)].rows;
   const auto at = rows.find(key);
   return at == rows.end() ? nullptr : &at->second;
 }
 
-std::vector<KeyId> Keeper::take_touched() {
+std::vector<KeyId> VoteTable::take_touched() {
   std::vector<KeyId> keys(touched_.begin(), touched_.end());
   touched_.clear();
   return keys;
 }
 
-std::size_t Keeper::size() const {
+std::size_t VoteTable::size() const {
   std::size_t all = 0;
   for (const auto& shard : shards_)
     all += shard.rows.size();
--- a/src/tiers/store/keeper.h
+++ b/src/tiers/store/vote_table.h
@@ -13,9 +13,9 @@
 
 namespace lemonroute::tiers {
 
-class Keeper {
+class VoteTable {
  public:
-  Keeper(const Names& names, std::size_t most_keys)
+  VoteTable(const Names& names, std::size_t most_keys)
       : names_(names), most_(std::max<std::size_t>(4, most_keys / shards)) {}
 
   // Of a contributor whose name is proven.
--- a/src/tiers/trust/trust.h
+++ b/src/tiers/trust/trust.h
@@ -16,7 +16,7 @@
   double of(NameId name, Micros now) const;
   void confirmed(NameId name, Micros now);
   void contradicted(NameId name, Micros now,
-                    double factor);  // 0.5 for a contributor, 0.9 for a keeper that passed it on
+                    double factor);  // 0.5 for a contributor, 0.9 for a collector that passed it on
   std::size_t size() const { return all_.size(); }
   std::size_t distrusted(Micros now) const;
 
--- a/tests/tiers/map_test.cpp
+++ b/tests/tiers/map_test.cpp
@@ -114,7 +114,7 @@
   }
 }
 
-TEST_P(OnNets, OneThatRestartsIsWarmInSecondsAndKeepersThatDieTakeNothingAlong) {
+TEST_P(OnNets, OneThatRestartsIsWarmInSecondsAndCollectorsThatDieTakeNothingAlong) {
   Net net(options());
   net.run(seconds(3));
   for (Key key = 1; key <= 200; ++key)
@@ -172,7 +172,7 @@
 }
 
 // A router with the right key says that everything is at one device. Each other one is misled by it three
-// times at the most before it is not believed, and once more where a keeper took a hint back while it was
+// times at the most before it is not believed, and once more where a collector took a hint back while it was
 // being followed. A count of one key corrects that key at once.
 TEST_P(OnNets, ALiarMisleadsEachRouterThreeTimesAtTheMost) {
   Net net(options());
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -6,7 +6,7 @@
 #include "config/tiers.h"
 #include "peers/extension.h"
 #include "tiers/store/heavy.h"
-#include "tiers/store/keeper.h"
+#include "tiers/store/vote_table.h"
 #include "tiers/wire/payload.h"
 
 namespace lemonroute::tiers {
@@ -94,28 +94,28 @@
   }
 }
 
-TEST(Keeper, IsBoundedAndOneContributorHasAQuarter) {
+TEST(VoteTable, IsBoundedAndOneContributorHasAQuarter) {
   const Names names(5);
-  Keeper keeper(names, 1024);
+  VoteTable votes(names, 1024);
   Random random(4);
   const auto put = [&](KeyId key, NameId by, std::uint8_t weight, std::uint64_t number) {
-    keeper.put(key, by,
-               Vote{{1, number}, {{1, {}, 100, 255, Micros(1)}}, weight, Micros(static_cast<long>(number))});
+    votes.put(key, by,
+              Vote{{1, number}, {{1, {}, 100, 255, Micros(1)}}, weight, Micros(static_cast<long>(number))});
   };
   for (std::uint64_t i = 1; i <= 20000; ++i)
     put(random(), 666, 255, i);
-  EXPECT_LE(keeper.size(), 1024u / 4);
-  EXPECT_GT(keeper.counts().over_quota, 0u);
+  EXPECT_LE(votes.size(), 1024u / 4);
+  EXPECT_GT(votes.counts().over_quota, 0u);
   for (std::uint64_t i = 1; i <= 20000; ++i)
     put(random(), 1 + i % 50, 10, i);
-  EXPECT_LE(keeper.size(), 1024u);
+  EXPECT_LE(votes.size(), 1024u);
   std::size_t honest = 0;
-  keeper.each([&](KeyId, const Row& row) { honest += !row.find(666); });
+  votes.each([&](KeyId, const Row& row) { honest += !row.find(666); });
   EXPECT_GE(honest, 1024u / 2);
-  keeper.expire(Micros(100000));
-  EXPECT_EQ(keeper.size(), 0u);
+  votes.expire(Micros(100000));
+  EXPECT_EQ(votes.size(), 0u);
   put(1, 666, 1, 1);  // nothing is counted against it any more
-  EXPECT_EQ(keeper.size(), 1u);
+  EXPECT_EQ(votes.size(), 1u);
 }
 
 TEST(Choose, OneContributorCannotOutbidTwoNorStretchALength) {
