--- a/src/tiers/describe.cpp
+++ b/src/tiers/describe.cpp
@@ -17,7 +17,7 @@
   return {{"members", level.homes().members().size()},
           {"shards", shards_of},
           {"keys_kept", level.vote_table().size()},
-          {"keys_headed", level.board().size()},
+          {"keys_headed", level.announcements().size()},
           {"keys_told", level.told().size()},
           {"votes", counts.votes},
           {"evicted", counts.evicted + level.told().evicted()},
--- a/src/tiers/share/level.cpp
+++ b/src/tiers/share/level.cpp
@@ -16,7 +16,7 @@
       tier_(tier),
       homes_(known.names, tier),
       vote_table_(known.names, most_keys),
-      board_(most_keys),
+      announcements_(most_keys),
       told_(most_keys),
       push_(known.options.limits.push_bytes) {}
 
@@ -33,7 +33,7 @@
     return std::find(sites.begin(), sites.end(), member.site) != sites.end();
   });
   if (!changed.empty()) {
-    board_.keep_only([&](KeyId key) { return homes_.heads(options.name, shard_of(key)); });
+    announcements_.keep_only([&](KeyId key) { return homes_.heads(options.name, shard_of(key)); });
     choose_all_ = true;
   }
   std::erase_if(askers_, [&](const auto& one) { return !homes_.has(one.first); });
@@ -107,12 +107,12 @@
                             },
                             [&](NameId by) { return known_.believed(by, now); }, now,
                             known_.options.limits.fade};
-    line.holders = choose(*row, board_.holders(key), believed);
+    line.holders = choose(*row, announcements_.holders(key), believed);
     line.weight = static_cast<std::uint8_t>(row->weight());
   }
   const auto trust = [&](NameId name) { return known_.believed(name, now); };
   const bool other = told_.put(line, known_.me, now, trust);
-  board_.set(std::move(line));
+  announcements_.set(std::move(line));
   return other;
 }
 
@@ -125,7 +125,7 @@
     vote_table_.expire(now - limits.lease());
     other |= told_.expire(now - limits.lease());
     vote_table_.take_touched();
-    for (const auto key : board_.keys())
+    for (const auto key : announcements_.keys())
       other |= choose_one(key, now);  // those whose votes are gone as well
     vote_table_.each([&](KeyId key, const Row&) { other |= choose_one(key, now); });
   } else {
@@ -141,16 +141,16 @@
 void Level::tell_all(Micros now, peers::Outbox& out) {
   const auto audience = homes_.members().size() - (homes_.has(known_.options.name) ? 1 : 0);
   if (audience == 0) {
-    for (const auto key : board_.keys())
-      board_.told(key, now);
+    for (const auto key : announcements_.keys())
+      announcements_.told(key, now);
     return;
   }
   for (std::size_t i = 0; i < payloads_at_once && push_.left() > 0; ++i) {
     Packer packer(Kind::rows, tier_, {});
-    for (const auto* line : board_.due(now, known_.options.limits.repeat, lines_of_payload)) {
+    for (const auto* line : announcements_.due(now, known_.options.limits.repeat, lines_of_payload)) {
       if (!packer.add(*line, now))
         break;
-      board_.told(line->key, now);
+      announcements_.told(line->key, now);
     }
     if (packer.empty())
       return;
--- a/src/tiers/share/level.h
+++ b/src/tiers/share/level.h
@@ -6,7 +6,7 @@
 
 #include "tiers/names/homes.h"
 #include "tiers/share/known.h"
-#include "tiers/store/board.h"
+#include "tiers/store/announcements.h"
 #include "tiers/store/told.h"
 #include "tiers/store/vote_table.h"
 
@@ -33,7 +33,7 @@
 
   const Homes& homes() const { return homes_; }
   const VoteTable& vote_table() const { return vote_table_; }
-  const Board& board() const { return board_; }
+  const Announcements& announcements() const { return announcements_; }
   const Told& told() const { return told_; }
   std::uint64_t not_collectors() const { return not_collectors_; }
 
@@ -46,7 +46,7 @@
   Tier tier_;
   Homes homes_;
   VoteTable vote_table_;
-  Board board_;
+  Announcements announcements_;
   Told told_;
   Budget push_;
   struct Asker {
--- a/src/tiers/share/uplift.cpp
+++ b/src/tiers/share/uplift.cpp
@@ -20,7 +20,7 @@
   for (std::size_t shard = 0; shard < shards; ++shard) {
     if (!site.homes().heads(options.name, shard))
       continue;
-    for (const auto* line : site.board().heaviest(shard, region.vote_table().quota(), tokens_least)) {
+    for (const auto* line : site.announcements().heaviest(shard, region.vote_table().quota(), tokens_least)) {
       auto short_line = *line;
       // In the region this router answers for it. Guards against a liar of the site that speaks through
       // honest heads: two have seen it, or this one itself.
--- a/src/tiers/store/board.cpp
+++ b/src/tiers/store/announcements.cpp
@@ -1,16 +1,16 @@
-#include "tiers/store/board.h"
+#include "tiers/store/announcements.h"
 
 #include <algorithm>
 
 namespace lemonroute::tiers {
 
-const std::vector<Shown>& Board::holders(KeyId key) const {
+const std::vector<Shown>& Announcements::holders(KeyId key) const {
   static const std::vector<Shown> none;
   const auto at = lines_.find(key);
   return at == lines_.end() ? none : at->second.line.holders;
 }
 
-void Board::set(Line line) {
+void Announcements::set(Line line) {
   const auto at = lines_.find(line.key);
   if (at == lines_.end() && line.holders.empty())
     return;
@@ -31,7 +31,7 @@
   entry.line = std::move(line);
 }
 
-void Board::keep_only(const std::function<bool(KeyId)>& which) {
+void Announcements::keep_only(const std::function<bool(KeyId)>& which) {
   std::erase_if(lines_, [&](const auto& one) {
     if (which(one.first))
       return false;
@@ -41,7 +41,7 @@
   });
 }
 
-std::vector<const Line*> Board::due(Micros now, Micros repeat, std::size_t most) const {
+std::vector<const Line*> Announcements::due(Micros now, Micros repeat, std::size_t most) const {
   std::vector<const Entry*> chosen;
   for (const auto& [key, entry] : lines_)
     if (entry.waiting || now - entry.told >= (entry.again ? news_every : repeat))
@@ -63,7 +63,7 @@
   return lines;
 }
 
-void Board::told(KeyId key, Micros now) {
+void Announcements::told(KeyId key, Micros now) {
   const auto at = lines_.find(key);
   if (at == lines_.end())
     return;
@@ -78,8 +78,8 @@
   at->second.told = now;
 }
 
-std::vector<const Line*> Board::heaviest(std::size_t shard, std::size_t most,
-                                         std::uint32_t tokens_least) const {
+std::vector<const Line*> Announcements::heaviest(std::size_t shard, std::size_t most,
+                                                 std::uint32_t tokens_least) const {
   std::vector<const Line*> lines;
   for (const auto& [key, entry] : lines_)
     if (shard_of(key) == shard && !entry.line.holders.empty() &&
@@ -92,7 +92,7 @@
   return lines;
 }
 
-std::vector<KeyId> Board::keys() const {
+std::vector<KeyId> Announcements::keys() const {
   std::vector<KeyId> keys;
   for (const auto& [key, entry] : lines_)
     keys.push_back(key);
--- a/src/tiers/store/board.h
+++ b/src/tiers/store/announcements.h
@@ -11,9 +11,9 @@
 
 namespace lemonroute::tiers {
 
-class Board {
+class Announcements {
  public:
-  explicit Board(std::size_t most_keys) : most_gone_(most_keys / 4) {}
+  explicit Announcements(std::size_t most_keys) : most_gone_(most_keys / 4) {}
   const std::vector<Shown>& holders(KeyId key) const;
   void set(Line line);                                      // no holders: takes it back
   void keep_only(const std::function<bool(KeyId)>& which);  // the rest is another router's to tell now
