--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -15,6 +15,7 @@
 
 std::vector<peers::Extension*> extensions_of(const std::vector<Binding>& bindings) {
   std::vector<peers::Extension*> extensions;
+  extensions.reserve(bindings.size());
   for (const auto& binding : bindings)
     extensions.push_back(binding.extension.get());
   return extensions;
