--- a/src/expect/vary/rows.cpp
+++ b/src/expect/vary/rows.cpp
@@ -102,6 +102,7 @@
 
 std::vector<std::size_t> random_row(const std::vector<Variable>& variables, std::mt19937_64& random) {
   std::vector<std::size_t> row;
+  row.reserve(variables.size());
   for (const auto& variable : variables)
     row.push_back(random() % variable.values.size());
   return row;
