--- a/src/expect/contrast.cpp
+++ b/src/expect/contrast.cpp
@@ -92,7 +92,7 @@
     });
   knobs.push_back(std::move(knob));
 }
-void flipped(std::vector<Knob>& knobs, std::string key, std::function<bool&(Settings&)> at) {
+void flipped(std::vector<Knob>& knobs, std::string key, const std::function<bool&(Settings&)>& at) {
   knobs.push_back(
       {std::move(key),
        [at](const Settings& s) { return std::string(at(const_cast<Settings&>(s)) ? "true" : "false"); },
