--- a/src/tiers/rider.h
+++ b/src/tiers/extension.h
@@ -1,4 +1,4 @@
-// The map of kept state from device to site to region, as a rider on the datagrams between routers.
+// The map of kept state from device to site to region, as an extension on the datagrams between routers.
 // docs/tiers-design.md has the ways weighed, the bounds and what was measured. No I/O, no clock.
 #pragma once
 
@@ -7,15 +7,15 @@
 #include <set>
 
 #include "core/guide.h"
-#include "peers/rider.h"
-#include "tiers/era/gossip.h"
+#include "peers/extension.h"
+#include "tiers/generation/gossip.h"
 #include "tiers/share/uplift.h"
 #include "tiers/snapshot/maker.h"
 #include "tiers/store/device.h"
 
 namespace lemonroute::tiers {
 
-class Tiers : public peers::Rider, public NodeObserver {
+class Tiers : public peers::Extension, public NodeObserver {
  public:
   Tiers(Options options, std::uint64_t seed);
 
@@ -41,10 +41,11 @@
 
  private:
   void advanced(NameId device);
-  void learn(const Parcel& parcel, Micros now);
+  void learn(const Payload& payload, Micros now);
   void gossip(Micros now, peers::Outbox& out);
   void compare(Micros now, peers::Outbox& out);
-  void send_eras(std::string_view to, const std::vector<std::pair<NameId, Era>>& eras, peers::Outbox& out);
+  void send_generations(std::string_view to, const std::vector<std::pair<NameId, Generation>>& generations,
+                        peers::Outbox& out);
   void contribute(Micros now, peers::Outbox& out);
   void ask(Micros now, peers::Outbox& out);
   void judge(KeyId key, NameId device, double tokens, Micros now, std::map<NameId, double>& wrong,
@@ -55,14 +56,14 @@
   Level site_, region_;
   Uplift uplift_;
   Gossip gossip_;
-  Budget vote_budget_, era_budget_;
+  Budget vote_budget_, generation_budget_;
   std::vector<std::string> members_;  // that are there, of all sites
   MapMaker::Devices devices_;
   std::shared_ptr<const Map> map_;
   bool changed_ = false;
   Micros due_{}, made_{}, compared_{}, uplifted_{}, swept_{}, asked_{};
   unsigned asks_ = 0;
-  NameId eras_cursor_ = 0;
+  NameId generations_cursor_ = 0;
 };
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/store/board.h
+++ b/src/tiers/store/announcements.h
@@ -7,13 +7,13 @@
 #include <map>
 #include <vector>
 
-#include "tiers/wire/parcel.h"
+#include "tiers/wire/payload.h"
 
 namespace lemonroute::tiers {
 
-class Board {
+class Announcements {
  public:
-  explicit Board(std::size_t most_keys) : most_gone_(most_keys / 4) {}
+  explicit Announcements(std::size_t most_keys) : most_gone_(most_keys / 4) {}
   const std::vector<Shown>& holders(KeyId key) const;
   void set(Line line);                                      // no holders: takes it back
   void keep_only(const std::function<bool(KeyId)>& which);  // the rest is another router's to tell now
@@ -31,7 +31,7 @@
     bool waiting = false;
     unsigned again = 0;  // it is news still
   };
-  std::map<KeyId, Entry> lines_;      // of keys held, as many as the keeper has
+  std::map<KeyId, Entry> lines_;      // of keys held, as many as the vote table has
   std::size_t most_gone_, gone_ = 0;  // and of those no longer held
 };
 
--- a/src/tiers/wire/parcel.h
+++ b/src/tiers/wire/payload.h
@@ -1,5 +1,5 @@
-// Parcels as bytes (proto/tiers.proto). Every field is checked against its bound; one that is over it voids
-// the parcel.
+// Payloads as bytes (proto/tiers.proto). Every field is checked against its bound; one that is over it voids
+// the payload.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace lemonroute::tiers {
 
-enum class Kind { votes = 1, rows = 2, eras = 3, digest = 4, ask = 5 };
+enum class Kind { votes = 1, rows = 2, generations = 3, digest = 4, ask = 5 };
 
 struct Line {
   KeyId key = 0;
@@ -21,19 +21,19 @@
   std::vector<Shown> holders;  // up to 3, of votes 2; none: taken back
 };
 
-struct Parcel {
-  Kind kind = Kind::eras;
+struct Payload {
+  Kind kind = Kind::generations;
   Tier tier = Tier::site;
   Stamp stamp;
-  std::vector<std::pair<NameId, Era>> devices;
+  std::vector<std::pair<NameId, Generation>> devices;
   std::vector<Line> lines;  // seen at: this router's clock
   std::uint64_t digest = 0;
 };
 
 // `why`: a word for the counters where there is none.
-std::optional<Parcel> read(std::string_view bytes, Micros now, const char*& why);
+std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why);
 
-// Fills one parcel with lines or eras until it is full.
+// Fills one payload with lines or generations until it is full.
 class Packer {
  public:
   Packer(Kind kind, Tier tier, Stamp stamp);
@@ -41,7 +41,7 @@
   Packer(Packer&&) noexcept;
   Packer& operator=(Packer&&) noexcept;
   bool add(const Line& line, Micros now);  // false: no room left
-  bool add(NameId device, const Era& era);
+  bool add(NameId device, const Generation& generation);
   bool empty() const;
   std::string bytes(std::uint64_t digest = 0) const;
 
