--- a/src/fleet/learned.h
+++ b/src/fleet/learned.h
@@ -46,6 +46,8 @@
     samples = std::min(samples + evidence, most_samples);
   }
   double fresh(Micros now, Micros fade) const { return known ? std::exp(-us(now - at) / us(fade)) : 0; }
+  // The value, fading to 0 while no sample comes.
+  double faded(Micros now, Micros fade) const { return value * fresh(now, fade); }
   // What weight it has against what is usual, 0 to 1: few or old samples prove little.
   double trust(Micros now, Micros fade) const {
     const double evidence = samples * fresh(now, fade);
--- a/src/module/admission.h
+++ b/src/module/admission.h
@@ -43,12 +43,17 @@
   const double most_wait = wait_margin * std::max(job.aim - read, job.aim / 2) * yield;
   // Danger: a router that took waits to be long refuses all, and learns no better. Its evidence fades.
   // Where decode nodes report no load, the wait there is what streams have met lately.
-  const double decode = s.reported ? 0 : s.first_token.value * s.first_token.fresh(s.now, s.fade);
+  const double decode = s.reported ? 0 : s.first_token.faded(s.now, s.fade);
   const double counted = wait * s.any_rate.trust(s.now, s.fade) + decode;
   const bool refused = counted > most_wait || load > full_at * yield;
   if (refused && s.told_to)
-    s.told_to(Choice{.id = job.request.id, .at = s.now, .refused = true, .wait = micros(counted),
-                     .most_wait = micros(most_wait), .load = load, .most_load = full_at * yield});
+    s.told_to(Choice{.id = job.request.id,
+                     .at = s.now,
+                     .refused = true,
+                     .wait = micros(counted),
+                     .most_wait = micros(most_wait),
+                     .load = load,
+                     .most_load = full_at * yield});
   return refused;
 }
 
--- a/src/module/eligibility.h
+++ b/src/module/eligibility.h
@@ -57,11 +57,19 @@
     if (!s.told_to) continue;
     if (no) pick = Pick{.score = 0};
     const double match = stage == Role::read ? prefix_match(s, node, job) : 0, rate = prefill_rate(s, node);
-    s.choice.candidates.push_back(
-        {.host = id, .left_out = no, .match = match, .credit = pick.credit, .rate = rate,
-         .unread = queued(s, node, rate), .load = load(s, node), .slowness = slowness(s, node),
-         .failing = failure_share(s, node), .wait = micros(pick.wait), .read = micros(pick.read),
-         .near = pick.near, .score = pick.score});
+    s.choice.candidates.push_back({.host = id,
+                                   .left_out = no,
+                                   .match = match,
+                                   .credit = pick.credit,
+                                   .rate = rate,
+                                   .unread = queued(s, node, rate),
+                                   .load = load(s, node),
+                                   .slowness = slowness(s, node),
+                                   .failing = failure_share(s, node),
+                                   .wait = micros(pick.wait),
+                                   .read = micros(pick.read),
+                                   .near = pick.near,
+                                   .score = pick.score});
   }
   return fit;
 }
--- a/src/module/placement.h
+++ b/src/module/placement.h
@@ -42,8 +42,8 @@
   return choose(s, best);
 }
 
-// Danger: a session whose text is kept at a jammed node is refused turn after turn while other nodes are idle. The
-// idle one that would be done first, if it is in time for the aim.
+// Danger: a session whose text is kept at a jammed node is refused turn after turn while other nodes are
+// idle. The idle one that would be done first, if it is in time for the aim.
 inline Pick choose_idle_prefill(State& s, const Job& job) {
   const auto weigh = [&](const Node& node, Pick& pick) -> const char* {
     pick.known = pick.credit = prefix_match(s, node, job);
--- a/src/module/pool_norms.h
+++ b/src/module/pool_norms.h
@@ -29,14 +29,13 @@
     p.rate = usual ? usual->value() : s.any_rate.known ? s.any_rate.value : aim;
     // Danger: a mean cancels the weights of old reports; who refuses all for full nodes hears no new ones.
     const double recent = std::min(1.0, std::exp(1 - us(s.now - heard) / us(s.fade)));
-    p.others = s.reported ? recent * others.value() : s.turned_away.value * s.turned_away.fresh(s.now, s.fade);
+    p.others = s.reported ? recent * others.value() : s.turned_away.faded(s.now, s.fade);
     // The mean of roots, so that one jammed prefill node does not stand for all.
-    const Learned& inferred = s.inferred[role];
-    const double alike = std::max(0.0, inferred.value * inferred.fresh(s.now, s.fade));
+    const double alike = std::max(0.0, s.inferred[role].faded(s.now, s.fade));
     p.queued = std::pow(queued_root.value(), 2) + alike;
     if (warm_work.total > 0) p.warm_work = warm_work.value();
-    // Danger: the last warm node drains while its successors are cold. With no warm load to go by they would get
-    // next to nothing; the last one's goes on to count, and of prefill nodes the rate learned from prefills.
+    // Danger: the last warm node drains while its successors are cold, which would get next to nothing. Its
+    // load goes on to count, and of prefill nodes the rate learned from prefills.
     if (warm_work.total <= 0 && role == Role::read && usual)
       p.warm_work = 1 / std::max(0.1, usual->value()) / s.settings.siblings;
   }
--- a/src/module/slow_start.h
+++ b/src/module/slow_start.h
@@ -12,10 +12,10 @@
 }
 
 // A cold node gets a part of what it could bear, were it as able as the warm nodes' load shows them to be at
-// least, over the window and divided by the routers. One request in an empty window is let through, to warm it
-// up; where a part is less than one, only by routers whose turn a hash says it is in this window, and of a
-// router to which fewer than one request comes in a window, each request whose turn it is. A new process knows
-// nothing of what was sent before it began: its first window counts as used.
+// least, over the window and divided by the routers. One request in an empty window is let through, to warm
+// it up; where a part is less than one, only by routers whose turn a hash says it is in this window, and of a
+// router to which fewer than one request comes in a window, each request whose turn it is. A new process
+// knows nothing of what was sent before it began: its first window counts as used.
 inline bool admits_slow_start(const State& s, Node& node, double work) {
   const auto& c = s.settings;
   const double sent = node.sent.sum(s.now, c.fall_window);
--- a/src/module/state.h
+++ b/src/module/state.h
@@ -41,8 +41,8 @@
   Micros mixed_debt_at{}, failing_at{}, prefill_done{}, void_before{};
   int misses = 0;  // cached counts far below credit, in a row
   std::vector<AttemptRef> out{};
-  fleet::WorkWindow sent{};       // within the slow-start window
-  fleet::FadingRate work_rate{};  // of what it took
+  fleet::WorkWindow sent{};                                    // within the slow-start window
+  fleet::FadingRate work_rate{};                               // of what it took
   bool listed() const { return entry.phase == Phase::ready; }  // as far as this router knows
   double room() const { return memory > 0 ? memory : 1e5; }
 };
@@ -137,17 +137,17 @@
   std::uint32_t next_cookie = 1;
   std::vector<fleet::TokenBucket> buckets;  // by tenant
   fleet::FadingRate arrivals;               // work that comes, served or not
-  Learned fresh_share{1, {}, true};  // of prompts, the part that was not cached
-  Learned first_token;               // the decode nodes' usual time to a first token
-  Learned turned_away{0, {}, true};  // of attempts at decode nodes, the part that full ones turn away
+  Learned fresh_share{1, {}, true};         // of prompts, the part that was not cached
+  Learned first_token;                      // the decode nodes' usual time to a first token
+  Learned turned_away{0, {}, true};         // of attempts at decode nodes, the part that full ones turn away
   std::map<std::string, Learned> class_work;
   Learned usual_prompt;
   std::map<Role, Pool> pools;
   std::map<Role, Learned> inferred;
   std::map<Role, fleet::UsualRate> usual_rate;  // microseconds a token
-  Learned any_rate;                         // of whatever role did a prefill last
-  bool reported = false, surveyed = false;  // any decode node's load; `pools`, in this event
-  double mixed_prefill = 0;                 // this router's prefill at mixed nodes, fading
+  Learned any_rate;                             // of whatever role did a prefill last
+  bool reported = false, surveyed = false;      // any decode node's load; `pools`, in this event
+  double mixed_prefill = 0;                     // this router's prefill at mixed nodes, fading
   Micros mixed_prefill_at{};
   Learned coming{0, {}, true};  // tokens that this router has in prefill, in the mean
   int ask_failures = 0;
