--- a/src/cli/demo_command.cpp
+++ b/src/cli/demo_command.cpp
@@ -172,7 +172,9 @@
          << std::setw(10) << "answer" << std::setw(18) << "attempts" << std::right << std::setw(12)
          << "first text" << std::setw(12) << "end" << '\n';
     bool all = true;
-    for (const auto& [id, row] : rows_) {
+    for (const auto& entry : rows_) {
+      const auto& id = entry.first;
+      const auto& row = entry.second;
       std::string nodes;
       for (const auto& node : row.nodes)
         nodes += (nodes.empty() ? "" : " > ") + node;
--- a/src/cli/expect_command.cpp
+++ b/src/cli/expect_command.cpp
@@ -55,7 +55,7 @@
 }
 
 std::string one_of(const po::variables_map& values, std::initializer_list<const char*> words) {
-  const auto format = values["format"].as<std::string>();
+  auto format = values["format"].as<std::string>();
   std::string all;
   for (const char* word : words) {
     if (format == word)
