--- a/src/cli/call_command.cpp
+++ b/src/cli/call_command.cpp
@@ -45,7 +45,8 @@
 
   int run(const std::string& address, const std::string& framed, const grpc::Headers& more,
           std::chrono::microseconds deadline) {
-    session_ = std::make_unique<grpc::Session>(loop_, address, *this, grpc::Session::Limits{});
+    grpc::SessionOwner& owner = *this;
+    session_ = std::make_unique<grpc::Session>(loop_, address, owner, grpc::Session::Limits{});
     grpc::Headers headers{
         {":method", "POST"},
         {":scheme", "http"},
--- a/src/core/router/actions.cpp
+++ b/src/core/router/actions.cpp
@@ -7,6 +7,13 @@
 
 namespace lemonroute {
 
+namespace {
+
+// A node has heard of the end of a call by then, in its own zone or in another one.
+constexpr Micros end_is_heard = std::chrono::milliseconds(5);
+
+}  // namespace
+
 void Router::act(const Send& send) {
   RequestState* entry = find(send.id);
   const auto node = known_.find(send.host);
@@ -76,11 +83,21 @@
   client.fail(clock_.now() >= entry->deadline ? Failure::timed_out : Failure::gave_up);
 }
 
+// Danger: the node hears of the end of a sent attempt over one connection, another node of the next attempt
+// over another one. An attempt that overtook that end would be out beside this one. So the call is closed at
+// once, and the Scheduler hears of it when the node has heard.
 void Router::act(const Cancel& cancel) {
   RequestState* entry = find(cancel.id);
   if (!entry || !entry->out || entry->out->number != cancel.attempt || entry->out->started)
     return;
-  done(*entry->out, {Outcome::cancelled, 0, {}, "called off"});
+  AttemptState& attempt = *entry->out;
+  const Result called_off{Outcome::cancelled, 0, {}, "called off"};
+  if (attempt.unsent() || !entry->client)  // no next attempt that could overtake it
+    return done(attempt, called_off);
+  attempt.call.reset();
+  const Micros heard = std::min(clock_.now() + end_is_heard, attempt.timer.first);
+  timers_.drop(attempt.timer);
+  attempt.timer = timers_.add(heard, [this, &attempt, called_off] { done(attempt, called_off); });
 }
 
 void Router::act(const Sleep& sleep) {
