--- a/src/core/router/release_targets.cpp
+++ b/src/core/router/release_targets.cpp
@@ -11,9 +11,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t release_round = 4;    // of so many calls one asks the holder
-constexpr Micros::rep most_open = 3;        // calls under way for one state
-constexpr Micros::rep steps = 8;            // calls that start within the settings' time
+constexpr std::size_t release_round = 4;                     // of so many calls one asks the holder
+constexpr Micros last_step = std::chrono::milliseconds(40);  // once the process ends
+constexpr Micros::rep most_open = 3;                         // calls under way for one state
+constexpr Micros::rep steps = 8;                             // calls that start within the settings' time
 constexpr Micros::rep others_told_for = 8;  // of the settings' times, once one of them has taken the call
 constexpr Micros usual_time = seconds(1);   // where the settings give none
 constexpr Micros longest_step = seconds(1);
@@ -33,6 +34,9 @@
 // So many calls start within the settings' time, sooner after one to a holder that has failed last. Once that
 // time is over, or only a holder that hangs has still to be told, they become slower.
 Micros Router::release_step(const PendingRelease& released) const {
+  // A process that ends has little time left: more nodes are asked, each for less long.
+  if (waits_end_ && clock_.now() >= *waits_end_)
+    return std::min(release_time() / steps, last_step);
   const Micros step = release_time() / steps;
   if (released.arrived)
     return std::min(release_time() / (asks_others_too(released) ? 4 : 2), longest_step);
--- a/src/core/router/releases.cpp
+++ b/src/core/router/releases.cpp
@@ -63,7 +63,7 @@
   const RequestState* entry = find(released.request);
   if (released.tries == 0 || !entry)
     return false;
-  if (!entry->out)
+  if (!entry->out || !entry->out->call)  // none, or one that was called off and has been closed
     return entry->client && entry->holds;
   const AttemptState& out = *entry->out;
   if (out.started)
--- a/src/module/admission.h
+++ b/src/module/admission.h
@@ -42,8 +42,8 @@
   const double yield = 0.5 + 0.5 * std::sqrt(value);
   const double most_wait = wait_margin * std::max(job.aim - read, job.aim / 2) * yield;
   // Danger: a router that took waits to be long refuses all, and learns no better. Its evidence fades.
-  // Where decode nodes report no load, the wait there is what streams have met lately.
-  const double decode = s.reported ? 0 : s.first_token.faded(s.now, s.fade);
+  // Where no loads are reported the wait at decode nodes is what streams have met lately.
+  const double decode = s.settings.report_x0_is_memory ? 0 : s.first_token.faded(s.now, s.fade);
   const double counted = wait * s.any_rate.trust(s.now, s.fade) + decode;
   const bool refused = counted > most_wait || load > full_at * yield;
   if (refused && s.told_to)
--- a/tests/core/play_nodes.cpp
+++ b/tests/core/play_nodes.cpp
@@ -176,6 +176,7 @@
   run.asker.live = nullptr;
   if (!run.sent)
     return void(++seen_.unsent_dropped);
+  run.asker.closed_at = clock_.at;
   if (run.place.role == Role::read && run.place.alive && draw_.one_in(3))
     end_well(run.asker.name, run.place);
   monitor_.over(clock_.at, run.asker.name, run.place.name);
--- a/tests/core/play_parts.h
+++ b/tests/core/play_parts.h
@@ -65,6 +65,7 @@
   int events = 0;
   bool served_at = false;  // an attempt that may have run has ended
   Run* live = nullptr;
+  std::optional<Micros> closed_at;  // when the router closed the last attempt that was sent
 };
 
 struct Play::Releasing : Call {
