--- a/src/http/client_ending.cpp
+++ b/src/http/client_ending.cpp
@@ -18,9 +18,11 @@
   if (leaving())
     return close();
   front_.loop_.tally().note(net::Overdone::dismissed);
-  if (!in_request_)
+  const bool asked_again =
+      evbuffer_get_length(connection_.input()) > 0;  // behind an answer that has just ended
+  if (!in_request_ && !asked_again)
     return half_close();
-  keep_ = false;
+  keep_ = whole_ = false;
   answer(503, "Retry-After: 0.1\r\n");
   connection_.push();
   if (state_ != State::ending)
@@ -73,6 +75,17 @@
   front_.admission_.leaving(*this);
 }
 
+// Guards the end of an answer that a slow client's kernel has not had yet: a close over bytes unread resets
+// the connection and takes it along. The client has as long for it as for any part of an answer. With nothing
+// unread the kernel goes on sending after a close.
+bool ClientConnection::leaves_on() {
+  left_for_ += linger_for;
+  if (left_for_ >= front_.options_.sending || connection_.silent() || !connection_.unacknowledged())
+    return false;
+  timer_.start(linger_for);
+  return true;
+}
+
 void ClientConnection::drop_input() {
   const std::size_t size = evbuffer_get_length(connection_.input());
   evbuffer_drain(connection_.input(), size);
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -39,6 +39,13 @@
   return status >= 400 && status < 500 && status != 408 && status != 410 && status != 425 && status != 429;
 }
 
+// Whether a node has let go of a state. Each instance answers 204; where it has none of that id, another
+// status below 500 says the same. Guards the state against a 5xx, by which a node, or what stands before it,
+// tells that the call was not carried out: it is made again, and a second one does no harm.
+bool let_go(Ending how, int status) {
+  return how == Ending::whole && status < 500;
+}
+
 class AttemptCall : public Call, Listener {
  public:
   AttemptCall(Client& client, const Node& node, const Prompt& prompt, Micros within, Attempt& attempt)
@@ -46,8 +53,9 @@
     set_up();
     std::ostringstream head;
     head << "POST " << prompt.target << " HTTP/1.1\r\nHost: " << node.address << "\r\nReq-Id: " << prompt.id
-         << "\r\nReq-Deadline: " << seconds_text(within)
-         << "\r\nContent-Type: application/json\r\nContent-Length: " << prompt.body->size() << "\r\n\r\n";
+         << "\r\nReq-Deadline: " << seconds_text(within) << "\r\n"
+         << prompt.fields << "Content-Type: application/json\r\nContent-Length: " << prompt.body->size()
+         << "\r\n\r\n";
     exchange_ = client.start(node.address, head.str(), prompt.body, *this);
   }
   // Goes on with a stream that another process began, after one of its events.
@@ -207,7 +215,7 @@
                                           std::function<void(bool)> done) {
   return std::make_unique<SimpleCall>(
       client_, node, "DELETE /state/" + id,
-      [done = std::move(done)](Ending how, int, const std::string&) { done(how == Ending::whole); });
+      [done = std::move(done)](Ending how, int status, const std::string&) { done(let_go(how, status)); });
 }
 
 std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const Result&)> done) {
--- a/src/module/admission.h
+++ b/src/module/admission.h
@@ -10,14 +10,8 @@
 // Whether a request is beyond its tenant's share, by a token bucket that holds this router's part of it.
 inline bool beyond_share(State& s, std::uint16_t tenant) {
   if (tenant >= s.settings.tenants.size() || s.settings.tenants[tenant].quota_rps <= 0) return false;
-  auto& bucket = s.buckets[tenant];
   const double per_second = s.settings.tenants[tenant].quota_rps / s.settings.siblings;
-  const double most = std::max(2.0, 2 * per_second);
-  bucket.level = std::min(most, bucket.level + per_second * us(s.now - bucket.at) / 1e6);
-  bucket.at = s.now;
-  if (bucket.level < 1) return true;
-  bucket.level -= 1;
-  return false;
+  return !s.buckets[tenant].take(per_second, std::max(2.0, 2 * per_second), s.now);
 }
 
 // The least load of the decode nodes by the time this request is prefilled: what they hold, and their part of
@@ -48,11 +42,18 @@
   const double yield = 0.5 + 0.5 * std::sqrt(value);
   const double most_wait = wait_margin * std::max(job.aim - read, job.aim / 2) * yield;
   // Danger: a router that took waits to be long refuses all, and learns no better. Its evidence fades.
-  const double counted = wait * s.any_rate.trust(s.now, s.fade);
+  // Where no loads are reported the wait at decode nodes is what streams have met lately.
+  const double decode = s.settings.report_x0_is_memory ? 0 : s.first_token.faded(s.now, s.fade);
+  const double counted = wait * s.any_rate.trust(s.now, s.fade) + decode;
   const bool refused = counted > most_wait || load > full_at * yield;
   if (refused && s.told_to)
-    s.told_to(Choice{.id = job.request.id, .at = s.now, .refused = true, .wait = micros(counted),
-                     .most_wait = micros(most_wait), .load = load, .most_load = full_at * yield});
+    s.told_to(Choice{.id = job.request.id,
+                     .at = s.now,
+                     .refused = true,
+                     .wait = micros(counted),
+                     .most_wait = micros(most_wait),
+                     .load = load,
+                     .most_load = full_at * yield});
   return refused;
 }
 
--- a/src/peers/rider.h
+++ b/src/peers/extension.h
@@ -1,7 +1,7 @@
-// What rides on the datagrams between routers beside membership: pools and the map of kept state. A rider
-// does no I/O and reads no clock; all its calls come from one thread, with times that never go back.
-// Datagrams may be lost, repeated, reordered and late, so what a rider says must bear that (a merge, or a
-// question with its answer).
+// What rides on the datagrams between routers beside membership: pools and the map of kept state. An
+// extension does no I/O and reads no clock; all its calls come from one thread, with times that never go
+// back. Datagrams may be lost, repeated, reordered and late, so what an extension says must bear that (a
+// merge, or a question with its answer).
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -17,14 +17,14 @@
 class Outbox {
  public:
   virtual ~Outbox() = default;
-  static constexpr std::size_t most = 1000;  // bytes of one parcel; a longer one is dropped, and counted
+  static constexpr std::size_t most = 1000;  // bytes of one payload; a longer one is dropped, and counted
   // To a member by name; dropped where the view does not know it. Nothing says whether it arrives.
   virtual void send(Topic topic, std::string_view to, std::string bytes) = 0;
 };
 
-class Rider {
+class Extension {
  public:
-  virtual ~Rider() = default;
+  virtual ~Extension() = default;
   virtual Topic topic() const = 0;
   virtual void viewed(Micros now, const View& view) = 0;  // it has changed; first call before any other
   // The sender's name is proven by the key; what it says need not be true. What can't be read is counted and
--- a/src/tiers/share/level.cpp
+++ b/src/tiers/share/level.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 constexpr Micros ask_every = std::chrono::seconds(5);  // of one member; the earlier ones of it are not heard
-constexpr std::size_t slice_parcels = 4, askers_at_once = 4;  // in a tick
-constexpr std::size_t parcels_at_once = 8;                    // told in a tick
-constexpr std::size_t lines_of_parcel = 64;  // more than ever fit, so that a parcel gets full
+constexpr std::size_t slice_payloads = 4, askers_at_once = 4;  // in a tick
+constexpr std::size_t payloads_at_once = 8;                    // told in a tick
+constexpr std::size_t lines_of_payload = 64;  // more than ever fit, so that a payload gets full
 }  // namespace
 
 Level::Level(Known& known, Tier tier, std::size_t most_keys)
     : known_(known),
       tier_(tier),
       homes_(known.names, tier),
-      keeper_(known.names, most_keys),
-      board_(most_keys),
+      vote_table_(known.names, most_keys),
+      announcements_(most_keys),
       told_(most_keys),
       push_(known.options.limits.push_bytes) {}
 
@@ -33,30 +33,31 @@
     return std::find(sites.begin(), sites.end(), member.site) != sites.end();
   });
   if (!changed.empty()) {
-    board_.keep_only([&](KeyId key) { return homes_.heads(options.name, shard_of(key)); });
+    announcements_.keep_only([&](KeyId key) { return homes_.heads(options.name, shard_of(key)); });
     choose_all_ = true;
   }
   std::erase_if(askers_, [&](const auto& one) { return !homes_.has(one.first); });
   return changed;
 }
 
-void Level::votes(Micros now, NameId contributor, const Parcel& parcel) {
-  for (const auto& line : parcel.lines) {
-    Vote vote{parcel.stamp, {}, line.weight, now};
+void Level::votes(Micros now, NameId contributor, const Payload& payload) {
+  for (const auto& line : payload.lines) {
+    Vote vote{payload.stamp, {}, line.weight, now};
     for (const auto& holder : line.holders)
-      vote.holders.push_back({holder.device, holder.era, holder.tokens, holder.confidence, holder.seen});
-    keeper_.put(line.key, contributor, std::move(vote));
+      vote.holders.push_back(
+          {holder.device, holder.generation, holder.tokens, holder.confidence, holder.seen});
+    vote_table_.put(line.key, contributor, std::move(vote));
   }
 }
 
-bool Level::rows(Micros now, std::string_view from, const Parcel& parcel) {
+bool Level::rows(Micros now, std::string_view from, const Payload& payload) {
   const auto teller = known_.names.of(from);
   bool other = false;
-  for (const auto& line : parcel.lines) {
+  for (const auto& line : payload.lines) {
     // Guards against one member telling about shards that are not its own. Where views differ for a moment,
     // the next repeat makes good for it.
     if (!homes_.keeps(from, shard_of(line.key)))
-      ++not_keepers_;
+      ++not_collectors_;
     else
       other |= told_.put(line, teller, now, [&](NameId name) { return known_.believed(name, now); });
   }
@@ -64,34 +65,34 @@
 }
 
 void Level::vote(Mail& mail, const Line& line, Micros now, Budget& budget, peers::Outbox& out) {
-  for (const auto& keeper : homes_.keepers(shard_of(line.key))) {
-    if (keeper == known_.options.name) {
-      Parcel own;
+  for (const auto& collector : homes_.collectors(shard_of(line.key))) {
+    if (collector == known_.options.name) {
+      Payload own;
       own.stamp = known_.next_stamp();
       own.lines.push_back(line);
       votes(now, known_.me, own);
       continue;
     }
-    auto at = mail.open.find(keeper);
+    auto at = mail.open.find(collector);
     if (at == mail.open.end())
-      at = mail.open.emplace(keeper, Packer(Kind::votes, tier_, known_.next_stamp())).first;
+      at = mail.open.emplace(collector, Packer(Kind::votes, tier_, known_.next_stamp())).first;
     if (at->second.add(line, now))
       continue;
     const auto bytes = at->second.bytes();
     budget.spend(bytes.size());
-    known_.send("votes", out, keeper, bytes);
+    known_.send("votes", out, collector, bytes);
     at->second = Packer(Kind::votes, tier_, known_.next_stamp());
     at->second.add(line, now);
   }
 }
 
 void Level::flush(Mail& mail, Budget& budget, peers::Outbox& out) {
-  for (auto& [keeper, packer] : mail.open) {
+  for (auto& [collector, packer] : mail.open) {
     if (packer.empty())
       continue;
     const auto bytes = packer.bytes();
     budget.spend(bytes.size());
-    known_.send("votes", out, keeper, bytes);
+    known_.send("votes", out, collector, bytes);
   }
   mail.open.clear();
 }
@@ -100,16 +101,18 @@
   if (!homes_.heads(known_.options.name, shard_of(key)))
     return false;
   Line line{key, 0, {}};
-  if (const auto* row = keeper_.find(key)) {
-    const Believed believed{[&](NameId device, const Era& era) { return known_.eras.holds(device, era); },
+  if (const auto* row = vote_table_.find(key)) {
+    const Believed believed{[&](NameId device, const Generation& generation) {
+                              return known_.generations.holds(device, generation);
+                            },
                             [&](NameId by) { return known_.believed(by, now); }, now,
                             known_.options.limits.fade};
-    line.holders = choose(*row, board_.holders(key), believed);
+    line.holders = choose(*row, announcements_.holders(key), believed);
     line.weight = static_cast<std::uint8_t>(row->weight());
   }
   const auto trust = [&](NameId name) { return known_.believed(name, now); };
   const bool other = told_.put(line, known_.me, now, trust);
-  board_.set(std::move(line));
+  announcements_.set(std::move(line));
   return other;
 }
 
@@ -119,14 +122,14 @@
   if (choose_all_ || now - chosen_all_ >= limits.repeat / 2) {
     chosen_all_ = now;
     choose_all_ = false;
-    keeper_.expire(now - limits.lease());
+    vote_table_.expire(now - limits.lease());
     other |= told_.expire(now - limits.lease());
-    keeper_.take_touched();
-    for (const auto key : board_.keys())
+    vote_table_.take_touched();
+    for (const auto key : announcements_.keys())
       other |= choose_one(key, now);  // those whose votes are gone as well
-    keeper_.each([&](KeyId key, const Row&) { other |= choose_one(key, now); });
+    vote_table_.each([&](KeyId key, const Row&) { other |= choose_one(key, now); });
   } else {
-    for (const auto key : keeper_.take_touched())
+    for (const auto key : vote_table_.take_touched())
       other |= choose_one(key, now);
   }
   push_.refill(now);
@@ -138,16 +141,16 @@
 void Level::tell_all(Micros now, peers::Outbox& out) {
   const auto audience = homes_.members().size() - (homes_.has(known_.options.name) ? 1 : 0);
   if (audience == 0) {
-    for (const auto key : board_.keys())
-      board_.told(key, now);
+    for (const auto key : announcements_.keys())
+      announcements_.told(key, now);
     return;
   }
-  for (std::size_t i = 0; i < parcels_at_once && push_.left() > 0; ++i) {
+  for (std::size_t i = 0; i < payloads_at_once && push_.left() > 0; ++i) {
     Packer packer(Kind::rows, tier_, {});
-    for (const auto* line : board_.due(now, known_.options.limits.repeat, lines_of_parcel)) {
+    for (const auto* line : announcements_.due(now, known_.options.limits.repeat, lines_of_payload)) {
       if (!packer.add(*line, now))
         break;
-      board_.told(line->key, now);
+      announcements_.told(line->key, now);
     }
     if (packer.empty())
       return;
@@ -174,10 +177,10 @@
     if (!asker.open || served == askers_at_once || push_.left() <= 0)
       continue;
     ++served;
-    for (std::size_t i = 0; i < slice_parcels && asker.open; ++i) {
+    for (std::size_t i = 0; i < slice_payloads && asker.open; ++i) {
       Packer packer(Kind::rows, tier_, {});
       // Of what it was told as well: a head that has just started anew has nothing yet, the next in rank has.
-      const auto lines = told_.after(asker.cursor, lines_of_parcel, [&](std::size_t shard) {
+      const auto lines = told_.after(asker.cursor, lines_of_payload, [&](std::size_t shard) {
         return homes_.keeps(known_.options.name, shard);
       });
       std::size_t packed = 0;
@@ -187,7 +190,7 @@
         asker.cursor = line.key;
         ++packed;
       }
-      asker.open = packed < lines.size() || lines.size() == lines_of_parcel;
+      asker.open = packed < lines.size() || lines.size() == lines_of_payload;
       if (packer.empty())
         break;
       const auto bytes = packer.bytes();
@@ -200,11 +203,11 @@
 void Level::ask(Micros, peers::Outbox& out) {
   std::vector<std::string> heads;
   for (std::size_t shard = 0; shard < shards; ++shard)
-    for (const auto& keeper : homes_.keepers(shard)) {
-      if (keeper == known_.options.name)
+    for (const auto& collector : homes_.collectors(shard)) {
+      if (collector == known_.options.name)
         continue;  // it has nothing yet: the next in rank may have
-      if (std::find(heads.begin(), heads.end(), keeper) == heads.end())
-        heads.push_back(keeper);
+      if (std::find(heads.begin(), heads.end(), collector) == heads.end())
+        heads.push_back(collector);
       break;
     }
   const auto bytes = Packer(Kind::ask, tier_, {}).bytes();
