--- a/bench/grpc_streams.cpp
+++ b/bench/grpc_streams.cpp
@@ -27,28 +27,31 @@
 }
 
 // Nodes that never answer: every call waits.
-struct Silent : Nodes {
-  std::unique_ptr<Call> begin(const Node&, const Prompt&, Micros, Attempt&) override {
+struct Silent : NodeTransport {
+  std::unique_ptr<Call> start_attempt(const Node&, const Prompt&, Micros, AttemptHandler&) override {
     return std::make_unique<Call>();
   }
-  std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)>) override {
+  std::unique_ptr<Call> release_reservation(const Node&, const std::string&,
+                                            std::function<void(bool)>) override {
     return std::make_unique<Call>();
   }
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
 };
 
 Settings settings() {
   Settings s;
   ClassSettings c;
   c.name = "k";
-  c.aim = c.deadline = std::chrono::minutes(10);
+  c.latency_objective = c.deadline = std::chrono::minutes(10);
   s.classes = {c};
-  s.kind_role = {Role::read, Role::write};
+  s.kind_role = {Role::prefill, Role::decode};
   s.kind_memory = {1e12, 1e12};
   s.max_attempts = 2;
-  s.fall_window = std::chrono::seconds(1);
+  s.overload_window = std::chrono::seconds(1);
   return s;
 }
 
@@ -95,10 +98,11 @@
   SystemClock clock;
   Silent nodes;
   Router core(settings(), {"a"}, {"r", "w"}, 1, clock, nodes);
-  std::vector<Router::Listed> list;
+  std::vector<Router::ListedNode> list;
   for (const char* name : {"r1", "r2", "w1"})
-    list.push_back({name, "127.0.0.1:1", "a", std::string(name).substr(0, 1), 0, Phase::ready, 1, Micros(0)});
-  core.update(ListKind::full, 1, list);
+    list.push_back(
+        {name, "127.0.0.1:1", "a", std::string(name).substr(0, 1), 0, EndpointState::ready, 1, Micros(0)});
+  core.update_endpoints(EndpointListKind::full, 1, list);
   grpc::Front front(core);
   grpc::Server server(loop, "127.0.0.1:0", streams / 128 + 16);
   server.add(front);
@@ -109,7 +113,7 @@
   net::Timer hang(loop, [&] { loop.stop(); });
   hang.start(std::chrono::seconds(60));
   net::Timer look(loop, [&] {
-    if (core.open() >= streams)
+    if (core.open_requests() >= streams)
       loop.stop();
     else
       look.start(std::chrono::milliseconds(20));
@@ -119,7 +123,7 @@
   const std::size_t held = memory_kib() - before;
   kill(child, SIGKILL);
   waitpid(child, nullptr, 0);
-  std::cout << core.open() << " calls open: " << held << " KiB more, "
-            << held * 1024 / std::max<std::size_t>(1, core.open()) << " bytes a call" << std::endl;
-  return core.open() == streams ? 0 : 1;
+  std::cout << core.open_requests() << " calls open: " << held << " KiB more, "
+            << held * 1024 / std::max<std::size_t>(1, core.open_requests()) << " bytes a call" << std::endl;
+  return core.open_requests() == streams ? 0 : 1;
 }
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -8,40 +8,40 @@
   lemonroute::Settings settings;
   lemonroute::ClassSettings chat;
   chat.name = "chat";
-  chat.aim = 1500ms;
+  chat.latency_objective = 1500ms;
   chat.deadline = 6s;
   settings.classes = {chat};
-  settings.kind_role = {lemonroute::Role::read, lemonroute::Role::write};
+  settings.kind_role = {lemonroute::Role::prefill, lemonroute::Role::decode};
   settings.kind_memory = {200000, 150000};
   settings.max_attempts = 4;
 
   lemonroute::Scheduler scheduler(settings, 1);
   std::vector<lemonroute::Action> actions;
-  const auto step = [&](lemonroute::Micros now, const lemonroute::Event& event) -> lemonroute::HostId {
+  const auto step = [&](lemonroute::Micros now, const lemonroute::Event& event) -> lemonroute::EndpointId {
     actions.clear();
     scheduler.handle(now, event, actions);
     for (const auto& action : actions)
       if (const auto* send = std::get_if<lemonroute::Send>(&action))
-        return send->host;
+        return send->endpoint;
     return 0;
   };
 
-  lemonroute::ListEntry reader, writer;
-  reader.host = 1;
-  writer.host = 2;
+  lemonroute::Endpoint reader, writer;
+  reader.id = 1;
+  writer.id = 2;
   writer.kind = 1;
-  step(0s, lemonroute::HostList{lemonroute::ListKind::full, 1, {reader, writer}});
+  step(0s, lemonroute::EndpointListUpdate{lemonroute::EndpointListKind::full, 1, {reader, writer}});
 
   lemonroute::Request request;
   request.id = 7;
-  request.budget = 6s;
-  request.prompt = 1800;
-  request.max_output = 256;
+  request.time_budget = 6s;
+  request.prompt_tokens = 1800;
+  request.max_output_tokens = 256;
   const auto read_at = step(1s, request);
-  lemonroute::Completed read;
+  lemonroute::AttemptCompleted read;
   read.id = 7;
-  read.outcome = lemonroute::Outcome::read;
-  read.host = read_at;
+  read.outcome = lemonroute::Outcome::prefill_done;
+  read.endpoint = read_at;
   read.elapsed = 90ms;
   const auto written_at = step(1090ms, read);
   std::printf("read at %u, written at %u\n", read_at, written_at);
--- /dev/null
+++ b/include/lemonroute/events.h
@@ -0,0 +1,131 @@
+/// \file
+/// Events: everything that a Scheduler is told. The caller puts them in the order in which they happened.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "lemonroute/types.h"
+
+namespace lemonroute {
+
+/// One endpoint of the endpoint list.
+struct Endpoint {
+  EndpointId id = 0;
+  std::uint8_t zone = 0;
+  std::uint8_t kind = 0;  ///< machine kind: index into Settings::kind_role and Settings::kind_memory
+  std::uint16_t cell = 0;
+  EndpointState state = EndpointState::ready;
+  float weight = 1;
+  Micros started_at{};  ///< start of its process, on the Scheduler's clock; 0: long ago
+};
+
+/// The endpoint list, or a change of it.
+struct EndpointListUpdate {
+  EndpointListKind kind = EndpointListKind::full;
+  std::uint32_t version = 0;
+  std::vector<Endpoint> endpoints;
+};
+
+/// What other routers say of a prompt's KV cache at an endpoint. No decision may depend on its being true;
+/// the endpoint's own counts of cached tokens correct it.
+struct CacheHint {
+  EndpointId endpoint = 0;
+  double tokens = 0;      ///< prompt tokens cached, from the prompt's beginning
+  double confidence = 0;  ///< 0 to 1
+};
+
+/// Bits of Request::flags. The numbers are those of the simulator's wire.
+enum RequestFlag : std::uint8_t {
+  has_expected_latency = 1,  ///< Request::expected_latency is valid
+  repeated_by_client = 2,    ///< the client has sent the request before
+  resumed_stream = 16,       ///< the client resumes a stream that broke
+};
+
+/// A request that was taken and has to be answered.
+struct Request {
+  RequestId id = 0;
+  std::uint16_t class_index = 0;   ///< into Settings::classes
+  std::uint16_t tenant_index = 0;  ///< into Settings::tenants; beyond its end: unknown tenant
+  Key session_key = 0;
+  Micros time_budget{};  ///< the client gives up after it
+  Micros expected_latency{};
+  Key shared_prefix_key = 0;
+  float prompt_tokens = 0;
+  float shared_prefix_tokens = 0;  ///< length of the prefix that shared_prefix_key names
+  float max_output_tokens = 0;
+  std::uint8_t flags = 0;                ///< bits of RequestFlag
+  std::vector<CacheHint> cache_hints{};  ///< a few; empty where routers share nothing
+};
+
+/// An attempt's first token has arrived.
+struct FirstTokenReceived {
+  RequestId id = 0;
+  EndpointId endpoint = 0;
+  std::uint16_t attempt = 0;  ///< index among the request's attempts, from 0
+  Micros elapsed{};           ///< since the attempt was sent
+};
+
+/// What became of capacity that was reserved for a request ahead of its attempt.
+struct ReservationUpdate {
+  RequestId id = 0;
+  EndpointId endpoint = 0;
+  std::uint8_t kind = 0;  ///< 1: reserved, 2: not reserved
+  float value = 0;
+  std::uint16_t attempt = 0;
+};
+
+/// Value of AttemptCompleted::cached_tokens that comes with Outcome::rejected_over_capacity where the reason
+/// is that the KV cache to decode from does not exist any more.
+inline constexpr std::uint32_t reservation_lost = 1;
+
+/// An attempt has ended.
+struct AttemptCompleted {
+  RequestId id = 0;
+  Outcome outcome = Outcome::ok;
+  bool request_finished =
+      false;         ///< the request needs no further attempt: it is answered, or its client left
+  Micros elapsed{};  ///< since the attempt was sent
+  EndpointId endpoint = 0;
+  /// Prompt tokens that a prefill found cached; see reservation_lost for a rejected attempt.
+  std::uint32_t cached_tokens = 0;
+  std::uint16_t attempt = 0;       ///< index among the request's attempts, from 0
+  std::vector<float> load_report;  ///< by Settings::report_columns; empty: none came
+};
+
+/// The client of a request has left; no answer is needed any more.
+struct ClientDisconnected {
+  RequestId id = 0;
+};
+
+/// A timer that a StartTimer action asked for has expired.
+struct TimerFired {
+  std::uint32_t timer_id = 0;
+};
+
+/// A health check has ended, or a load report has come without an attempt.
+struct HealthResult {
+  EndpointId endpoint = 0;
+  Outcome outcome = Outcome::ok;
+  Micros elapsed{};
+  std::vector<float> load_report;  ///< by Settings::report_columns; empty: none came
+};
+
+/// A message of another router.
+struct PeerMessage {
+  std::uint16_t from = 0;
+  std::string payload;
+};
+
+/// Another router has noticed that an endpoint's KV cache was lost.
+struct CacheInvalidated {
+  EndpointId endpoint = 0;
+};
+
+using Event =
+    std::variant<EndpointListUpdate, Request, FirstTokenReceived, ReservationUpdate, AttemptCompleted,
+                 ClientDisconnected, TimerFired, HealthResult, PeerMessage, CacheInvalidated>;
+
+}  // namespace lemonroute
--- a/src/cli/call_command.cpp
+++ b/src/cli/call_command.cpp
@@ -196,7 +196,7 @@
   if (address.empty())
     throw Misuse("an address is missing");
   try {
-    net::Endpoint{address};
+    net::SocketAddress{address};
   } catch (const std::invalid_argument& error) {
     throw Misuse(error.what());
   }
--- a/src/cli/demo_command.cpp
+++ b/src/cli/demo_command.cpp
@@ -118,7 +118,8 @@
   }
   void list(demo::Node& node, const char* lifecycle) {
     discovery_.tell(node, lifecycle);
-    monitor_.listed(now(), node.name(), std::string(lifecycle) == "active" ? Phase::ready : Phase::draining,
+    monitor_.listed(now(), node.name(),
+                    std::string(lifecycle) == "active" ? EndpointState::ready : EndpointState::draining,
                     Micros(0));
   }
   void crash(const std::string& request) {
--- a/src/cli/limits.cpp
+++ b/src/cli/limits.cpp
@@ -25,16 +25,16 @@
 }
 
 // Nodes close what has been idle for the platform's time; a request written to it then is lost.
-Nodes::Limits node_limits(const config::Platform& platform, std::size_t parts) {
+NodeTransport::Limits node_limits(const config::Platform& platform, std::size_t parts) {
   return {platform.settings.connect_timeout, platform.connection_idle * 6 / 10, idle_nodes(platform) / parts};
 }
 
-std::unique_ptr<Nodes> make_nodes(net::Loop& loop, const config::Platform& platform, bool grpc) {
+std::unique_ptr<NodeTransport> make_nodes(net::Loop& loop, const config::Platform& platform, bool grpc) {
   if (grpc)
     return std::make_unique<grpc::NodeClient>(loop, grpc::Session::Limits{platform.settings.connect_timeout});
-  const Nodes::Limits limits = node_limits(platform, 1);
+  const NodeTransport::Limits limits = node_limits(platform, 1);
   return std::make_unique<http::NodeClient>(
-      loop, http::ClientLimits{limits.connect_timeout, limits.idle, limits.idle_most});
+      loop, http::ClientLimits{limits.connect_timeout, limits.idle_timeout, limits.max_idle_connections});
 }
 
 http::Front::Options front_options(const config::Platform& platform, const config::Operator& settings) {
@@ -58,7 +58,7 @@
   service.beside_another = platform.socket.has_value();
   service.keys = peers.keys;
   service.via = peers.via;
-  options.siblings.stated = platform.settings.siblings;
+  options.siblings.stated = platform.settings.router_count;
   options.siblings.least = static_cast<std::uint32_t>(peers.siblings_least);
   options.siblings.most = static_cast<std::uint32_t>(peers.siblings_most);
   return options;
--- a/src/cli/limits.h
+++ b/src/cli/limits.h
@@ -13,8 +13,9 @@
 namespace lemonroute::cli {
 
 std::size_t front_places(const config::Platform& platform);
-Nodes::Limits node_limits(const config::Platform& platform, std::size_t parts);  // one of so many equal parts
-std::unique_ptr<Nodes> make_nodes(net::Loop& loop, const config::Platform& platform, bool grpc);
+NodeTransport::Limits node_limits(const config::Platform& platform,
+                                  std::size_t parts);  // one of so many equal parts
+std::unique_ptr<NodeTransport> make_nodes(net::Loop& loop, const config::Platform& platform, bool grpc);
 http::Front::Options front_options(const config::Platform& platform, const config::Operator& settings);
 guide::Fleet::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
                                     Micros now);
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -35,15 +35,15 @@
   if (choice.chosen != 0)
     return;
   logging::Line line = logging::debug();
-  line << "choice of a " << (choice.stage == Role::read ? "reader" : "writer") << " for request "
+  line << "choice of a " << (choice.stage == Role::prefill ? "reader" : "writer") << " for request "
        << choice.id;
-  if (choice.refused)
-    line << ": wait " << choice.wait.count() / 1000 << " of " << choice.most_wait.count() / 1000
-         << " ms, load " << choice.load << " of " << choice.most_load;
+  if (choice.shed)
+    line << ": wait " << choice.estimated_wait.count() / 1000 << " of " << choice.max_wait.count() / 1000
+         << " ms, load " << choice.load << " of " << choice.max_load;
   else
     for (const auto& candidate : choice.candidates)
-      if (candidate.left_out)
-        line << "; " << router.name_of(candidate.host) << ' ' << candidate.left_out;
+      if (candidate.exclusion_reason)
+        line << "; " << router.endpoint_name(candidate.endpoint) << ' ' << candidate.exclusion_reason;
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
         watch_(first_list(loop_, platform, router_)),
         status_(router_),
         front_(loop_, router_, front_options(platform, settings)),
-        due_(loop_, [this] { router_.run_due(); }),
+        due_(loop_, [this] { router_.run_timers(); }),
         window_(loop_, [this] { stop_accepting(); }),
         ended_(loop_, [this] { poll_end(); }),
         look_(loop_, [this] { look(); }),
@@ -82,8 +82,8 @@
     if (settings.peers) {
       fleet_ = std::make_unique<guide::Fleet>(
           loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()),
-          std::vector<guide::Binding>{}, [this](auto newer) { router_.guide(std::move(newer)); });
-      router_.observer(&fleet_->observer());
+          std::vector<guide::Binding>{}, [this](auto newer) { router_.set_fleet_view(std::move(newer)); });
+      router_.set_node_observer(&fleet_->observer());
       logging::info() << "peers on " << fleet_->address();
     }
     const std::string& management =
@@ -98,20 +98,21 @@
     }
     router_.on_change = [this] { changed(); };
     if (logging::enabled(logging::Level::debug))
-      router_.explain([this](const Choice& choice) { log_empty_choice(router_, choice); });
-    router_.keep_bans(processes_.file(".bans"), processes_.lock());
+      router_.set_choice_observer([this](const Choice& choice) { log_empty_choice(router_, choice); });
+    router_.load_overrides(processes_.file(".bans"), processes_.lock());
     changed();
     look();
     if (platform.socket)
       handover_ = std::make_unique<ops::Handover>(
-          loop_, processes_.file(".streams"), [this](const PassedStream& stream) { front_.adopt(stream); },
-          [this](const HandoverState& handover_state) { router_.take_over(handover_state); });
+          loop_, processes_.file(".streams"),
+          [this](const TransferredStream& stream) { front_.adopt(stream); },
+          [this](const HandoverState& handover_state) { router_.apply_handover_state(handover_state); });
     processes_.serves(true);
     held_.reset();  // the handlers are there
   }
   ~Parts() {
     router_.on_change = nullptr;  // the timer goes before the router does, and so does the observer
-    router_.observer(nullptr);
+    router_.set_node_observer(nullptr);
   }
   Parts(const Parts&) = delete;
   Parts& operator=(const Parts&) = delete;
@@ -136,7 +137,7 @@
 
   void changed() {
     status_.check();
-    if (const auto due = router_.next_due())
+    if (const auto due = router_.next_timer())
       due_.start(*due - clock_.now());
     else
       due_.stop();
@@ -152,14 +153,14 @@
       handover_->finish();
     handover_.reset();
     const bool successor = processes_.another_serves();
-    logging::info() << signal << ": draining, " << router_.open() << " requests open"
+    logging::info() << signal << ": draining, " << router_.open_requests() << " requests open"
                     << (successor ? ", another process takes the clients" : "");
     if (successor)
       hand_over();
     else
       front_.drain();
     // Clients send on every connection that stays open, and who asks late may wait longer than there is time.
-    router_.end_waits(clock_.now() + last_wait());
+    router_.set_shutdown_deadline(clock_.now() + last_wait());
     status_.drain();
     window_.start(arrival_window);
   }
@@ -181,7 +182,7 @@
   }
   // A stream may outlast this process's time; each is given away once it stands between two events.
   void pass_streams() {
-    router_.pass_streams([path = processes_.file(".streams")](const PassedStream& stream) {
+    router_.transfer_streams([path = processes_.file(".streams")](const TransferredStream& stream) {
       return ops::Handover::send(path, stream);
     });
     pass_.start(pass_again);
@@ -189,7 +190,7 @@
   // What the other process of this router, if there is one, has changed. Both together must stay within the
   // limits of one, so each has half of the places while two run.
   void look() {
-    router_.refresh_bans();
+    router_.reload_overrides();
     // Guards against an order to end that comes before the successor is ready: what goes on here for longer
     // than this process has, and who is turned away here, is well off there.
     if (draining_ && !handed_over_ && platform_.socket && processes_.another_serves()) {
@@ -202,7 +203,7 @@
                                  : "no other process of this router runs");
       const std::size_t parts = this->parts();
       front_.limit(std::max<std::size_t>(2, front_places(platform_) / parts));
-      nodes_->limit(node_limits(platform_, parts));
+      nodes_->set_limits(node_limits(platform_, parts));
       if (grpc_)
         grpc_->server.limit(std::max<std::size_t>(2, grpc_->places / parts));
     }
@@ -223,10 +224,10 @@
       say_unused(platform);
       platform_.settings = platform.settings;
       platform_.connection_idle = platform.connection_idle;
-      nodes_->limit(node_limits(platform_, parts()));
-      router_.retune(platform.settings, platform.zones, platform.kinds);
+      nodes_->set_limits(node_limits(platform_, parts()));
+      router_.update_settings(platform.settings, platform.zones, platform.kinds);
       if (!watch_)
-        router_.update(ListKind::full, ++platform_.known.version, platform.known.nodes);
+        router_.update_endpoints(EndpointListKind::full, ++platform_.known.version, platform.known.nodes);
       else
         watch_->retune(lists_of(platform.settings), platform.settings.drain_grace);
       if (watch_ && std::exchange(platform_.discovery, platform.discovery) != platform.discovery)
@@ -258,7 +259,7 @@
   net::Loop& loop_;
   const SystemClock clock_;
   ops::Processes processes_;
-  std::unique_ptr<Nodes> nodes_;
+  std::unique_ptr<NodeTransport> nodes_;
   Router router_;
   std::unique_ptr<discovery::Watch> watch_;  // none where the nodes are fixed
   ops::Status status_;
--- a/src/cli/start.cpp
+++ b/src/cli/start.cpp
@@ -19,7 +19,7 @@
 // The process before listens for 0.6 s after SIGTERM.
 constexpr std::chrono::milliseconds address_within{3000}, address_again{20};
 
-bool taken(const net::Endpoint& address) {
+bool taken(const net::SocketAddress& address) {
   const int fd = socket(address.address()->sa_family, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0)
     return false;
@@ -52,7 +52,7 @@
 }
 
 void wait_for_address(const std::string& address) {
-  const net::Endpoint at(address);
+  const net::SocketAddress at(address);
   const auto until = std::chrono::steady_clock::now() + address_within;
   if (taken(at))
     logging::warn() << address << " is taken, it may be by a process that ends";
@@ -66,11 +66,11 @@
 
 std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform,
                                              Router& router) {
-  router.update(ListKind::cached, platform.known.version, platform.known.nodes);
+  router.update_endpoints(EndpointListKind::from_cache, platform.known.version, platform.known.nodes);
   if (platform.discovery.empty())
     return nullptr;
   // Copies of one program may be started with one seed, or with none.
-  const std::uint64_t seed = platform.seed ^ hash_of(platform.name);
+  const std::uint64_t seed = platform.seed ^ hash_text(platform.name);
   auto watch = std::make_unique<discovery::Watch>(
       loop, platform.discovery, router,
       discovery::Cadence(lists_of(platform.settings), platform.settings.drain_grace, seed));
--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -18,7 +18,7 @@
 // Addresses of peers need no names looked up. A port is needed, unless it is one to listen on.
 void check_address(Section& in, std::string_view key, const std::string& address, bool listens) {
   try {
-    net::Endpoint{address};
+    net::SocketAddress{address};
     if (!listens && address.ends_with(":0"))
       in.fault(key, "'" + address + "' has no port to send to");
   } catch (const std::invalid_argument& error) {
--- a/src/config/installation.cpp
+++ b/src/config/installation.cpp
@@ -19,7 +19,7 @@
 
 void check_address(Section& in, std::string_view key, const std::string& address) {
   try {
-    net::Endpoint{address};
+    net::SocketAddress{address};
   } catch (const std::invalid_argument& error) {
     in.fault(key, error.what());
   }
@@ -27,30 +27,30 @@
 
 void read_settings(Section in, Platform& to) {
   Settings& s = to.settings;
-  std::int64_t attempts = s.max_attempts, siblings = s.siblings, me = s.me;
+  std::int64_t attempts = s.max_attempts, siblings = s.router_count, me = s.router_index;
   if (in.whole("max_attempts", attempts, 1, most_attempts))
     s.max_attempts = static_cast<std::uint32_t>(attempts);
   if (in.whole("siblings", siblings, 1, 100000))
-    s.siblings = static_cast<std::uint32_t>(siblings);
+    s.router_count = static_cast<std::uint32_t>(siblings);
   if (in.whole("me", me, 0, 99999))
-    s.me = static_cast<std::uint32_t>(me);
-  if (s.me >= s.siblings)
-    in.fault("me", "must be below siblings, " + std::to_string(s.siblings));
-  in.flag("cancel", s.may_cancel);
-  in.flag("retry_after", s.retry_after);
-  if (in.flag("second_copies", s.second_copies) && s.second_copies)
+    s.router_index = static_cast<std::uint32_t>(me);
+  if (s.router_index >= s.router_count)
+    in.fault("me", "must be below siblings, " + std::to_string(s.router_count));
+  in.flag("cancel", s.cancellation_allowed);
+  in.flag("retry_after", s.retry_after_allowed);
+  if (in.flag("second_copies", s.hedging_allowed) && s.hedging_allowed)
     in.fault("second_copies", "breaks the rule that no two attempts of a request are out at once");
   in.span("max_retry_after", s.max_retry_after, Micros(0), hours(1));
   in.span("connect_timeout", s.connect_timeout, milliseconds(1), seconds(60));
   in.span("connection_idle", to.connection_idle, milliseconds(10), hours(24));
-  in.span("release_within", s.release_within, milliseconds(1), most_held);
+  in.span("release_within", s.reservation_release_timeout, milliseconds(1), most_held);
   in.span("drain_grace", s.drain_grace, Micros(0), most_grace);
-  in.span("cold_for", s.cold_for, Micros(0), hours(1));
-  in.number("cold_from", s.cold_from, 0.001, 1);
-  in.span("fall_window", s.fall_window, milliseconds(1), hours(1));
-  in.number("fall_multiple", s.fall_multiple, 0.1, 100);
-  in.span("tick", s.tick, Micros(0), seconds(1));
-  in.number("over_share_worth", s.over_share_worth, 0, 1);
+  in.span("cold_for", s.slow_start_duration, Micros(0), hours(1));
+  in.number("cold_from", s.slow_start_initial_capacity, 0.001, 1);
+  in.span("fall_window", s.overload_window, milliseconds(1), hours(1));
+  in.number("fall_multiple", s.overload_factor, 0.1, 100);
+  in.span("tick", s.min_batch_interval, Micros(0), seconds(1));
+  in.number("over_share_worth", s.over_quota_priority_weight, 0, 1);
   in.texts("report_columns", s.report_columns);
   std::string column;
   const auto takes = [&](std::string_view key, const char* name) {
@@ -63,35 +63,39 @@
     return true;
   };
   s.report_x0_is_memory = takes("report_memory", "x0");
-  s.report_x1_is_unread = takes("report_unread", "x1");
+  s.report_x1_is_queued_tokens = takes("report_unread", "x1");
   in.end();
 }
 
 ClassSettings read_class(const std::string& name, Section in) {
   ClassSettings c;
   c.name = name;
-  c.effect = Effect::safe;
-  in.choice("effect", c.effect,
-            {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}});
+  c.idempotency = Idempotency::idempotent;
+  in.choice("effect", c.idempotency,
+            {{"safe", Idempotency::idempotent},
+             {"keyed", Idempotency::idempotent_with_key},
+             {"unsafe", Idempotency::not_idempotent}});
   const bool grouped =
-      in.choice("group", c.group, {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-  const bool window = in.span("window", c.window, milliseconds(1), hours(1));
-  if (c.effect == Effect::keyed && (!grouped || !window))
+      in.choice("group", c.retry_scope,
+                {{"all", RetryScope::all}, {"zone", RetryScope::zone}, {"cell", RetryScope::cell}});
+  const bool window = in.span("window", c.retry_window, milliseconds(1), hours(1));
+  if (c.idempotency == Idempotency::idempotent_with_key && (!grouped || !window))
     in.missing(grouped ? "window" : "group");
-  if (c.effect != Effect::keyed && (grouped || window))
+  if (c.idempotency != Idempotency::idempotent_with_key && (grouped || window))
     in.fault(grouped ? "group" : "window", "says nothing of a class whose effect is not keyed");
-  if (!in.span("aim", c.aim, milliseconds(1), hours(1)) && !in.has("aim"))
+  if (!in.span("aim", c.latency_objective, milliseconds(1), hours(1)) && !in.has("aim"))
     in.missing("aim");
   if (!in.span("deadline", c.deadline, milliseconds(1), hours(1)) && !in.has("deadline"))
     in.missing("deadline");
-  if (c.aim > Micros(0) && c.deadline > Micros(0) && c.aim > c.deadline)
-    in.fault("aim", span_text(c.aim) + " is longer than the deadline, after which the client has given up");
-  in.span("aim_per_1000_tokens", c.aim_per_1000_tokens, Micros(0), hours(1));
-  in.span("token_aim", c.token_aim, Micros(0), seconds(60));
-  in.number("aim_stretch", c.aim_stretch, 0, 1000);
-  in.number("late_worth", c.late_worth, 0, 1);
-  in.number("worth", c.worth, 0, 1e6);
-  in.flag("stream", c.stream);
+  if (c.latency_objective > Micros(0) && c.deadline > Micros(0) && c.latency_objective > c.deadline)
+    in.fault("aim", span_text(c.latency_objective) +
+                        " is longer than the deadline, after which the client has given up");
+  in.span("aim_per_1000_tokens", c.latency_objective_per_1000_tokens, Micros(0), hours(1));
+  in.span("token_aim", c.inter_token_objective, Micros(0), seconds(60));
+  in.number("aim_stretch", c.objective_slack_factor, 0, 1000);
+  in.number("late_worth", c.late_priority_weight, 0, 1);
+  in.number("worth", c.priority_weight, 0, 1e6);
+  in.flag("stream", c.streaming);
   in.end();
   return c;
 }
@@ -128,7 +132,7 @@
   double weight = 1;
   if (in.number("weight", weight, 0, 1000))
     to.weight = static_cast<float>(weight);
-  in.choice("phase", to.phase, {{"active", Phase::ready}, {"leaving", Phase::draining}});
+  in.choice("phase", to.state, {{"active", EndpointState::ready}, {"leaving", EndpointState::draining}});
   return node;
 }
 
@@ -139,17 +143,17 @@
   // Where a file says nothing, these hold.
   Settings& s = to.settings;
   s.max_attempts = 4;
-  s.may_cancel = true;
-  s.retry_after = true;
+  s.cancellation_allowed = true;
+  s.retry_after_allowed = true;
   s.max_retry_after = seconds(2);
   s.connect_timeout = milliseconds(250);
-  s.release_within = seconds(1);
+  s.reservation_release_timeout = seconds(1);
   s.drain_grace = milliseconds(500);
-  s.cold_for = seconds(12);
-  s.cold_from = 0.25;
-  s.fall_multiple = 2.5;
-  s.fall_window = seconds(1);
-  s.tick = milliseconds(4);
+  s.slow_start_duration = seconds(12);
+  s.slow_start_initial_capacity = 0.25;
+  s.overload_factor = 2.5;
+  s.overload_window = seconds(1);
+  s.min_batch_interval = milliseconds(4);
   to.connection_idle = seconds(8);
 
   for (const char* key : {"serve", "settings", "kinds", "classes", "fleet"})
@@ -168,8 +172,8 @@
   if (auto in = file.table("settings"))
     read_settings(*in, to);
   for (auto& [name, in] : file.tables("kinds")) {
-    Role role = Role::both;
-    if (!in.choice("role", role, {{"read", Role::read}, {"write", Role::write}, {"both", Role::both}}) &&
+    Role role = Role::mixed;
+    if (!in.choice("role", role, {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}) &&
         !in.has("role"))
       in.missing("role");
     double tokens = 0;
--- a/src/config/installation.h
+++ b/src/config/installation.h
@@ -31,7 +31,7 @@
 // weight, phase, started. `zones` and `kinds`: names known so far; an unknown kind is a fault, a new zone is
 // added.
 struct FleetNode {
-  Router::Listed listed;
+  Router::ListedNode listed;
   std::size_t line = 0;
 };
 FleetNode read_node(Section& node, const std::vector<std::string>& kinds, std::vector<std::string>& zones);
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -104,7 +104,7 @@
   }
   void check_address(const std::string& key, const toml::node& node, const std::string& address) {
     try {
-      net::Endpoint{address};
+      net::SocketAddress{address};
       if (!address.ends_with(":0") && !seen_.insert(address).second)
         fault(node, key, "'" + address + "' is listened on already");
     } catch (const std::invalid_argument& error) {
--- a/src/config/platform.cpp
+++ b/src/config/platform.cpp
@@ -81,9 +81,9 @@
 // rule.
 std::vector<std::string> leave_out_unused(Settings& settings) {
   std::vector<std::string> unused;
-  for (auto [allowed, key] :
-       {std::pair{&settings.place_ahead, "extra.early-pairing"}, std::pair{&settings.resume, "extra.resume"},
-        std::pair{&settings.second_copies, "limits.second-copies"}})
+  for (auto [allowed, key] : {std::pair{&settings.reservation_allowed, "extra.early-pairing"},
+                              std::pair{&settings.stream_resume_allowed, "extra.resume"},
+                              std::pair{&settings.hedging_allowed, "limits.second-copies"}})
     if (std::exchange(*allowed, false))
       unused.push_back(key);
   return unused;
@@ -126,7 +126,7 @@
       throw ConfigError(lane + "is there twice");
     if (one.deadline <= Micros(0))
       throw ConfigError(lane + "hard-limit-us must be a positive number");
-    if (one.aim <= Micros(0))
+    if (one.latency_objective <= Micros(0))
       throw ConfigError(lane + "slo-us must be a positive number");
   }
 }
@@ -199,7 +199,7 @@
 
 void check_address(const char* name, const std::string& address) {
   try {
-    net::Endpoint{address};
+    net::SocketAddress{address};
   } catch (const std::invalid_argument& error) {
     throw ConfigError(std::string(name) + ": " + error.what());
   }
--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -291,7 +291,7 @@
     const auto kind =
         std::find(platform.kinds.begin(), platform.kinds.end(), node.kind) - platform.kinds.begin();
     const auto& roles = platform.settings.kind_role;
-    if (kind < std::ssize(roles) && roles[kind] == Role::write)
+    if (kind < std::ssize(roles) && roles[kind] == Role::decode)
       there.insert({node.zone, node.cell});
   }
   for (const auto& [name, region] : settings.regions)
--- a/src/core/bans.cpp
+++ b/src/core/bans.cpp
@@ -26,27 +26,27 @@
 
 }  // namespace
 
-void Bans::keep_in(std::string path, LockFile& lock) {
+void AdminOverrides::load_from(std::string path, LockFile& lock) {
   path_ = std::move(path);
   lock_ = &lock;
-  moved();
+  file_changed();
   read();
 }
 
-std::optional<Micros> Bans::back(const std::string& name) const {
-  const auto found = back_.find(name);
-  return found == back_.end() ? std::nullopt : std::optional(found->second);
+std::optional<Micros> AdminOverrides::undrained_at(const std::string& name) const {
+  const auto found = undrained_at_.find(name);
+  return found == undrained_at_.end() ? std::nullopt : std::optional(found->second);
 }
 
-bool Bans::change(const std::string& name, bool out, Micros now) {
+bool AdminOverrides::set_override(const std::string& name, bool out, Micros now) {
   const auto apply = [&] {
-    if (out && out_.size() >= most_bans && !out_.count(name))
+    if (out && drained_.size() >= most_bans && !drained_.count(name))
       return false;
     if (out)
-      out_.insert(name);
-    else if (out_.erase(name))
-      back_[name] = now;
-    std::erase_if(back_, [&](const auto& one) { return now - one.second > back_counts; });
+      drained_.insert(name);
+    else if (drained_.erase(name))
+      undrained_at_[name] = now;
+    std::erase_if(undrained_at_, [&](const auto& one) { return now - one.second > back_counts; });
     return true;
   };
   if (!lock_)
@@ -59,44 +59,44 @@
     return false;
   }
   // Guards what the other process has written since the last look: it is built on, not overwritten.
-  if (moved())
+  if (file_changed())
     read();
-  const auto out_before = out_;
-  const auto back_before = back_;
+  const auto out_before = drained_;
+  const auto back_before = undrained_at_;
   const bool stored = apply() && write();
   if (!stored) {
-    out_ = out_before;
-    back_ = back_before;
+    drained_ = out_before;
+    undrained_at_ = back_before;
   }
-  moved();
+  file_changed();
   lock_->drop(lock_byte);
   return stored;
 }
 
-bool Bans::refresh() {
-  if (!lock_ || !moved())
+bool AdminOverrides::reload() {
+  if (!lock_ || !file_changed())
     return false;
-  return read() == Read::taken;
+  return read() == ReadResult::loaded;
 }
 
 // Whether the file is another one than at the last look.
-bool Bans::moved() {
+bool AdminOverrides::file_changed() {
   struct stat now {};
   if (stat(path_.c_str(), &now) != 0)
     now = {};
-  const bool same = now.st_ino == seen_.st_ino && now.st_size == seen_.st_size &&
-                    now.st_mtim.tv_sec == seen_.st_mtim.tv_sec &&
-                    now.st_mtim.tv_nsec == seen_.st_mtim.tv_nsec;
-  seen_ = now;
+  const bool same = now.st_ino == last_seen_.st_ino && now.st_size == last_seen_.st_size &&
+                    now.st_mtim.tv_sec == last_seen_.st_mtim.tv_sec &&
+                    now.st_mtim.tv_nsec == last_seen_.st_mtim.tv_nsec;
+  last_seen_ = now;
   return !same;
 }
 
 // Guards against a file that is torn or somebody else's: it is said and left alone, and the bans that are
 // known stay in force.
-Bans::Read Bans::read() {
+AdminOverrides::ReadResult AdminOverrides::read() {
   std::ifstream file(path_);
   if (!file)
-    return Read::absent;
+    return ReadResult::absent;
   std::string text(most_bytes, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(file.gcount()));
@@ -108,20 +108,20 @@
       out.insert(name.get<std::string>());
     for (const auto& [name, at] : all.at("back").items())
       back[name] = Micros(at.get<Micros::rep>());
-    out_ = std::move(out);
-    back_ = std::move(back);
-    return Read::taken;
+    drained_ = std::move(out);
+    undrained_at_ = std::move(back);
+    return ReadResult::loaded;
   } catch (const json::exception& error) {
     logging::error() << path_ << ": it can't be read, the bans stay as they were: " << error.what();
-    return Read::torn;
+    return ReadResult::corrupt;
   }
 }
 
-bool Bans::write() const {
+bool AdminOverrides::write() const {
   auto back = json::object();
-  for (const auto& [name, at] : back_)
+  for (const auto& [name, at] : undrained_at_)
     back[name] = at.count();
-  const json all{{"out", out_}, {"back", std::move(back)}};
+  const json all{{"out", drained_}, {"back", std::move(back)}};
   const std::string text = all.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
   const std::string made = path_ + ".new";
   std::remove(made.c_str());
--- a/src/core/bans.h
+++ b/src/core/bans.h
@@ -13,32 +13,32 @@
 
 namespace lemonroute {
 
-class Bans {
+class AdminOverrides {
  public:
   // Takes what the file holds. Without a file, bans last as long as the process.
-  void keep_in(std::string path, LockFile& lock);
+  void load_from(std::string path, LockFile& lock);
 
-  bool out(const std::string& name) const { return out_.count(name) > 0; }
+  bool is_drained(const std::string& name) const { return drained_.count(name) > 0; }
   // When it was put back; nothing if that is long ago.
-  std::optional<Micros> back(const std::string& name) const;
+  std::optional<Micros> undrained_at(const std::string& name) const;
 
-  bool change(const std::string& name, bool out,
-              Micros now);  // false: it can't be stored, and nothing changes
-  bool refresh();           // whether another process has changed something
+  bool set_override(const std::string& name, bool out,
+                    Micros now);  // false: it can't be stored, and nothing changes
+  bool reload();                  // whether another process has changed something
 
   static constexpr int lock_byte = 0;
 
  private:
-  enum class Read { taken, absent, torn };
-  Read read();
+  enum class ReadResult { loaded, absent, corrupt };
+  ReadResult read();
   bool write() const;
-  bool moved();
+  bool file_changed();
 
   std::string path_;
   LockFile* lock_ = nullptr;
-  std::set<std::string> out_;
-  std::map<std::string, Micros> back_;
-  struct stat seen_ {};
+  std::set<std::string> drained_;
+  std::map<std::string, Micros> undrained_at_;
+  struct stat last_seen_ {};
 };
 
 }  // namespace lemonroute
--- a/src/core/router/events.cpp
+++ b/src/core/router/events.cpp
@@ -6,34 +6,34 @@
 
 // Calls come back into the core from whatever it calls. What they bring waits here in order, so that the
 // Scheduler sees one event at a time.
-void Router::put(Event event) {
+void Router::enqueue(Event event) {
   events_.push_back(std::move(event));
-  pump();
+  dispatch_events();
 }
 
-void Router::pump() {
-  if (pumping_)
+void Router::dispatch_events() {
+  if (dispatching_)
     return;
-  pumping_ = true;
+  dispatching_ = true;
   while (!events_.empty()) {
     // Guards against a process that was frozen, or whose peers fell silent: a right that has run out is
     // noticed before anything is decided by it.
-    if (clock_.now() >= laid_until_)
-      if (HostList list = laid_again(); !list.hosts.empty())
+    if (clock_.now() >= overlay_expires_at_)
+      if (EndpointListUpdate list = refresh_overlays(); !list.endpoints.empty())
         decide(list);
     const Event event = std::move(events_.front());
     events_.pop_front();
     std::visit(
         [&](const auto& one) {
           if constexpr (requires { one.id; })
-            touched_.push_back(one.id);
+            touched_requests_.push_back(one.id);
         },
         event);
     decide(event);
     if (events_.empty())
-      settle();
+      erase_finished_requests();
   }
-  pumping_ = false;
+  dispatching_ = false;
   if (on_change)
     on_change();
 }
@@ -42,26 +42,26 @@
   std::vector<Action> actions;
   scheduler_.handle(clock_.now(), event, actions);
   for (const auto& action : actions)
-    std::visit([&](const auto& one) { act(one); }, action);
+    std::visit([&](const auto& one) { execute(one); }, action);
 }
 
-void Router::run_due() {
-  timers_.run(clock_.now());
+void Router::run_timers() {
+  timers_.run_due(clock_.now());
   if (on_change)
     on_change();
 }
 
 // Once all events are handled: frees what a cut read may have left, and forgets requests that are over.
-void Router::settle() {
-  for (const RequestId id : std::exchange(touched_, {})) {
+void Router::erase_finished_requests() {
+  for (const RequestId id : std::exchange(touched_requests_, {})) {
     RequestState* entry = find(id);
-    if (!entry || entry->out)
+    if (!entry || entry->attempt)
       continue;
-    if (!entry->leftovers.empty())
-      let_go_leftovers(*entry);
+    if (!entry->orphaned_reservations.empty())
+      release_orphaned(*entry);
     if (entry->client)
       continue;
-    by_name_.erase(entry->prompt.id);
+    requests_by_client_id_.erase(entry->prompt.id);
     requests_.erase(id);
   }
 }
--- a/src/core/router/guidance.cpp
+++ b/src/core/router/guidance.cpp
@@ -11,77 +11,78 @@
 
 }  // namespace
 
-void Router::guide(std::shared_ptr<const Guide> guide) {
-  const auto before = live_settings().siblings;
-  guide_ = std::move(guide);
-  if (const auto live = live_settings(); live.siblings != before) {
-    logging::info() << "routers that share the nodes: " << live.siblings;
-    scheduler_.retune(live);
+void Router::set_fleet_view(std::shared_ptr<const FleetView> guide) {
+  const auto before = effective_settings().router_count;
+  fleet_view_ = std::move(guide);
+  if (const auto live = effective_settings(); live.router_count != before) {
+    logging::info() << "routers that share the nodes: " << live.router_count;
+    scheduler_.update_settings(live);
   }
-  std::vector<HostId> lost;
-  for (auto& [id, node] : known_)
-    if (const Micros at = guide_ ? guide_->lost(node) : Micros(0); at > node.lost) {
-      node.lost = at;
+  std::vector<EndpointId> lost;
+  for (auto& [id, node] : known_nodes_)
+    if (const Micros at = fleet_view_ ? fleet_view_->cache_lost_at(node) : Micros(0);
+        at > node.cache_lost_at) {
+      node.cache_lost_at = at;
       lost.push_back(id);
     }
-  lay_again();
-  for (const HostId id : lost)
-    put(Void{id});
+  reapply_overlays();
+  for (const EndpointId id : lost)
+    enqueue(CacheInvalidated{id});
 }
 
-void Router::observer(NodeObserver* observer) {
+void Router::set_node_observer(NodeObserver* observer) {
   observer_ = observer;
   if (!observer_)
     return;
-  tell_listed();
-  tell_demand();
+  report_endpoints();
+  report_demand();
 }
 
-Settings Router::live_settings() const {
+Settings Router::effective_settings() const {
   Settings live = settings_;
-  if (const auto siblings = guide_ ? guide_->siblings() : 0)
-    live.siblings = siblings;
+  if (const auto siblings = fleet_view_ ? fleet_view_->router_count() : 0)
+    live.router_count = siblings;
   return live;
 }
 
 // Nodes of the prompt's text that this router's peers know of, by the names that all routers share.
-std::vector<KeptHint> Router::hints(Key session, Key shared) const {
-  std::vector<KeptHint> hints;
-  if (!guide_)
+std::vector<CacheHint> Router::cache_hints(Key session, Key shared) const {
+  std::vector<CacheHint> hints;
+  if (!fleet_view_)
     return hints;
-  for (const auto& kept : guide_->kept(session, shared))
-    if (const auto id = ids_.find(kept.node); id != ids_.end())
+  for (const auto& kept : fleet_view_->cache_locations(session, shared))
+    if (const auto id = endpoint_ids_.find(kept.node); id != endpoint_ids_.end())
       hints.push_back({id->second, kept.tokens, std::clamp(kept.confidence, 0.0, 1.0)});
   return hints;
 }
 
-void Router::tell_listed() {
+void Router::report_endpoints() {
   if (!observer_)
     return;
   std::vector<Node> nodes;
-  for (const auto& [id, node] : known_)
+  for (const auto& [id, node] : known_nodes_)
     nodes.push_back(node);
-  observer_->listed(nodes, clock_.now());
+  observer_->on_endpoints(nodes, clock_.now());
 }
 
-void Router::tell_demand() {
+void Router::report_demand() {
   if (!observer_)
     return;
   const Micros now = clock_.now();
   double memory = 0, own = 0;
   std::uint32_t writers = 0;
-  for (const auto& [id, node] : known_) {
-    if (!node.ready() || role(id) == Role::read)
+  for (const auto& [id, node] : known_nodes_) {
+    if (!node.ready() || role_of(id) == Role::prefill)
       continue;
     ++writers;
-    const auto kind = node.entry.kind;
+    const auto kind = node.endpoint.kind;
     memory += kind < settings_.kind_memory.size() ? settings_.kind_memory[kind] : 0;
   }
   for (const auto& [id, entry] : requests_)
-    if (entry->out && entry->out->role != Role::read)
-      own += entry->tokens;
-  observer_->demand(demand_.take(own, memory, writers, now), now);
-  timers_.add(now + tell_every, [this] { tell_demand(); });
+    if (entry->attempt && entry->attempt->role != Role::prefill)
+      own += entry->prompt_tokens;
+  observer_->on_demand(demand_.take_summary(own, memory, writers, now), now);
+  timers_.add(now + tell_every, [this] { report_demand(); });
 }
 
 }  // namespace lemonroute
--- a/src/core/router/orders.cpp
+++ b/src/core/router/orders.cpp
@@ -5,60 +5,63 @@
 
 namespace lemonroute {
 
-void Router::retune(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds) {
+void Router::update_settings(Settings settings, std::vector<std::string> zones,
+                             std::vector<std::string> kinds) {
   settings_ = std::move(settings);
   zones_ = std::move(zones);
   kinds_ = std::move(kinds);
-  counts_.keep(settings_.classes);
-  scheduler_.retune(live_settings());
+  request_metrics_.set_classes(settings_.classes);
+  scheduler_.update_settings(effective_settings());
   // The entries of the list tell zones and kinds by their places in the lists of names, which may be others
   // now.
-  HostList list{ListKind::full, version_, {}};
-  for (auto& [id, node] : known_) {
-    place(node);
-    list.hosts.push_back(node.entry);
+  EndpointListUpdate list{EndpointListKind::full, list_version_, {}};
+  for (auto& [id, node] : known_nodes_) {
+    assign_zone_and_kind(node);
+    list.endpoints.push_back(node.endpoint);
   }
-  put(std::move(list));
-  tell_listed();
+  enqueue(std::move(list));
+  report_endpoints();
 }
 
-Router::Ordered Router::take_out(const std::string& node) {
-  return order(node, true);
+Router::OverrideResult Router::drain_node(const std::string& node) {
+  return set_override(node, true);
 }
-Router::Ordered Router::put_back(const std::string& node) {
-  return order(node, false);
+Router::OverrideResult Router::undrain_node(const std::string& node) {
+  return set_override(node, false);
 }
 
-Router::Ordered Router::order(const std::string& node, bool out) {
-  const bool listed =
-      std::any_of(known_.begin(), known_.end(), [&](auto& one) { return one.second.name == node; });
-  if (!listed && !bans_.out(node) && std::find(left_.begin(), left_.end(), node) == left_.end())
-    return Ordered::never_listed;
-  if (!bans_.change(node, out, clock_.now()))
-    return Ordered::not_stored;
+Router::OverrideResult Router::set_override(const std::string& node, bool out) {
+  const bool listed = std::any_of(known_nodes_.begin(), known_nodes_.end(),
+                                  [&](auto& one) { return one.second.name == node; });
+  if (!listed && !admin_overrides_.is_drained(node) &&
+      std::find(removed_node_names_.begin(), removed_node_names_.end(), node) == removed_node_names_.end())
+    return OverrideResult::unknown_node;
+  if (!admin_overrides_.set_override(node, out, clock_.now()))
+    return OverrideResult::not_stored;
   logging::info() << "node " << node << (out ? " is out by hand" : " may serve again");
-  lay_again();
-  return Ordered::done;
+  reapply_overlays();
+  return OverrideResult::applied;
 }
 
-void Router::keep_bans(std::string path, LockFile& lock) {
-  bans_.keep_in(std::move(path), lock);
-  lay_again();
+void Router::load_overrides(std::string path, LockFile& lock) {
+  admin_overrides_.load_from(std::move(path), lock);
+  reapply_overlays();
 }
 
-void Router::refresh_bans() {
-  if (!bans_.refresh())
+void Router::reload_overrides() {
+  if (!admin_overrides_.reload())
     return;
   logging::info() << "nodes were taken out or put back at the other process of this router";
-  lay_again();
+  reapply_overlays();
 }
 
-Figures Router::figures() const {
-  Figures figures{counts_.all(), sends_, open_, known_.size(), 0};
-  const auto avoided = scheduler_.avoided(clock_.now());
-  for (const auto& [id, node] : known_)
-    if (bans_.out(node.name) || std::find(avoided.begin(), avoided.end(), id) != avoided.end())
-      ++figures.unhealthy;
+RouterMetrics Router::metrics() const {
+  RouterMetrics figures{request_metrics_.all(), sent_attempts_, open_requests_, known_nodes_.size(), 0};
+  const auto avoided = scheduler_.ejected_endpoints(clock_.now());
+  for (const auto& [id, node] : known_nodes_)
+    if (admin_overrides_.is_drained(node.name) ||
+        std::find(avoided.begin(), avoided.end(), id) != avoided.end())
+      ++figures.unhealthy_nodes;
   return figures;
 }
 
--- a/src/core/timers.h
+++ b/src/core/timers.h
@@ -18,11 +18,11 @@
     jobs_.emplace(id, std::move(job));
     return id;
   }
-  void drop(const Id& id) { jobs_.erase(id); }
-  std::optional<Micros> next() const {
+  void cancel(const Id& id) { jobs_.erase(id); }
+  std::optional<Micros> next_due() const {
     return jobs_.empty() ? std::nullopt : std::optional(jobs_.begin()->first.first);
   }
-  void run(Micros now) {
+  void run_due(Micros now) {
     while (!jobs_.empty() && jobs_.begin()->first.first <= now) {
       const auto job = std::move(jobs_.begin()->second);
       jobs_.erase(jobs_.begin());
--- a/src/discovery/cadence.cpp
+++ b/src/discovery/cadence.cpp
@@ -87,9 +87,9 @@
   if (version_ == list.version && took < waits_ / 2)
     answer.rest = between(again / 2, again);
   if (whole)
-    answer.kind = ListKind::full;
+    answer.kind = EndpointListKind::full;
   else if (!list.nodes.empty())
-    answer.kind = ListKind::delta;
+    answer.kind = EndpointListKind::incremental;
   answered(list.version);
   return answer;
 }
--- a/src/discovery/cadence.h
+++ b/src/discovery/cadence.h
@@ -34,8 +34,8 @@
 
   struct Answer {
     NodeList list;
-    std::optional<ListKind> kind;  // how the core is to take it; none: there is nothing to take
-    Micros rest{};                 // until the next call
+    std::optional<EndpointListKind> kind;  // how the core is to take it; none: there is nothing to take
+    Micros rest{};                         // until the next call
   };
   // Of a call that took `took` from its start. Throws ListError if the answer can't be used; that call has
   // failed.
--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -9,13 +9,13 @@
 
 using nlohmann::json;
 
-Phase parse_phase(const std::string& word) {
+EndpointState parse_phase(const std::string& word) {
   if (word == "active")
-    return Phase::ready;
+    return EndpointState::ready;
   if (word == "leaving")
-    return Phase::draining;
+    return EndpointState::draining;
   if (word == "left")
-    return Phase::gone;
+    return EndpointState::removed;
   throw ListError("lifecycle '" + word + "' is not known");
 }
 
@@ -26,22 +26,22 @@
   return found == item.end() || found->is_null() ? otherwise : found->get<T>();
 }
 
-Router::Listed parse_node(const json& item) {
-  Router::Listed node;
+Router::ListedNode parse_node(const json& item) {
+  Router::ListedNode node;
   node.name = item.at("instanceId").get<std::string>();
   if (node.name.empty())
     throw ListError("an instanceId is empty");
-  node.phase = parse_phase(item.at("lifecycle").get<std::string>());
+  node.state = parse_phase(item.at("lifecycle").get<std::string>());
   node.address = said<std::string>(item, "hostPort", "");
-  if (node.phase != Phase::gone || !node.address.empty())
-    net::Endpoint{node.address};  // throws if it is none
+  if (node.state != EndpointState::removed || !node.address.empty())
+    net::SocketAddress{node.address};  // throws if it is none
   node.zone = said<std::string>(item, "zone", "");
   node.kind = said<std::string>(item, "machineType", "");
   node.cell = said<std::uint16_t>(item, "cell", 0);
   node.weight = said(item, "weight", 1.0f);
   if (!std::isfinite(node.weight))
     throw ListError("a weight is no number");
-  node.started = std::chrono::milliseconds(said<std::int64_t>(item, "startedAtMs", 0));
+  node.started_at = std::chrono::milliseconds(said<std::int64_t>(item, "startedAtMs", 0));
   return node;
 }
 
--- a/src/discovery/list.h
+++ b/src/discovery/list.h
@@ -17,7 +17,7 @@
 struct NodeList {
   std::uint32_t version = 0;
   bool whole = false;
-  std::vector<Router::Listed> nodes;
+  std::vector<Router::ListedNode> nodes;
 };
 
 // Both throw ListError, naming what is wrong; a list is taken whole or not at all.
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -57,7 +57,7 @@
     logging::info() << "discovery answers again";
   well_ = heard_ = true;
   if (answer.kind)
-    router_.update(*answer.kind, answer.list.version, answer.list.nodes);
+    router_.update_endpoints(*answer.kind, answer.list.version, answer.list.nodes);
   if (answer.rest > Micros(0))
     again_.start(answer.rest);
   else
--- a/src/fleet/homes.h
+++ b/src/estimation/homes.h
@@ -4,19 +4,19 @@
 
 #include <vector>
 
-#include "lemonroute/scheduler.h"
+#include "lemonroute/types.h"
 
-namespace lemonroute::fleet {
+namespace lemonroute::estimation {
 
 // A node that may be chosen. `able`: what it can do against a warm one, above 0.
-struct Member {
-  HostId id = 0;
+struct WeightedNode {
+  EndpointId id = 0;
   std::uint32_t zone = 0;
-  double able = 1;
+  double relative_capacity = 1;
 };
 // Where a router stands: its zone, and how many routers there are in all zones, 1 or more.
-struct Seat {
-  std::uint32_t zone = 0, routers = 1;
+struct RouterLocation {
+  std::uint32_t zone = 0, router_count = 1;
 };
 
 // The homes of a beginning that makes up `part` (0 to 1) of all arrivals: as many readers as it would half
@@ -25,7 +25,8 @@
 // writers for what they would read, some beginnings live elsewhere. The reader that the session's hash ranks
 // first is in front, so that routers which count the homes differently still agree for most sessions.
 // `opening` must not be 0. Work grows with the members.
-std::vector<HostId> homes(Key opening, Key session, double part, Seat seat,
-                          const std::vector<Member>& readers, const std::vector<Member>& writers);
+std::vector<EndpointId> affinity_nodes(Key opening, Key session, double part, RouterLocation seat,
+                                       const std::vector<WeightedNode>& readers,
+                                       const std::vector<WeightedNode>& writers);
 
-}  // namespace lemonroute::fleet
+}  // namespace lemonroute::estimation
--- a/src/fleet/openings.cpp
+++ b/src/estimation/openings.cpp
@@ -1,8 +1,8 @@
-#include "fleet/openings.h"
+#include "estimation/openings.h"
 
 #include <algorithm>
 
-namespace lemonroute::fleet {
+namespace lemonroute::estimation {
 namespace {
 
 constexpr double in_place = 10;  // arrivals that the usual part stands for
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-void Openings::count(Key opening) {
-  if (++all_ > most) {
+void PrefixPopularity::record_arrival(Key opening) {
+  if (++all_ > max_arrivals) {
     all_ /= 2;
     pairs_ = 0;
     for (auto& [key, count] : counts_)
@@ -32,14 +32,14 @@
   count += 1;
 }
 
-double Openings::usual() const {
+double PrefixPopularity::usual_share() const {
   return (pairs_ + alike_before) / (pairs(all_) + pairs_before);
 }
 
-double Openings::part(Key opening) const {
+double PrefixPopularity::share(Key opening) const {
   const auto found = counts_.find(opening);
   const double others = found == counts_.end() ? 0 : std::max(0.0, found->second - 1);
-  return std::min(1.0, (others + in_place * usual()) / (all_ + in_place));
+  return std::min(1.0, (others + in_place * usual_share()) / (all_ + in_place));
 }
 
-}  // namespace lemonroute::fleet
+}  // namespace lemonroute::estimation
--- a/src/fleet/rates.h
+++ b/src/estimation/rates.h
@@ -7,26 +7,28 @@
 #include <deque>
 #include <utility>
 
-#include "fleet/learned.h"
+#include "estimation/learned.h"
 
-namespace lemonroute::fleet {
+namespace lemonroute::estimation {
 
 // Work a microsecond, fading with the time since it came. True in the mean, however few samples there are.
-class FadingRate {
+class DecayingRate {
  public:
   // More work, or, if negative, work that turned out not to count.
-  void add(double work, Micros now, Micros fade) { assume(value(now, fade) + work / us(fade), now); }
+  void add(double work, Micros now, Micros fade) {
+    assume(value(now, fade) + work / to_microseconds(fade), now);
+  }
   // As another router has learned it.
   void assume(double rate, Micros now) { rate_.add(std::max(0.0, rate), now, 1); }
-  double value(Micros now, Micros fade) const { return rate_.value * rate_.fresh(now, fade); }
+  double value(Micros now, Micros fade) const { return rate_.value * rate_.freshness(now, fade); }
   bool known() const { return rate_.known; }
 
  private:
-  Learned rate_;
+  DecayingAverage rate_;
 };
 
 // Work sent within a sliding window of time.
-class WorkWindow {
+class SlidingWindowSum {
  public:
   void add(double work, Micros now) { sent_.emplace_back(now, work); }
   // Work of the last `window` before `now`; what is older is forgotten.
@@ -46,10 +48,10 @@
 
 // The usual one of the latest samples: their median, and of few the least, since a first sample may have
 // waited long.
-class UsualRate {
+class RunningMedian {
  public:
   bool known() const { return !recent_.empty(); }
-  bool few() const { return recent_.size() < few_samples; }
+  bool has_few_samples() const { return recent_.size() < few_samples; }
   double value() const { return usual_; }
   void add(double sample) {
     recent_.push_back(sample);
@@ -77,7 +79,7 @@
  public:
   // Whether one more may pass now. `per_second`: the rate; `most`: the largest burst.
   bool take(double per_second, double most, Micros now) {
-    level_ = std::min(most, level_ + per_second * us(now - at_) / 1e6);
+    level_ = std::min(most, level_ + per_second * to_microseconds(now - at_) / 1e6);
     at_ = now;
     if (level_ < 1)
       return false;
@@ -90,4 +92,4 @@
   Micros at_{};
 };
 
-}  // namespace lemonroute::fleet
+}  // namespace lemonroute::estimation
--- a/src/expect/case.h
+++ b/src/expect/case.h
@@ -26,10 +26,10 @@
 struct ScriptedNode {
   std::string name, zone = "a", kind;
   std::uint16_t cell = 0;
-  Phase phase = Phase::ready;
+  EndpointState phase = EndpointState::ready;
   float weight = 1;
   std::optional<Micros> started;  // none: long ago
-  Role role = Role::both;
+  Role role = Role::mixed;
   Micros rate = std::chrono::microseconds(40);   // a prompt token, as a reader
   Micros first = std::chrono::milliseconds(50);  // to the first event, as a writer
   Micros token = std::chrono::milliseconds(20);  // an output token
@@ -62,7 +62,7 @@
 };
 struct List {
   std::string node;
-  Phase phase = Phase::ready;
+  EndpointState phase = EndpointState::ready;
   std::optional<Micros> started;
 };
 struct Ban {
@@ -99,7 +99,7 @@
 
 struct Share {
   std::vector<std::string> nodes;
-  Role of = Role::read;
+  Role of = Role::prefill;
   double least = 0, most = 1;
 };
 
--- a/src/expect/conflict.cpp
+++ b/src/expect/conflict.cpp
@@ -31,9 +31,9 @@
   for (const auto& node : one.nodes) {
     if (!free(node.name))
       continue;
-    if (node.role != Role::write)
+    if (node.role != Role::decode)
       p.readers.insert(node.name);
-    if (node.role != Role::read)
+    if (node.role != Role::prefill)
       p.writers.insert(node.name);
   }
   p.readers.insert("");
@@ -81,9 +81,9 @@
       for (const auto& name : order)
         for (const auto& node : one.nodes)
           if (node.name == name) {
-            if (node.role != Role::write)
+            if (node.role != Role::decode)
               reader = name;
-            if (node.role != Role::read)
+            if (node.role != Role::prefill)
               writer = name;
           }
       only(p.readers, {reader});
--- a/src/expect/contrast.cpp
+++ b/src/expect/contrast.cpp
@@ -120,19 +120,19 @@
     flipped(knobs, std::string("settings.") + key, [field](Settings& s) -> bool& { return s.*field; });
   };
   whole("max_attempts", &Settings::max_attempts);
-  whole("siblings", &Settings::siblings);
-  flag("cancel", &Settings::may_cancel);
-  flag("retry_after", &Settings::retry_after);
+  whole("siblings", &Settings::router_count);
+  flag("cancel", &Settings::cancellation_allowed);
+  flag("retry_after", &Settings::retry_after_allowed);
   span("max_retry_after", &Settings::max_retry_after);
-  span("cold_for", &Settings::cold_for);
-  real("cold_from", &Settings::cold_from);
-  span("fall_window", &Settings::fall_window);
-  real("fall_multiple", &Settings::fall_multiple);
-  span("tick", &Settings::tick);
+  span("cold_for", &Settings::slow_start_duration);
+  real("cold_from", &Settings::slow_start_initial_capacity);
+  span("fall_window", &Settings::overload_window);
+  real("fall_multiple", &Settings::overload_factor);
+  span("tick", &Settings::min_batch_interval);
   if (!setup.platform.settings.tenants.empty())
-    real("over_share_worth", &Settings::over_share_worth);
+    real("over_share_worth", &Settings::over_quota_priority_weight);
   flag("report_memory", &Settings::report_x0_is_memory);
-  flag("report_unread", &Settings::report_x1_is_unread);
+  flag("report_unread", &Settings::report_x1_is_queued_tokens);
   for (std::size_t i = 0; i < setup.platform.settings.kind_memory.size(); ++i)
     scaled<double>(knobs, "kinds." + setup.platform.kinds[i] + ".tokens",
                    [i](Settings& s) -> double& { return s.kind_memory[i]; });
@@ -142,38 +142,39 @@
     const auto class_span = [&](const char* key, Micros ClassSettings::*field) {
       scaled<Micros>(knobs, in + key, [i, field](Settings& s) -> Micros& { return s.classes[i].*field; });
     };
-    class_span("aim", &ClassSettings::aim);
+    class_span("aim", &ClassSettings::latency_objective);
     class_span("deadline", &ClassSettings::deadline);
-    class_span("aim_per_1000_tokens", &ClassSettings::aim_per_1000_tokens);
-    class_span("token_aim", &ClassSettings::token_aim);
-    if (c.effect == Effect::keyed)
-      class_span("window", &ClassSettings::window);
-    scaled<double>(knobs, in + "worth", [i](Settings& s) -> double& { return s.classes[i].worth; });
+    class_span("aim_per_1000_tokens", &ClassSettings::latency_objective_per_1000_tokens);
+    class_span("token_aim", &ClassSettings::inter_token_objective);
+    if (c.idempotency == Idempotency::idempotent_with_key)
+      class_span("window", &ClassSettings::retry_window);
+    scaled<double>(knobs, in + "worth", [i](Settings& s) -> double& { return s.classes[i].priority_weight; });
     Knob effect{in + "effect",
                 [i](const Settings& s) {
                   static constexpr const char* words[] = {"safe", "keyed", "unsafe"};
-                  return std::string(words[static_cast<int>(s.classes[i].effect)]);
+                  return std::string(words[static_cast<int>(s.classes[i].idempotency)]);
                 },
                 {}};
-    for (const Effect to : {Effect::safe, Effect::keyed, Effect::unsafe})
+    for (const Idempotency to :
+         {Idempotency::idempotent, Idempotency::idempotent_with_key, Idempotency::not_idempotent})
       effect.ways.push_back([i, to](Settings& s) {
         ClassSettings& one = s.classes[i];
-        if (one.effect == to)
+        if (one.idempotency == to)
           return false;
-        one.effect = to;
+        one.idempotency = to;
         return true;
       });
     knobs.push_back(std::move(effect));
-    if (c.effect == Effect::keyed) {
+    if (c.idempotency == Idempotency::idempotent_with_key) {
       Knob group{in + "group",
                  [i](const Settings& s) {
                    static constexpr const char* words[] = {"all", "zone", "cell"};
-                   return std::string(words[static_cast<int>(s.classes[i].group)]);
+                   return std::string(words[static_cast<int>(s.classes[i].retry_scope)]);
                  },
                  {}};
-      for (const Group to : {Group::all, Group::zone, Group::cell})
+      for (const RetryScope to : {RetryScope::all, RetryScope::zone, RetryScope::cell})
         group.ways.push_back([i, to](Settings& s) {
-          Group& one = s.classes[i].group;
+          RetryScope& one = s.classes[i].retry_scope;
           if (one == to)
             return false;
           one = to;
--- a/src/expect/explanation.cpp
+++ b/src/expect/explanation.cpp
@@ -16,10 +16,10 @@
 std::vector<Candidate> shown(const Choice& choice) {
   auto candidates = choice.candidates;
   std::erase_if(candidates, [](const Candidate& one) {
-    return one.left_out && std::string_view(one.left_out) == "of the other role";
+    return one.exclusion_reason && std::string_view(one.exclusion_reason) == "of the other role";
   });
   const auto rank = [&](const Candidate& one) {
-    return std::tuple(one.host != choice.chosen, one.left_out != nullptr, one.score);
+    return std::tuple(one.endpoint != choice.chosen, one.exclusion_reason != nullptr, one.score);
   };
   std::stable_sort(candidates.begin(), candidates.end(),
                    [&](const Candidate& a, const Candidate& b) { return rank(a) < rank(b); });
@@ -27,9 +27,9 @@
 }
 
 void write_refusal(std::ostream& out, const Choice& choice) {
-  out << "refused before any read: wait " << readable(choice.wait) << " against "
-      << readable(choice.most_wait) << " allowed, least load " << std::setprecision(3) << choice.load
-      << " against " << choice.most_load << " allowed\n";
+  out << "refused before any read: wait " << readable(choice.estimated_wait) << " against "
+      << readable(choice.max_wait) << " allowed, least load " << std::setprecision(3) << choice.load
+      << " against " << choice.max_load << " allowed\n";
 }
 
 void write_heading(std::ostream& out, bool decode) {
@@ -46,15 +46,16 @@
 void write_candidate(std::ostream& out, const Candidate& one, const std::string& name, bool decode) {
   out << std::left << std::setw(14) << name << std::right << std::fixed;
   if (decode)
-    out << std::setprecision(3) << std::setw(8) << one.load << std::setw(9) << one.slowness << std::setw(9)
-        << one.failing << std::setw(6) << one.near;
+    out << std::setprecision(3) << std::setw(8) << one.load << std::setw(9) << one.latency_ratio
+        << std::setw(9) << one.failure_ratio << std::setw(6) << one.proximity;
   else
-    out << std::setprecision(0) << std::setw(8) << one.match << std::setw(8) << one.credit
-        << std::setprecision(1) << std::setw(9) << one.rate << std::setprecision(0) << std::setw(8)
-        << one.unread << std::setw(10) << (one.left_out ? "-" : readable(one.wait)) << std::setw(10)
-        << (one.left_out ? "-" : readable(one.read)) << std::setprecision(3) << std::setw(9) << one.failing;
-  if (one.left_out)
-    out << "  left out: " << one.left_out;
+    out << std::setprecision(0) << std::setw(8) << one.recorded_match << std::setw(8) << one.assumed_match
+        << std::setprecision(1) << std::setw(9) << one.prefill_rate << std::setprecision(0) << std::setw(8)
+        << one.queued_tokens << std::setw(10) << (one.exclusion_reason ? "-" : readable(one.queue_wait))
+        << std::setw(10) << (one.exclusion_reason ? "-" : readable(one.prefill_time)) << std::setprecision(3)
+        << std::setw(9) << one.failure_ratio;
+  if (one.exclusion_reason)
+    out << "  left out: " << one.exclusion_reason;
   else
     out << std::setprecision(decode ? 3 : 0) << std::setw(12) << one.score;
   out << '\n';
@@ -63,7 +64,7 @@
 
 void write_choice(std::ostream& out, const Told& told, const std::string& indent) {
   const Choice& choice = told.choice;
-  const bool decode = choice.stage == Role::write;
+  const bool decode = choice.stage == Role::decode;
   const auto name = told.names.find(choice.chosen);
   out << "choice of a " << (decode ? "writer" : "reader") << ": "
       << (name == told.names.end() ? "none" : name->second) << '\n';
@@ -76,7 +77,7 @@
       out << "and " << candidates.size() - i << " more\n";
       return;
     }
-    write_candidate(out, candidates[i], told.names.at(candidates[i].host), decode);
+    write_candidate(out, candidates[i], told.names.at(candidates[i].endpoint), decode);
   }
 }
 
@@ -85,7 +86,7 @@
 void explain(std::ostream& out, const Story& story, const std::string& indent) {
   for (const auto& told : story.choices) {
     out << indent << "at " << readable(told.at - story.asked) << ", ";
-    if (told.choice.refused)
+    if (told.choice.shed)
       write_refusal(out, told.choice);
     else
       write_choice(out, told, indent);
--- a/src/expect/judge.cpp
+++ b/src/expect/judge.cpp
@@ -45,7 +45,7 @@
     if (!story)
       return "request " + e.request + " was never asked";
     const auto got = [&](const Attempted* attempt) { return attempt ? attempt->node : std::string("none"); };
-    const Attempted *reader = story->last(Role::read), *writer = story->last(Role::write);
+    const Attempted *reader = story->last(Role::prefill), *writer = story->last(Role::decode);
     if (e.answer && story->answer != *e.answer)
       return std::string("expected to be ") + word(*e.answer) + ", and was " + word(story->answer) +
              " after " + span_text(story->answered);
@@ -163,7 +163,7 @@
     std::ostringstream what;
     what << std::setprecision(3) << "expected " << list(e.share->nodes) << " to get a share of "
          << e.share->least << " to " << e.share->most << " as "
-         << (e.share->of == Role::write ? "writer" : "reader") << ", and it was " << share << " of "
+         << (e.share->of == Role::decode ? "writer" : "reader") << ", and it was " << share << " of "
          << one.seeds << " seeds";
     verdict.failures.push_back({Failure::Kind::expectation, e.line, 0, e.request, what.str()});
   }
--- a/src/expect/play/choices.cpp
+++ b/src/expect/play/choices.cpp
@@ -7,7 +7,7 @@
 void ChoiceLog::note(const Choice& choice) {
   Told told{clock_.at - case_zero, choice, {}};
   for (const auto& candidate : choice.candidates)
-    told.names[candidate.host] = router_.name_of(candidate.host);
+    told.names[candidate.endpoint] = router_.endpoint_name(candidate.endpoint);
   pending_.push_back(std::move(told));
 }
 
--- a/src/expect/play/node_list.cpp
+++ b/src/expect/play/node_list.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-Router::Listed NodeList::entry(const std::string& name, Phase phase) const {
+Router::ListedNode NodeList::entry(const std::string& name, EndpointState phase) const {
   const NodeState& node = nodes_.at(name);
   const ScriptedNode& script = *node.script;
   return {name,        "127.0.0.1:1", script.zone,   script.kind,
@@ -22,7 +22,7 @@
 }
 
 void NodeList::publish_all(const std::vector<ScriptedNode>& scripts) {
-  std::vector<Router::Listed> all;
+  std::vector<Router::ListedNode> all;
   for (const auto& script : scripts) {
     if (script.started && case_zero + *script.started > clock_.at)
       continue;  // it does not run yet
@@ -33,7 +33,7 @@
     tell_monitor(script.name);
     all.push_back(entry(script.name, script.phase));
   }
-  router_.update(ListKind::full, ++version_, all);
+  router_.update_endpoints(EndpointListKind::full, ++version_, all);
 }
 
 void NodeList::appear(const ScriptedNode& script) {
@@ -46,32 +46,32 @@
 
 void NodeList::publish_change(const std::string& name) {
   tell_monitor(name);
-  router_.update(ListKind::delta, ++version_, {entry(name, nodes_.at(name).phase)});
+  router_.update_endpoints(EndpointListKind::incremental, ++version_, {entry(name, nodes_.at(name).phase)});
 }
 
 void NodeList::show_only(const std::string& name, Role stage) {
   if (name.empty())
     return show_all();
-  std::vector<Router::Listed> changes;
+  std::vector<Router::ListedNode> changes;
   for (const auto& [other, node] : nodes_) {
-    const bool of_stage = node.script->role == stage || node.script->role == Role::both;
-    if (other == name || !node.listed || node.phase != Phase::ready || !of_stage)
+    const bool of_stage = node.script->role == stage || node.script->role == Role::mixed;
+    if (other == name || !node.listed || node.phase != EndpointState::ready || !of_stage)
       continue;
     hidden_.push_back(other);
-    changes.push_back(entry(other, Phase::draining));
+    changes.push_back(entry(other, EndpointState::draining));
   }
   if (!changes.empty())
-    router_.update(ListKind::delta, ++version_, changes);
+    router_.update_endpoints(EndpointListKind::incremental, ++version_, changes);
 }
 
 void NodeList::show_all() {
   if (hidden_.empty())
     return;
-  std::vector<Router::Listed> changes;
+  std::vector<Router::ListedNode> changes;
   for (const auto& name : hidden_)
     changes.push_back(entry(name, nodes_.at(name).phase));
   hidden_.clear();
-  router_.update(ListKind::delta, ++version_, changes);
+  router_.update_endpoints(EndpointListKind::incremental, ++version_, changes);
 }
 
 }  // namespace lemonroute::expect
--- a/src/expect/play/node_list.h
+++ b/src/expect/play/node_list.h
@@ -32,7 +32,7 @@
   void show_all();
 
  private:
-  Router::Listed entry(const std::string& name, Phase phase) const;
+  Router::ListedNode entry(const std::string& name, EndpointState phase) const;
   void tell_monitor(const std::string& name);
 
   NodeStates& nodes_;
--- a/src/expect/play/node_state.h
+++ b/src/expect/play/node_state.h
@@ -26,7 +26,7 @@
   };
 
   const ScriptedNode* script = nullptr;
-  Phase phase = Phase::ready;
+  EndpointState phase = EndpointState::ready;
   std::optional<Micros> started;  // as listed; on the case's clock
   bool listed = false;
   std::map<std::string, double> sessions,
--- a/src/expect/play/request.cpp
+++ b/src/expect/play/request.cpp
@@ -16,7 +16,7 @@
   story.asked = clock.at;
 }
 
-bool PlayedRequest::event(std::string_view) {
+bool PlayedRequest::on_data(std::string_view) {
   if (!story.first) {
     story.first = clock_.at - story.asked;
     monitor_.first(clock_.at, ask.name);
@@ -24,7 +24,7 @@
   return true;
 }
 
-void PlayedRequest::refuse(Micros away) {
+void PlayedRequest::reject(Micros away) {
   story.retry_after = away;
   end(Answer::refused);
 }
--- a/src/expect/play/request.h
+++ b/src/expect/play/request.h
@@ -32,11 +32,11 @@
   // Under which nodes keep its text.
   const std::string& session() const { return ask.session.empty() ? wire_name : ask.session; }
 
-  bool event(std::string_view) override;
+  bool on_data(std::string_view) override;
   void finish() override { end(Answer::served); }
-  void refuse(Micros away) override;
-  void fail(Failure) override { end(Answer::failed); }
-  void cut() override { end(Answer::cut); }
+  void reject(Micros away) override;
+  void fail(FailureReason) override { end(Answer::failed); }
+  void abort_stream() override { end(Answer::cut); }
 
  private:
   void end(Answer answer);
--- a/src/expect/play/scripted_call.cpp
+++ b/src/expect/play/scripted_call.cpp
@@ -4,7 +4,8 @@
 
 namespace lemonroute::expect {
 
-ScriptedCall::ScriptedCall(ScriptedNodes& owner, NodeState& at_node, PlayedRequest& for_request, Attempt& to)
+ScriptedCall::ScriptedCall(ScriptedNodes& owner, NodeState& at_node, PlayedRequest& for_request,
+                           AttemptHandler& to)
     : node(at_node),
       request(for_request),
       attempt(&to),
--- a/src/expect/play/scripted_call.h
+++ b/src/expect/play/scripted_call.h
@@ -16,12 +16,12 @@
 // One attempt at a node. Destroyed when the core lets go of it.
 class ScriptedCall : public Call {
  public:
-  ScriptedCall(ScriptedNodes& owner, NodeState& at_node, PlayedRequest& for_request, Attempt& to);
+  ScriptedCall(ScriptedNodes& owner, NodeState& at_node, PlayedRequest& for_request, AttemptHandler& to);
   ~ScriptedCall() override;
 
   NodeState& node;
   PlayedRequest& request;
-  Attempt* attempt;         // none once it has been told of its end
+  AttemptHandler* attempt;  // none once it has been told of its end
   const std::size_t index;  // among the request's attempts
   std::optional<Timers::Id> timer;
   bool streams = false;  // counts among the node's streams
--- a/src/expect/play/scripted_nodes.cpp
+++ b/src/expect/play/scripted_nodes.cpp
@@ -15,13 +15,13 @@
   switch (outcome) {
     case Outcome::ok:
       return "served";
-    case Outcome::read:
+    case Outcome::prefill_done:
       return "read";
     case Outcome::timeout:
       return "timed out";
-    case Outcome::moot:
+    case Outcome::not_applicable:
       return "moot";
-    case Outcome::full:
+    case Outcome::rejected_over_capacity:
       return "turned away";
     case Outcome::cancelled:
       return "called off";
@@ -48,7 +48,8 @@
 
 // ---- For the router ----
 
-std::unique_ptr<Call> ScriptedNodes::begin(const Node& node, const Prompt& prompt, Micros, Attempt& attempt) {
+std::unique_ptr<Call> ScriptedNodes::start_attempt(const Node& node, const Prompt& prompt, Micros,
+                                                   AttemptHandler& attempt) {
   PlayedRequest& request = *shared_.requests.by_wire_name(prompt.id);
   NodeState& state = shared_.nodes.at(node.name);
   const Micros now = shared_.clock.at;
@@ -69,23 +70,23 @@
   if (troubled(node, Trouble::refuses))
     return ends(Outcome::connect_failed, "refused");
   if (troubled(node, Trouble::declines))
-    return ends(Outcome::full, "declined");
+    return ends(Outcome::rejected_over_capacity, "declined");
   if (troubled(node, Trouble::errors))
     return ends(Outcome::error, "status 500");
   if (troubled(node, Trouble::resets))
     return ends(Outcome::reset, "the connection broke");
-  if (node.script->role == Role::write)
+  if (node.script->role == Role::decode)
     return decode(call);
   queue_prefill(call);
 }
 
-std::unique_ptr<Call> ScriptedNodes::release(const Node& node, const std::string& id,
-                                             std::function<void(bool)> done) {
+std::unique_ptr<Call> ScriptedNodes::release_reservation(const Node& node, const std::string& id,
+                                                         std::function<void(bool)> done) {
   struct Releasing : Call {
     explicit Releasing(Timers& of) : timers(of) {}
     ~Releasing() override {
       if (timer)
-        timers.drop(*timer);
+        timers.cancel(*timer);
     }
     Timers& timers;
     std::optional<Timers::Id> timer;
@@ -109,7 +110,7 @@
 // Whether a decode waits for the state: a release does not touch it then.
 bool ScriptedNodes::decodes(const PlayedRequest& request) const {
   for (const auto& [name, node] : shared_.nodes) {
-    if (node.script->role != Role::write)
+    if (node.script->role != Role::decode)
       continue;
     for (const ScriptedCall* call : node.calls)
       if (&call->request == &request)
@@ -135,7 +136,7 @@
     return;
   for (ScriptedCall* call : calls_of(node)) {
     if (call->timer)
-      shared_.timers.drop(*call->timer);
+      shared_.timers.cancel(*call->timer);
     call->timer.reset();
     if (spell.how == Trouble::resets)
       end(*call, Outcome::reset, "the connection broke");
@@ -144,7 +145,7 @@
 
 void ScriptedNodes::later(ScriptedCall& call, Micros after, std::function<void()> job) {
   if (call.timer)
-    shared_.timers.drop(*call.timer);
+    shared_.timers.cancel(*call.timer);
   call.timer = shared_.timers.add(shared_.clock.at + after, [&call, job = std::move(job)] {
     call.timer.reset();
     job();
@@ -172,7 +173,7 @@
   NodeState& node = call.node;
   node.keep(ask, call.request.session());
   leave_queue(call);
-  if (node.script->role == Role::both)
+  if (node.script->role == Role::mixed)
     return stream(call, Micros(0));
   node.held.insert(ask.name);
   shared_.monitor.held(shared_.clock.at, ask.name, node.script->name);
@@ -180,8 +181,8 @@
     return end(call, Outcome::reset, "the answer was lost");
   // The decode node is chosen from within the end, so a past that names one shows only that one meanwhile.
   if (call.request.past)
-    list_.show_only(ask.writer, Role::write);
-  end(call, Outcome::read, {});
+    list_.show_only(ask.writer, Role::decode);
+  end(call, Outcome::prefill_done, {});
   list_.show_all();
 }
 
@@ -202,7 +203,7 @@
   NodeState& node = call.node;
   const auto decline = [&](std::uint32_t kept, const char* why) {
     call.kept = kept;
-    later(call, hop, [this, &call, why] { end(call, Outcome::full, why); });
+    later(call, hop, [this, &call, why] { end(call, Outcome::rejected_over_capacity, why); });
   };
   if (node.script->slots > 0 && node.streams >= node.script->slots)
     return decline(0, "declined, no slot");
@@ -248,7 +249,7 @@
   if (!call.attempt)
     return false;
   const NodeState& node = call.node;
-  call.attempt->event("x");
+  call.attempt->on_data("x");
   return node.calls.count(&call) > 0;
 }
 
@@ -266,17 +267,17 @@
   if (!detail.empty())
     attempted.outcome += ", " + detail;
   attempted.took = shared_.clock.at - story.asked - attempted.at;
-  Result result{outcome, call.kept, {}, std::move(detail), false};
-  if (outcome == Outcome::ok || outcome == Outcome::read)
-    result.load = script.role == Role::write ? ask.writer_load : ask.reader_load;
+  AttemptResult result{outcome, call.kept, {}, std::move(detail), false};
+  if (outcome == Outcome::ok || outcome == Outcome::prefill_done)
+    result.load_report = script.role == Role::decode ? ask.writer_load : ask.reader_load;
   shared_.monitor.over(shared_.clock.at, ask.name, script.name);
-  std::exchange(call.attempt, nullptr)->done(std::move(result));  // `call` is gone now
+  std::exchange(call.attempt, nullptr)->on_done(std::move(result));  // `call` is gone now
   choices_.assign();
 }
 
 void ScriptedNodes::let_go(ScriptedCall& call) {
   if (call.timer)
-    shared_.timers.drop(*call.timer);
+    shared_.timers.cancel(*call.timer);
   call.node.calls.erase(&call);
   if (call.streams)
     --call.node.streams;
--- a/src/expect/play/scripted_nodes.h
+++ b/src/expect/play/scripted_nodes.h
@@ -14,19 +14,21 @@
 
 namespace lemonroute::expect {
 
-class ScriptedNodes : public Nodes {
+class ScriptedNodes : public NodeTransport {
  public:
   ScriptedNodes(Shared& shared, NodeList& list, ChoiceLog& choices)
       : shared_(shared), list_(list), choices_(choices) {}
 
   // ---- for the router ----
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
-                              Attempt& attempt) override;
-  std::unique_ptr<Call> release(const Node& node, const std::string& id,
-                                std::function<void(bool)> done) override;
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override;
+  std::unique_ptr<Call> release_reservation(const Node& node, const std::string& id,
+                                            std::function<void(bool)> done) override;
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
 
   // ---- for the script ----
   // The node's process ends and starts anew: what it kept and held is gone, attempts at it are reset.
--- a/src/expect/read/expectations.cpp
+++ b/src/expect/read/expectations.cpp
@@ -115,7 +115,7 @@
     Share share;
     if (!read_node_set(*in, "nodes", nodes_, share.nodes) && !in->has("nodes"))
       in->missing("nodes");
-    in->choice("of", share.of, {{"reader", Role::read}, {"writer", Role::write}});
+    in->choice("of", share.of, {{"reader", Role::prefill}, {"writer", Role::decode}});
     in->number("least", share.least, 0, 1);
     in->number("most", share.most, 0, 1);
     if (share.least > share.most)
--- a/src/expect/read/nodes.cpp
+++ b/src/expect/read/nodes.cpp
@@ -107,7 +107,7 @@
     node.zone = listed.zone;
     node.kind = listed.kind;
     node.cell = listed.cell;
-    node.phase = listed.phase;
+    node.phase = listed.state;
     node.weight = listed.weight;
     return node;
   }
@@ -118,11 +118,11 @@
     const auto& roles = setup_.platform.settings.kind_role;
     const auto at =
         static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
-    node.role = at < roles.size() ? roles[at] : Role::both;
+    node.role = at < roles.size() ? roles[at] : Role::mixed;
     if (node.capacity > 0)
       return;
     const auto rate = static_cast<double>(std::max<Micros::rep>(1, node.rate.count()));
-    node.capacity = node.role == Role::write ? decode_capacity : 1e6 / rate;
+    node.capacity = node.role == Role::decode ? decode_capacity : 1e6 / rate;
   }
 
   void check_names() {
--- a/src/expect/read/reachable.cpp
+++ b/src/expect/read/reachable.cpp
@@ -39,16 +39,16 @@
   }
 
   void check_roles() {
-    if (expected_.reader && !any_of_other_role(*expected_.reader, Role::write))
+    if (expected_.reader && !any_of_other_role(*expected_.reader, Role::decode))
       never("reader", "none of these nodes reads");
-    if (expected_.writer && !any_of_other_role(*expected_.writer, Role::read))
+    if (expected_.writer && !any_of_other_role(*expected_.writer, Role::prefill))
       never("writer", "none of these nodes writes");
   }
 
   void check_settings() {
     if (expected_.attempts && expected_.attempts->first > settings_.max_attempts)
       never("attempts", "max_attempts is " + std::to_string(settings_.max_attempts));
-    if (expected_.retry_after && !settings_.retry_after)
+    if (expected_.retry_after && !settings_.retry_after_allowed)
       never("retry_after", "the settings give no retry-after");
     if (expected_.retry_after && expected_.retry_after->least > settings_.max_retry_after)
       never("retry_after", "max_retry_after is " + span_text(settings_.max_retry_after));
--- a/src/expect/read/requests.cpp
+++ b/src/expect/read/requests.cpp
@@ -42,8 +42,8 @@
   read_class(*in, ask.cls);
   ask.name = next_past();
   read_size(*in, ask);
-  read_place(*in, "reader", ask.reader, Role::write);
-  read_place(*in, "writer", ask.writer, Role::read);
+  read_place(*in, "reader", ask.reader, Role::decode);
+  read_place(*in, "writer", ask.writer, Role::prefill);
   Micros took{};
   if (in->span("took", took, Micros(1), longest_span))
     ask.took = took;
@@ -73,7 +73,7 @@
   ask.cls = classes.front().name;
   ask.tokens = 64;
   ask.output = 1;
-  const bool decodes = find_node(case_.nodes, node)->role == Role::write;
+  const bool decodes = find_node(case_.nodes, node)->role == Role::decode;
   (decodes ? ask.writer : ask.reader) = node;
   (decodes ? ask.writer_load : ask.reader_load) = load;
   return ask;
--- a/src/expect/read/steps.cpp
+++ b/src/expect/read/steps.cpp
@@ -127,9 +127,10 @@
       check_node(*in, "node", change.node, case_.nodes);
     else if (!in->has("node"))
       in->missing("node");
-    const bool phase =
-        in->choice("phase", change.phase,
-                   {{"active", Phase::ready}, {"leaving", Phase::draining}, {"gone", Phase::gone}});
+    const bool phase = in->choice("phase", change.phase,
+                                  {{"active", EndpointState::ready},
+                                   {"leaving", EndpointState::draining},
+                                   {"gone", EndpointState::removed}});
     Micros started{};
     if (in->span("started", started, -farthest, step.at))
       change.started = started;
--- a/src/expect/report.cpp
+++ b/src/expect/report.cpp
@@ -94,33 +94,29 @@
     for (const auto& told : story.choices) {
       json candidates = json::array();
       for (const auto& c : told.choice.candidates) {
-        json candidate{{"node", told.names.at(c.host)},
-                       {"match", c.match},
-                       {"credit", c.credit},
-                       {"rate_us", c.rate},
-                       {"unread", c.unread},
-                       {"load", c.load},
-                       {"slowness", c.slowness},
-                       {"failing", c.failing}};
-        if (c.left_out)
-          candidate["left_out"] = c.left_out;
+        json candidate{{"node", told.names.at(c.endpoint)}, {"match", c.recorded_match},
+                       {"credit", c.assumed_match},         {"rate_us", c.prefill_rate},
+                       {"unread", c.queued_tokens},         {"load", c.load},
+                       {"slowness", c.latency_ratio},       {"failing", c.failure_ratio}};
+        if (c.exclusion_reason)
+          candidate["left_out"] = c.exclusion_reason;
         else
-          candidate.update({{"wait_us", c.wait.count()},
-                            {"read_us", c.read.count()},
-                            {"near", c.near},
+          candidate.update({{"wait_us", c.queue_wait.count()},
+                            {"read_us", c.prefill_time.count()},
+                            {"near", c.proximity},
                             {"score", c.score}});
         candidates.push_back(std::move(candidate));
       }
       json choice{{"at_us", told.at.count()},
-                  {"stage", told.choice.stage == Role::write ? "writer" : "reader"},
+                  {"stage", told.choice.stage == Role::decode ? "writer" : "reader"},
                   {"candidates", std::move(candidates)}};
-      if (told.choice.refused)
+      if (told.choice.shed)
         choice = {{"at_us", told.at.count()},
                   {"refused", true},
-                  {"wait_us", told.choice.wait.count()},
-                  {"most_wait_us", told.choice.most_wait.count()},
+                  {"wait_us", told.choice.estimated_wait.count()},
+                  {"most_wait_us", told.choice.max_wait.count()},
                   {"load", told.choice.load},
-                  {"most_load", told.choice.most_load}};
+                  {"most_load", told.choice.max_load}};
       else if (const auto name = told.names.find(told.choice.chosen); name != told.names.end())
         choice["chosen"] = name->second;
       choices.push_back(std::move(choice));
--- a/src/expect/run.cpp
+++ b/src/expect/run.cpp
@@ -4,7 +4,7 @@
 
 const Attempted* Story::last(Role stage) const {
   for (auto it = attempts.rbegin(); it != attempts.rend(); ++it)
-    if (it->role == stage || it->role == Role::both)
+    if (it->role == stage || it->role == Role::mixed)
       return &*it;
   return nullptr;
 }
--- a/src/expect/run.h
+++ b/src/expect/run.h
@@ -16,8 +16,8 @@
 struct Attempted {
   std::string node;
   Micros at{};
-  Role role = Role::read;  // of the node
-  std::string outcome;     // empty: still out at the end
+  Role role = Role::prefill;  // of the node
+  std::string outcome;        // empty: still out at the end
   Micros took{};
 };
 
@@ -25,7 +25,7 @@
 struct Told {
   Micros at{};
   Choice choice;
-  std::map<HostId, std::string> names;
+  std::map<EndpointId, std::string> names;
 };
 
 // What became of one request. Times count from the moment it was asked.
--- a/src/expect/world.cpp
+++ b/src/expect/world.cpp
@@ -28,7 +28,7 @@
 class World {
  public:
   World(const Case& one, const Setup& setup, const Options& options);
-  ~World() { router_.explain({}); }
+  ~World() { router_.set_choice_observer({}); }
   World(const World&) = delete;
   World& operator=(const World&) = delete;
 
@@ -81,7 +81,7 @@
   for (const auto& node : one.nodes)
     shared_.nodes[node.name].script = &node;
   if (options.explain)
-    router_.explain([this](const Choice& choice) { choices_.note(choice); });
+    router_.set_choice_observer([this](const Choice& choice) { choices_.note(choice); });
 }
 
 // ---- The course of a case ----
@@ -116,7 +116,7 @@
 void World::run_events() {
   std::size_t events = 0;
   while (++events < most_events) {
-    const auto scripted = shared_.timers.next(), due = router_.next_due();
+    const auto scripted = shared_.timers.next_due(), due = router_.next_timer();
     if (!scripted && !due)
       break;
     // With nothing open and nothing scripted, the alarms that are left come to nothing.
@@ -126,9 +126,9 @@
     shared_.clock.at = std::max(shared_.clock.at, next);
     shared_.monitor.advance(shared_.clock.at);
     if (scripted && *scripted <= next)
-      shared_.timers.run(shared_.clock.at);
+      shared_.timers.run_due(shared_.clock.at);
     else
-      router_.run_due();
+      router_.run_timers();
   }
   if (events >= most_events)
     run_.impossible.push_back("the case has no end");
@@ -150,8 +150,8 @@
 
 // What is said to have been must have been, or all that follows rests on something else.
 void World::check_past(const PlayedRequest& request) {
-  const Attempted* prefill = request.story.last(Role::read);
-  const Attempted* decode = request.story.last(Role::write);
+  const Attempted* prefill = request.story.last(Role::prefill);
+  const Attempted* decode = request.story.last(Role::decode);
   const auto differs = [](const std::string& wanted, const Attempted* got) {
     return !wanted.empty() && (!got || got->node != wanted);
   };
@@ -176,13 +176,13 @@
       nodes_.restart(node);  // another process: what the old one kept is gone
   }
   node.phase = what.phase;
-  node.listed = what.phase != Phase::gone;
+  node.listed = what.phase != EndpointState::removed;
   list_.publish_change(what.node);
 }
 
 void World::on(const Step& step, const step::Ban& what) {
-  const auto ordered = what.out ? router_.take_out(what.node) : router_.put_back(what.node);
-  if (ordered != Router::Ordered::done)
+  const auto ordered = what.out ? router_.drain_node(what.node) : router_.undrain_node(what.node);
+  if (ordered != Router::OverrideResult::applied)
     return impossible(step, "'" + what.node + "' was never listed, so it can't be taken out by hand");
   if (what.out)
     shared_.monitor.banned(shared_.clock.at, what.node);
@@ -205,7 +205,7 @@
   settings_ = platform.settings;
   if (!options_.limits)
     shared_.monitor.limit(limits_of(settings_));
-  router_.retune(platform.settings, zones(case_, platform.zones), platform.kinds);
+  router_.update_settings(platform.settings, zones(case_, platform.zones), platform.kinds);
 }
 
 void World::on(const Step& step, const step::Leave& what) {
@@ -215,7 +215,7 @@
   request->open = false;
   request->story.left = shared_.clock.at - request->story.asked;
   shared_.monitor.left(shared_.clock.at, what.request);
-  router_.gone(request->id);
+  router_.client_disconnected(request->id);
 }
 
 // ---- Requests ----
@@ -228,11 +228,11 @@
   shared_.monitor.taken(now, ask.name, now + budget(ask), shared_.monitor.limits().most_attempts);
   // The prefill node is chosen from within take, so a past that names one shows only that one meanwhile.
   if (past)
-    list_.show_only(ask.reader, Role::read);
-  const auto taken = router_.take(client_request(request), request, request.id);
+    list_.show_only(ask.reader, Role::prefill);
+  const auto taken = router_.submit(client_request(request), request, request.id);
   if (past)
     list_.show_all();
-  if (taken != Router::Taken::yes) {
+  if (taken != Router::SubmitResult::accepted) {
     impossible(step, "class '" + ask.cls + "' is not known at that moment");
     shared_.monitor.left(now, ask.name);
     request.open = false;
@@ -247,16 +247,16 @@
   const Ask& ask = request.ask;
   ClientRequest made;
   made.prompt = {request.wire_name, "/v1/chat/completions", body_};
-  made.kind = ask.cls;
+  made.request_class = ask.cls;
   made.tenant = ask.tenant;
-  made.session = key_of("session " + request.session());
-  made.shared = ask.opening.empty() ? 0 : key_of("opening " + ask.opening);
-  made.budget = ask.budget;
+  made.session_key = key_from_text("session " + request.session());
+  made.shared_prefix_key = ask.opening.empty() ? 0 : key_from_text("opening " + ask.opening);
+  made.time_budget = ask.budget;
   made.prompt_tokens = ask.tokens;
-  made.shared_tokens = ask.shared;
-  made.max_output = ask.output;
-  made.repeat = ask.repeat;
-  made.resumed = ask.resumed;
+  made.shared_prefix_tokens = ask.shared;
+  made.max_output_tokens = ask.output;
+  made.is_retry = ask.repeat;
+  made.is_resumed = ask.resumed;
   return made;
 }
 
@@ -274,7 +274,7 @@
   double most = 1;
   std::vector<std::string> names;
   for (const auto& [name, node] : shared_.nodes) {
-    if (node.script->role == Role::write)
+    if (node.script->role == Role::decode)
       continue;
     const double kept = node.kept(request.ask, request.session());
     if (kept > most)
--- a/src/grpc/front.cpp
+++ b/src/grpc/front.cpp
@@ -16,7 +16,7 @@
   // The client has cancelled the call, or its connection is lost.
   ~Generate() override {
     if (taken_)
-      router_.gone(id_);
+      router_.client_disconnected(id_);
   }
 
  private:
@@ -24,7 +24,7 @@
     v1::GenerateRequest request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
       return call_.finish(Status::invalid_argument, "the message can't be read");
-    if (!valid_id(request.id()))
+    if (!is_valid_request_id(request.id()))
       return call_.finish(Status::invalid_argument, "the id is missing or odd");
     if (request.body().size() > most_body)
       return call_.finish(Status::resource_exhausted, "the body is too large");
@@ -35,39 +35,39 @@
         return call_.finish(Status::invalid_argument, "grpc-timeout can't be read");
       // Danger: a request that comes in pieces. Its client's time runs from its call on.
       const auto passed = std::chrono::ceil<Micros>(std::chrono::steady_clock::now() - opened_);
-      client_request.budget = std::max(*budget - passed, Micros(1));
+      client_request.time_budget = std::max(*budget - passed, Micros(1));
     }
     client_request.prompt = {request.id(), std::string(chat_path),
                              std::make_shared<std::string>(request.body())};
-    client_request.kind = request.kind();
+    client_request.request_class = request.kind();
     client_request.tenant = request.tenant();
-    client_request.session = key_of(request.session());
-    client_request.shared = key_of(request.prefix());
+    client_request.session_key = key_from_text(request.session());
+    client_request.shared_prefix_key = key_from_text(request.prefix());
     client_request.prompt_tokens = request.prompt_tokens();
-    client_request.shared_tokens = request.prefix_tokens();
-    client_request.max_output = request.max_output();
-    client_request.repeat = request.repeat();
+    client_request.shared_prefix_tokens = request.prefix_tokens();
+    client_request.max_output_tokens = request.max_output();
+    client_request.is_retry = request.repeat();
     taken_ = true;  // the answer may come before take returns
-    switch (router_.take(client_request, *this, id_)) {
-      case Router::Taken::yes:
+    switch (router_.submit(client_request, *this, id_)) {
+      case Router::SubmitResult::accepted:
         return;
-      case Router::Taken::unknown_kind:
+      case Router::SubmitResult::unknown_class:
         taken_ = false;
         return call_.finish(Status::invalid_argument, "the kind is not known");
-      case Router::Taken::duplicate:
+      case Router::SubmitResult::duplicate_id:
         taken_ = false;
         return call_.finish(Status::already_exists, "a request with this id is open");
     }
   }
-  void drained() override { router_.drained(id_); }
+  void drained() override { router_.resume_stream(id_); }
 
-  bool event(std::string_view data) override {
+  bool on_data(std::string_view data) override {
     v1::GenerateEvent event;
     event.set_data(std::string(data));
     return call_.send_message(event);
   }
   void finish() override { end(Status::ok, ""); }
-  void refuse(Micros stay_away) override {
+  void reject(Micros stay_away) override {
     // A negative pushback would forbid to try again; without a hint none is sent.
     Headers pushback;
     if (stay_away > Micros(0))
@@ -75,15 +75,15 @@
                             std::to_string(std::chrono::ceil<std::chrono::milliseconds>(stay_away).count()));
     end(Status::unavailable, "refused, try again", "REFUSED", std::move(pushback), stay_away);
   }
-  void fail(Failure why) override {
-    if (why == Failure::timed_out)
+  void fail(FailureReason why) override {
+    if (why == FailureReason::timed_out)
       end(Status::deadline_exceeded, "no answer in time", "NO_ANSWER_IN_TIME");
-    else if (why == Failure::unfit)
+    else if (why == FailureReason::bad_request)
       end(Status::invalid_argument, "no node can use the request", "UNFIT_FOR_NODES");
     else
       end(Status::internal, "the nodes failed", "NODES_FAILED");
   }
-  void cut() override { end(Status::aborted, "the stream broke", "STREAM_BROKE"); }
+  void abort_stream() override { end(Status::aborted, "the stream broke", "STREAM_BROKE"); }
   void end(Status status, std::string_view text, std::string_view reason = {}, Headers more = {},
            Micros retry = {}) {
     taken_ = false;
--- a/src/grpc/node_client.cpp
+++ b/src/grpc/node_client.cpp
@@ -18,12 +18,12 @@
     : loop_(loop), limits_(limits), pool_limits_(pool), retire_(loop, [this] { retire(); }) {}
 NodeClient::~NodeClient() = default;
 
-void NodeClient::limit(const Limits& limits) {
+void NodeClient::set_limits(const Limits& limits) {
   limits_.connect_timeout = limits.connect_timeout;
   // Idle connections are an eighth of the shared descriptors; those with calls have two fifths, which are
   // calls' own.
-  most_connections_ = std::max<std::size_t>(4, 3 * limits.idle_most);
-  pool_limits_.idle = std::chrono::duration_cast<std::chrono::milliseconds>(limits.idle);
+  most_connections_ = std::max<std::size_t>(4, 3 * limits.max_idle_connections);
+  pool_limits_.idle = std::chrono::duration_cast<std::chrono::milliseconds>(limits.idle_timeout);
   for (auto& [address, place] : places_)
     place->pool.limit(pool_limits_);
 }
@@ -122,17 +122,17 @@
   all_.erase(found);
 }
 
-std::unique_ptr<Call> NodeClient::begin(const Node& node, const Prompt& prompt, Micros within,
-                                        Attempt& attempt) {
+std::unique_ptr<Call> NodeClient::start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                                AttemptHandler& attempt) {
   if (auto taken = take(node.address))
     return run_call(*taken->session, node, prompt, within, attempt, std::move(taken->over));
   return unsent_call(loop_, [&attempt] {
-    attempt.done({Outcome::connect_failed, 0, {}, "no connection has a place", false});
+    attempt.on_done({Outcome::connect_failed, 0, {}, "no connection has a place", false});
   });
 }
 
 std::unique_ptr<Call> NodeClient::simple(const Node& node, std::string_view method, std::string framed,
-                                         std::function<void(const Result&)> done) {
+                                         std::function<void(const AttemptResult&)> done) {
   if (auto taken = take(node.address))
     return simple_call(*taken->session, node, method, std::move(framed), std::move(done),
                        std::move(taken->over));
@@ -142,19 +142,20 @@
   });
 }
 
-std::unique_ptr<Call> NodeClient::release(const Node& node, const std::string& id,
-                                          std::function<void(bool)> done) {
+std::unique_ptr<Call> NodeClient::release_reservation(const Node& node, const std::string& id,
+                                                      std::function<void(bool)> done) {
   v1::ReleaseRequest request;
   request.set_id(id);
-  return simple(node, "Release", frame(request),
-                [done = std::move(done)](const Result& result) { done(result.outcome == Outcome::ok); });
+  return simple(node, "Release", frame(request), [done = std::move(done)](const AttemptResult& result) {
+    done(result.outcome == Outcome::ok);
+  });
 }
 
-std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const Result&)> done) {
+std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const AttemptResult&)> done) {
   return simple(node, "Load", frame(v1::LoadRequest()), std::move(done));
 }
 
-void NodeClient::hang_up(const Node& node) {
+void NodeClient::close_idle_connections(const Node& node) {
   const auto found = places_.find(node.address);
   if (found == places_.end())
     return;
--- a/src/grpc/node_client.h
+++ b/src/grpc/node_client.h
@@ -11,17 +11,17 @@
 
 namespace lemonroute::grpc {
 
-class NodeClient : public Nodes, SessionOwner {
+class NodeClient : public NodeTransport, SessionOwner {
  public:
   NodeClient(net::Loop& loop, Session::Limits limits, Pool::Limits pool = {});
   ~NodeClient() override;
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
-                              Attempt& attempt) override;
-  std::unique_ptr<Call> release(const Node& node, const std::string& id,
-                                std::function<void(bool)> done) override;
-  std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) override;
-  void hang_up(const Node& node) override;
-  void limit(const Limits& limits) override;
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override;
+  std::unique_ptr<Call> release_reservation(const Node& node, const std::string& id,
+                                            std::function<void(bool)> done) override;
+  std::unique_ptr<Call> probe(const Node& node, std::function<void(const AttemptResult&)> done) override;
+  void close_idle_connections(const Node& node) override;
+  void set_limits(const Limits& limits) override;
   std::size_t connections() const { return all_.size(); }
 
  private:
@@ -50,7 +50,7 @@
   void closed(Session& session) override;
   std::optional<Taken> take(const std::string& address);
   std::unique_ptr<Call> simple(const Node& node, std::string_view method, std::string framed,
-                               std::function<void(const Result&)> done);
+                               std::function<void(const AttemptResult&)> done);
   void open(const std::string& address, Place& place, Pool::Id id);
   bool make_room();
   void retire();
--- a/src/grpc/node_client/calls.cpp
+++ b/src/grpc/node_client/calls.cpp
@@ -35,11 +35,11 @@
     // every later call would wait on it in vain.
     session_->check_alive();
   }
-  void hold_back(bool on) override {
+  void pause_reading(bool on) override {
     if (session_)
       session_->hold_back(id_, on);
   }
-  bool unsent() const override { return session_ && session_->unsent(id_); }
+  bool not_sent() const override { return session_ && session_->unsent(id_); }
 
  protected:
   struct End {
@@ -111,14 +111,14 @@
 
 class RunCall : public NodeCall {
  public:
-  RunCall(Session& session, const Node& node, const Prompt& prompt, Micros within, Attempt& attempt,
+  RunCall(Session& session, const Node& node, const Prompt& prompt, Micros within, AttemptHandler& attempt,
           CallOver over)
       : NodeCall(session, node.address, "Run", frame(request(prompt)), {{"req-id", prompt.id}},
                  std::move(over), Guard::Clock::now() + within),
         attempt_(attempt) {}
 
  private:
-  void written() override { attempt_.written(); }
+  void written() override { attempt_.on_request_written(); }
   static v1::RunRequest request(const Prompt& prompt) {
     v1::RunRequest request;
     request.set_id(prompt.id);
@@ -132,17 +132,17 @@
       return false;
     if (event.has_read()) {
       read_ = true;
-      result_.kept = event.read().cached_tokens();
+      result_.cached_tokens = event.read().cached_tokens();
     } else if (event.kind_case() == v1::RunEvent::kData) {
       // Guards the age of reports: what the head told is as old as the stream by the time the attempt ends.
       if (!std::exchange(events_, true))
         forget_load();
-      attempt_.event(event.data());
+      attempt_.on_data(event.data());
     }
     return true;
   }
   void ended(const End& end) override {
-    result_.load = end.load;
+    result_.load_report = end.load;
     result_.detail = "status " + std::to_string(end.status);
     const auto status = static_cast<Status>(end.status);
     if (end.how == Ending::not_sent)
@@ -152,31 +152,31 @@
     else if (end.how == Ending::malformed)
       result_.outcome = events_ ? Outcome::reset : Outcome::error;
     else if (status == Status::ok && read_)
-      result_.outcome = Outcome::read;
+      result_.outcome = Outcome::prefill_done;
     else if (status == Status::ok && events_)
       result_.outcome = Outcome::ok;
     else if (events_)
       result_.outcome = Outcome::reset;
     else if (end.declined && status == Status::unavailable)
-      result_.outcome = Outcome::full;
+      result_.outcome = Outcome::rejected_over_capacity;
     else if (end.declined && status == Status::failed_precondition) {
-      result_.outcome = Outcome::full;
-      result_.kept = 1;
+      result_.outcome = Outcome::rejected_over_capacity;
+      result_.cached_tokens = 1;
     } else {
       result_.outcome = Outcome::error;
-      result_.unfit = status == Status::invalid_argument;
+      result_.bad_request = status == Status::invalid_argument;
     }
-    attempt_.done(result_);
+    attempt_.on_done(result_);
   }
 
-  Attempt& attempt_;
-  Result result_;
+  AttemptHandler& attempt_;
+  AttemptResult result_;
   bool read_ = false, events_ = false;
 };
 
 class SimpleCall : public NodeCall {
  public:
-  using Done = std::function<void(const Result&)>;
+  using Done = std::function<void(const AttemptResult&)>;
   SimpleCall(Session& session, const Node& node, std::string_view method, std::string framed, Done done,
              CallOver over)
       : NodeCall(session, node.address, method, std::move(framed), {}, std::move(over)),
@@ -187,7 +187,7 @@
     v1::LoadReply reply;
     if (!reply.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
       return false;
-    result_.load = reply.report();
+    result_.load_report = reply.report();
     return true;
   }
   void ended(const End& end) override {
@@ -198,12 +198,12 @@
     else
       result_.outcome = end.how == Ending::whole && end.status == 0 ? Outcome::ok : Outcome::error;
     const auto done = std::move(done_);
-    const Result result = std::move(result_);
+    const AttemptResult result = std::move(result_);
     done(result);
   }
 
   Done done_;
-  Result result_;
+  AttemptResult result_;
 };
 
 class UnsentCall : public Call {
@@ -215,7 +215,7 @@
         (*told)();
     });
   }
-  bool unsent() const override { return true; }
+  bool not_sent() const override { return true; }
 
  private:
   std::shared_ptr<std::function<void()>> told_;
@@ -224,11 +224,11 @@
 }  // namespace
 
 std::unique_ptr<Call> run_call(Session& session, const Node& node, const Prompt& prompt, Micros within,
-                               Attempt& attempt, CallOver over) {
+                               AttemptHandler& attempt, CallOver over) {
   return std::make_unique<RunCall>(session, node, prompt, within, attempt, std::move(over));
 }
 std::unique_ptr<Call> simple_call(Session& session, const Node& node, std::string_view method,
-                                  std::string framed, std::function<void(const Result&)> done,
+                                  std::string framed, std::function<void(const AttemptResult&)> done,
                                   CallOver over) {
   return std::make_unique<SimpleCall>(session, node, method, std::move(framed), std::move(done),
                                       std::move(over));
--- a/src/grpc/node_client/calls.h
+++ b/src/grpc/node_client/calls.h
@@ -16,10 +16,11 @@
                                                       // said anything to it
 
 std::unique_ptr<Call> run_call(Session& session, const Node& node, const Prompt& prompt, Micros within,
-                               Attempt& attempt, CallOver over);
+                               AttemptHandler& attempt, CallOver over);
 // `framed`: the request. `done` hears what came of it, and may let go of the call.
 std::unique_ptr<Call> simple_call(Session& session, const Node& node, std::string_view method,
-                                  std::string framed, std::function<void(const Result&)> done, CallOver over);
+                                  std::string framed, std::function<void(const AttemptResult&)> done,
+                                  CallOver over);
 // A call for which there is no place: it was never sent, and says so once its beginning has returned.
 std::unique_ptr<Call> unsent_call(net::Loop& loop, std::function<void()> told);
 
--- a/src/grpc/session.cpp
+++ b/src/grpc/session.cpp
@@ -32,7 +32,7 @@
       ping_timer_(loop, [this] { unheard(); }),
       look_timer_(loop, [this] { look(); }),
       last_timer_(loop, [this] { last_call(); }),
-      connection_(new net::Connection(loop, net::Endpoint(address), *this)) {
+      connection_(new net::Connection(loop, net::SocketAddress(address), *this)) {
   connect_timer_.start(connection_->started() ? limits.connect_timeout : std::chrono::microseconds(0));
   start(false);
 }
--- a/src/guide/binding.h
+++ b/src/guide/binding.h
@@ -14,28 +14,29 @@
 
 struct Binding {
   std::unique_ptr<peers::Extension> extension;
-  std::unique_ptr<NodeObserver> observer;               // writes to the extension; null: it hears nothing
-  std::function<std::shared_ptr<const Guide>()> guide;  // its newest; another pointer where it has changed
+  std::unique_ptr<NodeObserver> observer;  // writes to the extension; null: it hears nothing
+  std::function<std::shared_ptr<const FleetView>()>
+      guide;  // its newest; another pointer where it has changed
 };
 
 // The Guide of a snapshot that has any of lay(node), kept(session, shared), lost(node).
 template <class Snapshot>
-class Says final : public Guide {
+class Says final : public FleetView {
  public:
   explicit Says(std::shared_ptr<const Snapshot> of) : of_(std::move(of)) {}
-  Laid lay(const Node& node) const override {
+  NodeOverlay overlay(const Node& node) const override {
     if constexpr (requires(const Snapshot& s) { s.lay(node); })
       return of_->lay(node);
     else
       return {};
   }
-  std::vector<KeptAt> kept(Key session, Key shared) const override {
+  std::vector<CacheLocation> cache_locations(Key session, Key shared) const override {
     if constexpr (requires(const Snapshot& s) { s.kept(session, shared); })
       return of_->kept(session, shared);
     else
       return {};
   }
-  Micros lost(const Node& node) const override {
+  Micros cache_lost_at(const Node& node) const override {
     if constexpr (requires(const Snapshot& s) { s.lost(node); })
       return of_->lost(node);
     else
@@ -51,24 +52,24 @@
 class Hears final : public NodeObserver {
  public:
   explicit Hears(Extension& extension) : extension_(extension) {}
-  void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
-            Micros now) override {
+  void on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+                        Micros now) override {
     if constexpr (requires(Extension & r) { r.kept(node, session, shared, tokens, shared_tokens, now); })
       extension_.kept(node, session, shared, tokens, shared_tokens, now);
   }
-  void found(const Node& node, Key session, Key shared, double tokens, Micros now) override {
+  void on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) override {
     if constexpr (requires(Extension & r) { r.found(node, session, shared, tokens, now); })
       extension_.found(node, session, shared, tokens, now);
   }
-  void lost(const Node& node, Micros now) override {
+  void on_cache_lost(const Node& node, Micros now) override {
     if constexpr (requires(Extension & r) { r.lost(node, now); })
       extension_.lost(node, now);
   }
-  void listed(const std::vector<Node>& nodes, Micros now) override {
+  void on_endpoints(const std::vector<Node>& nodes, Micros now) override {
     if constexpr (requires(Extension & r) { r.listed(nodes, now); })
       extension_.listed(nodes, now);
   }
-  void demand(const Demand& demand, Micros now) override {
+  void on_demand(const Demand& demand, Micros now) override {
     if constexpr (requires(Extension & r) { r.demand(demand, now); })
       extension_.demand(demand, now);
   }
@@ -85,7 +86,7 @@
   Binding binding;
   binding.observer = std::make_unique<Hears<Extension>>(*extension);
   binding.guide = [&at = *extension, newest, last = Pointer{},
-                   said = std::shared_ptr<const Guide>{}]() mutable {
+                   said = std::shared_ptr<const FleetView>{}]() mutable {
     if (auto now = newest(at); now != last) {
       last = now;
       said = now ? std::make_shared<const Says<Snapshot>>(std::move(now)) : nullptr;
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -25,7 +25,7 @@
     Siblings::Limits siblings;
   };
   // `guided` is called on the loop with each newer guide, within reason: at most once in `least_between`.
-  using Guided = std::function<void(std::shared_ptr<const Guide>)>;
+  using Guided = std::function<void(std::shared_ptr<const FleetView>)>;
   Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings, Guided guided);
   ~Fleet() override;
 
@@ -39,7 +39,7 @@
 
  private:
   struct Told {
-    std::shared_ptr<const Guide> guide;
+    std::shared_ptr<const FleetView> guide;
     std::shared_ptr<const std::string> text;
   };
 
@@ -59,7 +59,7 @@
   Notes notes_;
   boost::lockfree::spsc_queue<Told> told_;
   peers::Wake take_;
-  std::shared_ptr<const Guide> guide_;
+  std::shared_ptr<const FleetView> guide_;
   std::shared_ptr<const std::string> text_;
 
   // The thread's own.
--- a/src/guide/fleet_guide.cpp
+++ b/src/guide/fleet_guide.cpp
@@ -4,29 +4,29 @@
 
 namespace lemonroute::guide {
 
-Guide::Laid FleetGuide::lay(const Node& node) const {
-  Laid all;
+FleetView::NodeOverlay FleetGuide::overlay(const Node& node) const {
+  NodeOverlay all;
   for (const auto& part : parts_) {
-    const Laid one = part->lay(node);
-    all.away |= one.away;
-    all.started = std::max(all.started, one.started);
-    all.until = std::min(all.until, one.until);
+    const NodeOverlay one = part->overlay(node);
+    all.drained |= one.drained;
+    all.started_at = std::max(all.started_at, one.started_at);
+    all.expires_at = std::min(all.expires_at, one.expires_at);
   }
   return all;
 }
 
-std::vector<KeptAt> FleetGuide::kept(Key session, Key shared) const {
-  std::vector<KeptAt> all;
+std::vector<CacheLocation> FleetGuide::cache_locations(Key session, Key shared) const {
+  std::vector<CacheLocation> all;
   for (const auto& part : parts_)
-    for (auto& one : part->kept(session, shared))
+    for (auto& one : part->cache_locations(session, shared))
       all.push_back(std::move(one));
   return all;
 }
 
-Micros FleetGuide::lost(const Node& node) const {
+Micros FleetGuide::cache_lost_at(const Node& node) const {
   Micros last{};
   for (const auto& part : parts_)
-    last = std::max(last, part->lost(node));
+    last = std::max(last, part->cache_lost_at(node));
   return last;
 }
 
--- a/src/guide/notes.cpp
+++ b/src/guide/notes.cpp
@@ -33,19 +33,20 @@
   wake_();
 }
 
-void Notes::kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) {
+void Notes::on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+                             Micros now) {
   write({Note::kept, node.id, session, shared, tokens, shared_tokens, now, nullptr, {}});
 }
-void Notes::found(const Node& node, Key session, Key shared, double tokens, Micros now) {
+void Notes::on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) {
   write({Note::found, node.id, session, shared, tokens, 0, now, nullptr, {}});
 }
-void Notes::lost(const Node& node, Micros now) {
+void Notes::on_cache_lost(const Node& node, Micros now) {
   urgent({Note::lost, node.id, 0, 0, 0, 0, now, nullptr, {}});
 }
-void Notes::listed(const std::vector<Node>& nodes, Micros now) {
+void Notes::on_endpoints(const std::vector<Node>& nodes, Micros now) {
   urgent({Note::listed, 0, 0, 0, 0, 0, now, std::make_shared<const std::vector<Node>>(nodes), {}});
 }
-void Notes::demand(const Demand& demand, Micros now) {
+void Notes::on_demand(const Demand& demand, Micros now) {
   write({Note::demand, 0, 0, 0, 0, 0, now, nullptr, demand});
 }
 
@@ -65,21 +66,22 @@
       switch (note.kind) {
         case Note::kept:
           if (node)
-            observer->kept(*node, note.session, note.shared, note.tokens, note.shared_tokens, note.now);
+            observer->on_prefix_cached(*node, note.session, note.shared, note.tokens, note.shared_tokens,
+                                       note.now);
           break;
         case Note::found:
           if (node)
-            observer->found(*node, note.session, note.shared, note.tokens, note.now);
+            observer->on_cache_hit(*node, note.session, note.shared, note.tokens, note.now);
           break;
         case Note::lost:
           if (node)
-            observer->lost(*node, note.now);
+            observer->on_cache_lost(*node, note.now);
           break;
         case Note::listed:
-          observer->listed(*note.nodes, note.now);
+          observer->on_endpoints(*note.nodes, note.now);
           break;
         case Note::demand:
-          observer->demand(note.asked, note.now);
+          observer->on_demand(note.asked, note.now);
           break;
       }
     }
--- a/src/guide/notes.h
+++ b/src/guide/notes.h
@@ -16,7 +16,7 @@
 
 struct Note {
   enum Kind : std::uint8_t { kept, found, lost, listed, demand } kind = kept;
-  HostId host = 0;
+  EndpointId host = 0;
   Key session = 0, shared = 0;
   double tokens = 0, shared_tokens = 0;
   Micros now{};
@@ -33,12 +33,12 @@
   explicit Notes(std::function<void()> wake) : wake_(std::move(wake)), ring_(room) {}
 
   // ---- on the serving loop ----
-  void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
-            Micros now) override;
-  void found(const Node& node, Key session, Key shared, double tokens, Micros now) override;
-  void lost(const Node& node, Micros now) override;
-  void listed(const std::vector<Node>& nodes, Micros now) override;
-  void demand(const Demand& demand, Micros now) override;
+  void on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+                        Micros now) override;
+  void on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) override;
+  void on_cache_lost(const Node& node, Micros now) override;
+  void on_endpoints(const std::vector<Node>& nodes, Micros now) override;
+  void on_demand(const Demand& demand, Micros now) override;
 
   // ---- on the thread of the peers ----
   void read(const std::vector<NodeObserver*>& to);
@@ -55,7 +55,7 @@
   std::atomic<std::uint64_t> dropped_{0};
   // The reader's: of whom the notes speak.
   std::shared_ptr<const std::vector<Node>> nodes_;
-  std::unordered_map<HostId, const Node*> by_id_;
+  std::unordered_map<EndpointId, const Node*> by_id_;
 };
 
 }  // namespace lemonroute::guide
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -8,7 +8,7 @@
       : owner_(owner),
         address_(address),
         timer_(owner.loop_, [this] { on_timer(); }),
-        connection_(owner.loop_, net::Endpoint(address), *this, owner.limits_.purpose) {}
+        connection_(owner.loop_, net::SocketAddress(address), *this, owner.limits_.purpose) {}
 
   void start(Exchange& exchange, Listener& listener, std::string_view head,
              std::shared_ptr<const std::string> body) {
@@ -30,13 +30,13 @@
     if (connected_)
       connection_.push();
   }
-  PooledConnection(Client& owner, const std::string& address, const PassedConnection& adopted)
+  PooledConnection(Client& owner, const std::string& address, const TransferredConnection& adopted)
       : owner_(owner),
         address_(address),
         timer_(owner.loop_, [this] { on_timer(); }),
         connected_(true),
         has_head_(true),
-        closes_(adopted.closes),
+        closes_(adopted.close_after_response),
         written_(true),
         body_(Body::going_on()),
         connection_(owner.loop_, adopted.fd, *this) {}
@@ -45,9 +45,9 @@
     listener_ = &listener;
     exchange.connection_ = this;
   }
-  std::optional<PassedConnection> passable() {
+  std::optional<TransferredConnection> passable() {
     const bool between = has_head_ && body_.between_chunks() && connection_.at_rest();
-    return between ? std::optional(PassedConnection{connection_.descriptor(), closes_}) : std::nullopt;
+    return between ? std::optional(TransferredConnection{connection_.descriptor(), closes_}) : std::nullopt;
   }
   void passed() {
     connection_.read(false);  // what comes from now on is for the other process
@@ -198,7 +198,7 @@
   return connection_ && connection_->unsent();
 }
 
-std::optional<PassedConnection> Exchange::passable() const {
+std::optional<TransferredConnection> Exchange::passable() const {
   return connection_ ? connection_->passable() : std::nullopt;
 }
 void Exchange::passed() {
@@ -222,7 +222,7 @@
   return exchange;
 }
 
-std::unique_ptr<Exchange> Client::adopt(const std::string& address, const PassedConnection& connection,
+std::unique_ptr<Exchange> Client::adopt(const std::string& address, const TransferredConnection& connection,
                                         Listener& listener) {
   auto made = std::make_unique<PooledConnection>(*this, address, connection);
   auto exchange = std::make_unique<Exchange>();
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -54,7 +54,7 @@
   void hold_back(bool on);  // stops or goes on reading the answer
   void ends_soon();  // its answer is no stream: it is malformed if it does not end as soon as a head has to
   bool unsent() const;  // its connection has not come up
-  std::optional<PassedConnection> passable()
+  std::optional<TransferredConnection> passable()
       const;      // between two chunks of an answer, with nothing read ahead
   void passed();  // its connection is another process's now
 
@@ -74,7 +74,7 @@
   std::unique_ptr<Exchange> start(const std::string& address, std::string_view head,
                                   std::shared_ptr<const std::string> body, Listener& listener);
   // An exchange that another process began; its answer goes on after a chunk.
-  std::unique_ptr<Exchange> adopt(const std::string& address, const PassedConnection& connection,
+  std::unique_ptr<Exchange> adopt(const std::string& address, const TransferredConnection& connection,
                                   Listener& listener);
   void hang_up(const std::string& address);
   void limit(microseconds connect_timeout, microseconds idle, std::size_t idle_most) {
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -24,23 +24,23 @@
   connection_.limit_input(most_input);
   timer_.start(front_.options_.asking);
 }
-ClientConnection::ClientConnection(Front& front, const PassedConnection& adopted)
+ClientConnection::ClientConnection(Front& front, const TransferredConnection& adopted)
     : ClientConnection(front, adopted.fd) {
   timer_.stop();
   state_ = State::streaming;
   asked_ = whole_ = true;
-  closes_ = adopted.closes;
+  closes_ = adopted.close_after_response;
   keep_ = !closes_;
 }
 ClientConnection::~ClientConnection() {
   forget_body();
   if (state_ == State::waiting || state_ == State::streaming)
-    front_.router_.gone(id_);
+    front_.router_.client_disconnected(id_);
 }
 
-bool ClientConnection::go_on(const PassedStream& stream) {
+bool ClientConnection::go_on(const TransferredStream& stream) {
   client_request_.prompt.id = stream.id;
-  if (front_.router_.adopt(stream, *this, id_))
+  if (front_.router_.adopt_stream(stream, *this, id_))
     return true;
   state_ = State::closed;
   return false;
@@ -126,8 +126,8 @@
     client_request_.prompt_tokens =
         static_cast<double>(client_request_.prompt.body->size()) / characters_a_token;
   state_ = State::waiting;
-  const auto taken = front_.router_.take(client_request_, *this, id_);
-  if (taken != Router::Taken::yes)
+  const auto taken = front_.router_.submit(client_request_, *this, id_);
+  if (taken != Router::SubmitResult::accepted)
     answer(400);
 }
 
@@ -136,7 +136,7 @@
     return finish_ending();
   if (state_ == State::streaming && std::exchange(held_back_, false)) {
     timer_.stop();
-    front_.router_.drained(id_);
+    front_.router_.resume_stream(id_);
   }
 }
 // A peer that ends only its sending counts as gone as well: nothing tells it from one that closed, until
@@ -162,7 +162,7 @@
 
 // ---- what goes out ----
 
-bool ClientConnection::event(std::string_view data) {
+bool ClientConnection::on_data(std::string_view data) {
   std::ostringstream chunk;
   if (state_ == State::waiting) {
     state_ = State::streaming;
@@ -190,25 +190,25 @@
   connection_.write("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
   complete(closes_);
 }
-void ClientConnection::refuse(Micros stay_away) {
+void ClientConnection::reject(Micros stay_away) {
   std::ostringstream field;
   if (stay_away > Micros(0))
     field << "Retry-After: " << std::chrono::duration<double>(stay_away).count() << "\r\n";
   answer(429, field.str());
 }
-void ClientConnection::fail(Failure why) {
-  answer(why == Failure::timed_out ? 504 : why == Failure::unfit ? 400 : 502);
+void ClientConnection::fail(FailureReason why) {
+  answer(why == FailureReason::timed_out ? 504 : why == FailureReason::bad_request ? 400 : 502);
 }
-std::optional<PassedConnection> ClientConnection::passable() {
+std::optional<TransferredConnection> ClientConnection::transferable_connection() {
   const bool between = state_ == State::streaming && !held_back_ && connection_.at_rest();
-  return between ? std::optional(PassedConnection{connection_.descriptor(), closes_}) : std::nullopt;
+  return between ? std::optional(TransferredConnection{connection_.descriptor(), closes_}) : std::nullopt;
 }
-void ClientConnection::passed() {
+void ClientConnection::on_transferred() {
   connection_.read(false);  // what comes from now on is for the other process
   state_ = State::closed;
   front_.discard(*this);
 }
-void ClientConnection::cut() {
+void ClientConnection::abort_stream() {
   // No last chunk: the client must see that the stream is not whole, and see it now.
   begin_ending(cut_within);
 }
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -19,9 +19,9 @@
  public:
   ClientConnection(Front& front, evutil_socket_t fd);
   ClientConnection(Front& front,
-                   const PassedConnection& adopted);  // a stream that another process began to answer
+                   const TransferredConnection& adopted);  // a stream that another process began to answer
   ~ClientConnection() override;
-  bool go_on(const PassedStream& stream);  // with what was adopted; false: it is none of the core's
+  bool go_on(const TransferredStream& stream);  // with what was adopted; false: it is none of the core's
 
   // Nothing of a request has come, not to the kernel either: what is on its way may still be read and
   // answered.
@@ -45,13 +45,13 @@
   void read_body();
 
   // ---- what goes out ----
-  bool event(std::string_view data) override;
+  bool on_data(std::string_view data) override;
   void finish() override;
-  void refuse(Micros stay_away) override;
-  void fail(Failure why) override;
-  void cut() override;
-  std::optional<PassedConnection> passable() override;
-  void passed() override;
+  void reject(Micros stay_away) override;
+  void fail(FailureReason why) override;
+  void abort_stream() override;
+  std::optional<TransferredConnection> transferable_connection() override;
+  void on_transferred() override;
   bool ends_connection() const;
   void answer(int status, std::string_view field = {});
   void answer_and_close(int status);
--- a/src/http/client_ending.cpp
+++ b/src/http/client_ending.cpp
@@ -35,7 +35,7 @@
 void ClientConnection::close() {
   const State was = std::exchange(state_, State::closed);
   if (was == State::waiting || was == State::streaming)
-    front_.router_.gone(id_);
+    front_.router_.client_disconnected(id_);
   front_.discard(*this);
 }
 
@@ -114,7 +114,7 @@
   const State was = state_;
   if (was != State::waiting && was != State::streaming)
     return close();
-  front_.router_.gone(id_);
+  front_.router_.client_disconnected(id_);
   if (was == State::waiting)
     answer(400);
   else
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -31,7 +31,7 @@
   admission_.arrived(made);
 }
 
-void Front::adopt(const PassedStream& stream) {
+void Front::adopt(const TransferredStream& stream) {
   auto connection = std::make_unique<ClientConnection>(*this, stream.client);
   ClientConnection& made = *connection;
   connections_[&made] = std::move(connection);
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -33,8 +33,8 @@
   void limit(std::size_t connections) { admission_.limit(connections); }
   void drain();      // from now on connections end after their answer
   void hand_over();  // another process takes the connections that come; those at rest are closed
-  void adopt(const PassedStream& stream);  // takes its descriptors
-  void stop_accepting();                   // and connections between requests are closed
+  void adopt(const TransferredStream& stream);  // takes its descriptors
+  void stop_accepting();                        // and connections between requests are closed
   bool idle() const { return connections_.empty(); }
 
  private:
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -48,29 +48,30 @@
 
 class AttemptCall : public Call, Listener {
  public:
-  AttemptCall(Client& client, const Node& node, const Prompt& prompt, Micros within, Attempt& attempt)
+  AttemptCall(Client& client, const Node& node, const Prompt& prompt, Micros within, AttemptHandler& attempt)
       : attempt_(attempt) {
     set_up();
     std::ostringstream head;
     head << "POST " << prompt.target << " HTTP/1.1\r\nHost: " << node.address << "\r\nReq-Id: " << prompt.id
          << "\r\nReq-Deadline: " << seconds_text(within) << "\r\n"
-         << prompt.fields << "Content-Type: application/json\r\nContent-Length: " << prompt.body->size()
-         << "\r\n\r\n";
+         << prompt.extra_headers
+         << "Content-Type: application/json\r\nContent-Length: " << prompt.body->size() << "\r\n\r\n";
     exchange_ = client.start(node.address, head.str(), prompt.body, *this);
   }
   // Goes on with a stream that another process began, after one of its events.
-  AttemptCall(Client& client, const Node& node, const PassedConnection& connection, Attempt& attempt)
+  AttemptCall(Client& client, const Node& node, const TransferredConnection& connection,
+              AttemptHandler& attempt)
       : attempt_(attempt), status_(200), streams_(true), events_(1) {
     set_up();
     result_.outcome = Outcome::ok;
     exchange_ = client.adopt(node.address, connection, *this);
   }
-  void hold_back(bool on) override { exchange_->hold_back(on); }
-  bool unsent() const override { return exchange_ && exchange_->unsent(); }
-  std::optional<PassedConnection> passable() override {
+  void pause_reading(bool on) override { exchange_->hold_back(on); }
+  bool not_sent() const override { return exchange_ && exchange_->unsent(); }
+  std::optional<TransferredConnection> transferable_connection() override {
     return streams_ && events_ > 0 && !done_seen_ && stream_.between() ? exchange_->passable() : std::nullopt;
   }
-  void passed() override { exchange_->passed(); }
+  void on_transferred() override { exchange_->passed(); }
 
  private:
   void set_up() {
@@ -78,26 +79,26 @@
     stream_.on_comment = [this](std::string_view text) {
       constexpr std::string_view name = "Srv-Load:";
       if (same_name(text.substr(0, name.size()), name))
-        result_.load = trim(text.substr(name.size()));
+        result_.load_report = trim(text.substr(name.size()));
       return true;
     };
   }
-  void written() override { attempt_.written(); }
+  void written() override { attempt_.on_request_written(); }
   void head(const Head& head) override {
     status_ = head.status;
-    result_.load = head.field("Srv-Load");
+    result_.load_report = head.field("Srv-Load");
     const bool declined = head.field("Srv-Declined") == "1";
     if (status_ == 200 && head.field("Content-Type").starts_with("text/event-stream")) {
       streams_ = true;
       result_.outcome = Outcome::ok;
     } else if (status_ == 202) {
-      result_.outcome = Outcome::read;
+      result_.outcome = Outcome::prefill_done;
     } else if (declined && (status_ == 503 || status_ == 504 || status_ == 410)) {
-      result_.outcome = Outcome::full;
-      result_.kept = status_ == 410 ? 1 : 0;
+      result_.outcome = Outcome::rejected_over_capacity;
+      result_.cached_tokens = status_ == 410 ? 1 : 0;
     } else {
       result_.outcome = Outcome::error;
-      result_.unfit = blames_request(status_);
+      result_.bad_request = blames_request(status_);
     }
     result_.detail = "status " + std::to_string(status_);
     // Guards against an answer whose status is clear and whose body never ends: it held the request up for as
@@ -122,11 +123,11 @@
     if (done_seen_)
       return true;
     if (data.find("\"usage\"") != std::string_view::npos)
-      result_.kept = kept_tokens(data);
+      result_.cached_tokens = kept_tokens(data);
     // Guards the age of reports: what the head told is as old as the stream by the time the attempt ends.
     if (events_++ == 0)
-      result_.load.clear();
-    attempt_.event(data);
+      result_.load_report.clear();
+    attempt_.on_data(data);
     return true;
   }
 
@@ -141,13 +142,13 @@
       case Ending::whole:
         break;
     }
-    if (result_.outcome == Outcome::read)
-      result_.kept = kept_tokens(text_);
+    if (result_.outcome == Outcome::prefill_done)
+      result_.cached_tokens = kept_tokens(text_);
     if (streams_ && !events_)
       return done(Outcome::error, "the stream is empty");
     if (streams_ && !done_seen_)
       return done(Outcome::reset, "the stream has no end");
-    attempt_.done(result_);
+    attempt_.on_done(result_);
   }
 
   std::string after() const { return events_ ? " after " + std::to_string(events_) + " events" : ""; }
@@ -155,12 +156,12 @@
   void done(Outcome outcome, std::string detail) {
     result_.outcome = outcome;
     result_.detail = std::move(detail);
-    result_.kept = 0;
-    attempt_.done(result_);  // this call is gone after it
+    result_.cached_tokens = 0;
+    attempt_.on_done(result_);  // this call is gone after it
   }
 
-  Attempt& attempt_;
-  Result result_;
+  AttemptHandler& attempt_;
+  AttemptResult result_;
   int status_ = 0;
   bool streams_ = false, done_seen_ = false;
   std::size_t events_ = 0;
@@ -201,28 +202,28 @@
 
 }  // namespace
 
-std::unique_ptr<Call> NodeClient::begin(const Node& node, const Prompt& prompt, Micros within,
-                                        Attempt& attempt) {
+std::unique_ptr<Call> NodeClient::start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                                AttemptHandler& attempt) {
   return std::make_unique<AttemptCall>(client_, node, prompt, within, attempt);
 }
 
-std::unique_ptr<Call> NodeClient::adopt(const Node& node, const PassedConnection& connection,
-                                        Attempt& attempt) {
+std::unique_ptr<Call> NodeClient::adopt_stream(const Node& node, const TransferredConnection& connection,
+                                               AttemptHandler& attempt) {
   return std::make_unique<AttemptCall>(client_, node, connection, attempt);
 }
 
-std::unique_ptr<Call> NodeClient::release(const Node& node, const std::string& id,
-                                          std::function<void(bool)> done) {
+std::unique_ptr<Call> NodeClient::release_reservation(const Node& node, const std::string& id,
+                                                      std::function<void(bool)> done) {
   return std::make_unique<SimpleCall>(
       client_, node, "DELETE /state/" + id,
       [done = std::move(done)](Ending how, int status, const std::string&) { done(let_go(how, status)); });
 }
 
-std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const Result&)> done) {
+std::unique_ptr<Call> NodeClient::probe(const Node& node, std::function<void(const AttemptResult&)> done) {
   return std::make_unique<SimpleCall>(
       client_, node, "GET /load", [done = std::move(done)](Ending how, int status, std::string load) {
-        Result result;
-        result.load = std::move(load);
+        AttemptResult result;
+        result.load_report = std::move(load);
         result.outcome = how == Ending::not_sent                 ? Outcome::connect_failed
                          : how == Ending::broken                 ? Outcome::reset
                          : how == Ending::whole && status == 200 ? Outcome::ok
--- a/src/http/node_client.h
+++ b/src/http/node_client.h
@@ -6,19 +6,19 @@
 
 namespace lemonroute::http {
 
-class NodeClient : public Nodes {
+class NodeClient : public NodeTransport {
  public:
   NodeClient(net::Loop& loop, ClientLimits limits) : client_(loop, for_nodes(limits)) {}
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
-                              Attempt& attempt) override;
-  std::unique_ptr<Call> release(const Node& node, const std::string& id,
-                                std::function<void(bool)> done) override;
-  std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) override;
-  std::unique_ptr<Call> adopt(const Node& node, const PassedConnection& connection,
-                              Attempt& attempt) override;
-  void hang_up(const Node& node) override { client_.hang_up(node.address); }
-  void limit(const Limits& limits) override {
-    client_.limit(limits.connect_timeout, limits.idle, limits.idle_most);
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override;
+  std::unique_ptr<Call> release_reservation(const Node& node, const std::string& id,
+                                            std::function<void(bool)> done) override;
+  std::unique_ptr<Call> probe(const Node& node, std::function<void(const AttemptResult&)> done) override;
+  std::unique_ptr<Call> adopt_stream(const Node& node, const TransferredConnection& connection,
+                                     AttemptHandler& attempt) override;
+  void close_idle_connections(const Node& node) override { client_.hang_up(node.address); }
+  void set_limits(const Limits& limits) override {
+    client_.limit(limits.connect_timeout, limits.idle_timeout, limits.max_idle_connections);
   }
 
  private:
--- a/src/http/request_fields.cpp
+++ b/src/http/request_fields.cpp
@@ -25,11 +25,11 @@
       return false;
     const auto name = item.substr(0, equals), value = item.substr(equals + 1);
     if (name == "prefix")
-      client_request.shared = key_of(value);
+      client_request.shared_prefix_key = key_from_text(value);
     for (auto [wanted, to] :
          {std::pair<std::string_view, double*>{"prompt_len", &client_request.prompt_tokens},
-          {"prefix_len", &client_request.shared_tokens},
-          {"max_out", &client_request.max_output}})
+          {"prefix_len", &client_request.shared_prefix_tokens},
+          {"max_out", &client_request.max_output_tokens}})
       if (name == wanted && !parse_real(value, 1e7, *to))
         return false;
   }
@@ -100,21 +100,21 @@
   client_request = {};
   client_request.prompt.id = head.field("Req-Id");
   client_request.prompt.target = head.target;
-  client_request.prompt.fields = fields_for_node(head);
-  if (!valid_id(client_request.prompt.id))
+  client_request.prompt.extra_headers = fields_for_node(head);
+  if (!is_valid_request_id(client_request.prompt.id))
     return 400;
-  client_request.kind = head.field("Req-Kind");
+  client_request.request_class = head.field("Req-Kind");
   client_request.tenant = head.field("Req-Owner");
-  client_request.session = key_of(head.field("Req-Key"));
+  client_request.session_key = key_from_text(head.field("Req-Key"));
   if (const auto text = head.field("Req-Deadline"); !text.empty()) {
     double seconds = 0;
     if (!parse_real(text, most_deadline_s, seconds))
       return 400;
-    client_request.budget = std::max(Micros(1), Micros(std::llround(seconds * 1e6)));
+    client_request.time_budget = std::max(Micros(1), Micros(std::llround(seconds * 1e6)));
   }
   const auto retry = head.field("Req-Retry");
-  client_request.repeat = !retry.empty();
-  client_request.resumed = retry == "again";
+  client_request.is_retry = !retry.empty();
+  client_request.is_resumed = retry == "again";
   return understand_extra(head.field("Req-Extra"), client_request) ? 0 : 400;
 }
 
--- a/src/module/decode_choice.h
+++ b/src/module/decode_choice.h
@@ -5,24 +5,24 @@
 
 namespace lemonroute::decisions {
 
-inline Pick choose_decode(State& s, const Job& job, HostId avoid = 0) {
-  survey(s);
-  const Node* from = lookup(s.nodes, job.state_at);
-  Pick best;
+inline Selection choose_decode(SchedulerState& s, const RequestState& job, EndpointId avoid = 0) {
+  refresh_pool_statistics(s);
+  const NodeState* from = lookup(s.nodes, job.reservation_endpoint);
+  Selection best;
   double least = best.score;
-  const auto weigh = [&](const Node& node, Pick& pick) -> const char* {
-    pick.score = load(s, node) * slowness(s, node) + failure_share(s, node) + (job.tried(pick.host) ? 1 : 0) +
-                 unsure(job, node, node.others.trust(s.now, s.fade));
-    if (from && node.entry.zone == from->entry.zone) pick.near = node.entry.cell == from->entry.cell ? 2 : 1;
+  const auto weigh = [&](const NodeState& node, Selection& pick) -> const char* {
+    pick.score = load(s, node) * latency_ratio(s, node) + failure_ratio(s, node) + (job.was_sent_to(pick.endpoint) ? 1 : 0) +
+                 uncertainty_penalty(job, node, node.other_routers_load.confidence(s.now, s.memory_duration));
+    if (from && node.endpoint.zone == from->endpoint.zone) pick.proximity = node.endpoint.cell == from->endpoint.cell ? 2 : 1;
     least = std::min(least, pick.score);
     return nullptr;
   };
-  const auto all = candidates(s, job, Role::write, avoid, weigh);
-  const double margin = std::clamp(full_at - least, 0.0, near_margin);  // nearness must not overfill
+  const auto all = eligible_endpoints(s, job, Role::decode, avoid, weigh);
+  const double margin = std::clamp(full_load - least, 0.0, load_tolerance);  // nearness must not overfill
   for (const auto& pick : all)
-    if (pick.score <= least + margin && std::pair(-pick.near, pick.score) < std::pair(-best.near, best.score))
+    if (pick.score <= least + margin && std::pair(-pick.proximity, pick.score) < std::pair(-best.proximity, best.score))
       best = pick;
-  return choose(s, best);
+  return report_choice(s, best);
 }
 
 }  // namespace lemonroute::decisions
--- a/src/module/held_state.h
+++ b/src/module/held_state.h
@@ -5,29 +5,29 @@
 
 namespace lemonroute::decisions {
 
-inline void release(State& s, Job& job) {
-  s.act(Release{job.request.id});
-  job.held = false;
+inline void release_reservation(SchedulerState& s, RequestState& job) {
+  s.emit(ReleaseReservation{job.request.id});
+  job.has_reservation = false;
 }
-inline void cancel(State& s, Job& job, std::size_t index) {
+inline void cancel_attempt(SchedulerState& s, RequestState& job, std::size_t index) {
   auto& a = job.attempts[index];
-  if (!s.settings.may_cancel || !a.out || a.started || a.cancelled) return;
+  if (!s.settings.cancellation_allowed || !a.outstanding || a.started || a.cancelled) return;
   a.cancelled = true;
-  s.act(Cancel{job.request.id, static_cast<std::uint16_t>(index)});
+  s.emit(CancelAttempt{job.request.id, static_cast<std::uint16_t>(index)});
 }
-inline void cancel_all(State& s, Job& job) {
-  for (std::size_t i = 0; i < job.attempts.size(); ++i) cancel(s, job, i);
+inline void cancel_attempts(SchedulerState& s, RequestState& job) {
+  for (std::size_t i = 0; i < job.attempts.size(); ++i) cancel_attempt(s, job, i);
 }
 
 // Lets go of what an ended request holds; its outstanding attempts are cancelled first.
-inline void let_go(State& s, Job& job) {
-  cancel_all(s, job);
-  if (job.out() == 0 && job.held) release(s, job);
+inline void release_resources(SchedulerState& s, RequestState& job) {
+  cancel_attempts(s, job);
+  if (job.outstanding_attempts() == 0 && job.has_reservation) release_reservation(s, job);
 }
 
-inline void forget(State& s, RequestId id) {
-  const Job* job = lookup(s.jobs, id);
-  if (job && job->ended && job->out() == 0 && !job->held) s.jobs.erase(id);
+inline void erase_if_finished(SchedulerState& s, RequestId id) {
+  const RequestState* job = lookup(s.requests, id);
+  if (job && job->ended && job->outstanding_attempts() == 0 && !job->has_reservation) s.requests.erase(id);
 }
 
 }  // namespace lemonroute::decisions
--- a/src/module/node_list.h
+++ b/src/module/node_list.h
@@ -5,27 +5,27 @@
 
 namespace lemonroute::decisions {
 
-inline void on(State& s, const HostList& list) {
+inline void handle(SchedulerState& s, const EndpointListUpdate& list) {
   const bool asks = s.settings.discovery_on_request;
-  if (list.kind == ListKind::failed && asks)  // ask again, later each time: discovery may be overloaded
-    s.act(Sleep{0, micros(us(s.settings.tick) + us(seconds(1)) * (1 << std::min(s.ask_failures++, 3)))});
-  if (list.kind == ListKind::failed) return;
-  if (list.kind == ListKind::cached && asks) s.act(Subscribe{true});
-  if (list.kind != ListKind::cached) s.ask_failures = 0;
-  if (list.kind != ListKind::delta)
-    for (auto& [id, node] : s.nodes) node.entry.phase = Phase::gone;
-  for (const auto& entry : list.hosts) {
-    Node& node = s.nodes[entry.host];
-    if (node.entry.host != entry.host || node.entry.started != entry.started) {
+  if (list.kind == EndpointListKind::fetch_failed && asks)  // ask again, later each time: discovery may be overloaded
+    s.emit(StartTimer{0, from_microseconds(to_microseconds(s.settings.min_batch_interval) + to_microseconds(seconds(1)) * (1 << std::min(s.list_fetch_failures++, 3)))});
+  if (list.kind == EndpointListKind::fetch_failed) return;
+  if (list.kind == EndpointListKind::from_cache && asks) s.emit(Subscribe{true});
+  if (list.kind != EndpointListKind::from_cache) s.list_fetch_failures = 0;
+  if (list.kind != EndpointListKind::incremental)
+    for (auto& [id, node] : s.nodes) node.endpoint.state = EndpointState::removed;
+  for (const auto& entry : list.endpoints) {
+    NodeState& node = s.nodes[entry.id];
+    if (node.endpoint.id != entry.id || node.endpoint.started_at != entry.started_at) {
       // A new process: nothing learned of the old one holds, least of all its prefix cache.
-      node = Node{.out = std::move(node.out)};
-      node.void_before = s.now;
+      node = NodeState{.outstanding = std::move(node.outstanding)};
+      node.cache_valid_since = s.now;
     }
-    node.entry = entry;
-    s.describe(node);
+    node.endpoint = entry;
+    s.apply_kind(node);
   }
   // Danger: a module that outlives its nodes many times over and looks at all of them for each request.
-  const auto gone = [](const Node& node) { return node.entry.phase == Phase::gone && node.out.empty(); };
+  const auto gone = [](const NodeState& node) { return node.endpoint.state == EndpointState::removed && node.outstanding.empty(); };
   std::erase_if(s.nodes, [&](const auto& one) { return gone(one.second); });
 }
 
--- a/src/module/prefix_cache.h
+++ b/src/module/prefix_cache.h
@@ -1,59 +1,59 @@
 // What is kept of a prompt where: the table of cached prefixes, and the homes found by hash.
 #pragma once
 
-#include "fleet/homes.h"
+#include "estimation/homes.h"
 #include "slow_start.h"
 
 namespace lemonroute::decisions {
 
-constexpr double balancing_threshold = 2;  // kvcache_balancing_threshold of the algorithm
-constexpr double home_keeps = 0.5;         // of unseen sessions' prompts beyond their shared beginning
+constexpr double cache_mismatch_factor = 2;  // kvcache_balancing_threshold of the algorithm
+constexpr double unseen_session_cached_share = 0.5;         // of unseen sessions' prompts beyond their shared beginning
 
-inline double prefix_match(const State& s, const Node& node, const Job& job) {
-  const HostId host = node.entry.host;
-  const double shared = s.shareds.length(job.request.shared, host, node.void_before, s.now);
-  const double session = s.sessions.length(job.request.session, host, node.void_before, s.now);
-  return std::min(job.prompt, std::max(session, std::min(job.shared, shared)));
+inline double prefix_match(const SchedulerState& s, const NodeState& node, const RequestState& job) {
+  const EndpointId host = node.endpoint.id;
+  const double shared = s.shared_prefixes.cached_tokens(job.request.shared_prefix_key, host, node.cache_valid_since, s.now);
+  const double session = s.session_prefixes.cached_tokens(job.request.session_key, host, node.cache_valid_since, s.now);
+  return std::min(job.prompt_tokens, std::max(session, std::min(job.shared_prefix_tokens, shared)));
 }
-inline void record(State& s, const Job& job, HostId host) {
-  s.sessions.record(job.request.session, host, job.prompt, s.now);
-  s.shareds.record(job.request.shared, host, std::min(job.shared, job.prompt), s.now);
+inline void record_cached_prefix(SchedulerState& s, const RequestState& job, EndpointId host) {
+  s.session_prefixes.record(job.request.session_key, host, job.prompt_tokens, s.now);
+  s.shared_prefixes.record(job.request.shared_prefix_key, host, std::min(job.shared_prefix_tokens, job.prompt_tokens), s.now);
 }
 
 // Danger: prefixes evicted, by a restart that the list missed or for want of memory. The table would go on to
 // credit long matches and the home would overfill (DESIGN, Doubts). Two cached counts far below credit in a
 // row void what the table says of that node.
-inline void compare_cached(State& s, Node& node, const Attempt& attempt, double cached) {
-  if (attempt.credit <= 0) return;
-  node.misses = cached >= attempt.credit / balancing_threshold ? 0 : node.misses + 1;
-  if (node.misses < 2) return;
-  node.misses = 0;
-  node.void_before = s.now;
-  s.act(Log{"texts kept by host " + std::to_string(node.entry.host) + " no longer trusted"});
+inline void verify_cached_tokens(SchedulerState& s, NodeState& node, const Attempt& attempt, double cached) {
+  if (attempt.expected_cached_tokens <= 0) return;
+  node.cache_misses_in_a_row = cached >= attempt.expected_cached_tokens / cache_mismatch_factor ? 0 : node.cache_misses_in_a_row + 1;
+  if (node.cache_misses_in_a_row < 2) return;
+  node.cache_misses_in_a_row = 0;
+  node.cache_valid_since = s.now;
+  s.emit(Log{"texts kept by host " + std::to_string(node.endpoint.id) + " no longer trusted"});
 }
 
 // The prefill nodes where every router, by hash alone, expects a session's beginning. Without it the turns
 // of a session that come to other routers find nothing cached.
-inline std::vector<HostId> homes(const State& s, const Job& job) {
-  const Key key = job.request.shared ? job.request.shared : job.request.session;
+inline std::vector<EndpointId> affinity_nodes(const SchedulerState& s, const RequestState& job) {
+  const Key key = job.request.shared_prefix_key ? job.request.shared_prefix_key : job.request.session_key;
   if (!key) return {};
   // Mixed nodes are homes only where there are no prefill nodes.
-  const Role role = s.pool(Role::read).nodes > 0 ? Role::read : Role::both;
-  std::vector<fleet::Member> prefill, decode;
+  const Role role = s.pool_statistics(Role::prefill).ready_nodes > 0 ? Role::prefill : Role::mixed;
+  std::vector<estimation::WeightedNode> prefill, decode;
   for (const auto& [id, node] : s.nodes) {
-    if (!node.listed()) continue;
-    const double able = cold(s, node) ? std::max(1e-3, s.settings.cold_from) : 1;
-    if (node.role == role) prefill.push_back({id, node.entry.zone, able});
-    if (node.role != Role::read) decode.push_back({id, node.entry.zone, able});
+    if (!node.is_ready()) continue;
+    const double able = in_slow_start(s, node) ? std::max(1e-3, s.settings.slow_start_initial_capacity) : 1;
+    if (node.role == role) prefill.push_back({id, node.endpoint.zone, able});
+    if (node.role != Role::prefill) decode.push_back({id, node.endpoint.zone, able});
   }
-  const double part = job.request.shared ? s.openings.part(key) : 0;
-  const fleet::Seat seat{s.settings.zone, s.settings.siblings};
-  return fleet::homes(key, job.request.session, part, seat, prefill, decode);
+  const double part = job.request.shared_prefix_key ? s.prefix_popularity.share(key) : 0;
+  const estimation::RouterLocation seat{s.settings.router_zone, s.settings.router_count};
+  return estimation::affinity_nodes(key, job.request.session_key, part, seat, prefill, decode);
 }
 
 // What its home may keep beyond what is recorded: the shared beginning, of an unseen session's rest a part.
-inline double home_guess(const State& s, const Job& job) {
-  return job.shared + (s.sessions.knows(job.request.session) ? 0 : home_keeps * (job.prompt - job.shared));
+inline double assumed_affinity_tokens(const SchedulerState& s, const RequestState& job) {
+  return job.shared_prefix_tokens + (s.session_prefixes.contains(job.request.session_key) ? 0 : unseen_session_cached_share * (job.prompt_tokens - job.shared_prefix_tokens));
 }
 
 }  // namespace lemonroute::decisions
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Endpoint::Endpoint(const std::string& text) {
+SocketAddress::SocketAddress(const std::string& text) {
   // libevent takes no port 0, which asks for any free one when listening.
   const bool any_port = text.ends_with(":0");
   const std::string parsed = any_port ? text.substr(0, text.size() - 1) + "1" : text;
@@ -48,7 +48,7 @@
   set_up(handler);
 }
 
-Connection::Connection(Loop& loop, const Endpoint& to, Handler& handler, Purpose purpose)
+Connection::Connection(Loop& loop, const SocketAddress& to, Handler& handler, Purpose purpose)
     : bev_(bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)) {
   const auto make = [&] {
     return socket(to.address()->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -168,7 +168,7 @@
 
 // Guards against a number that names anything but the clients' socket: what arrived elsewhere would never be
 // taken, and the program would still look ready.
-void check_inherited(evutil_socket_t fd, const Endpoint& at, const std::string& address) {
+void check_inherited(evutil_socket_t fd, const SocketAddress& at, const std::string& address) {
   const std::string socket = "the inherited socket, descriptor " + std::to_string(fd) + ", ";
   int listens = 0;
   socklen_t size = sizeof listens;
@@ -196,7 +196,7 @@
 
 Listener::Listener(Loop& loop, const std::string& address, Accepted accepted, bool shared)
     : loop_(loop), accepted_(std::move(accepted)), rest_(loop, [this] { end_rest(); }) {
-  const Endpoint at(address);
+  const SocketAddress at(address);
   const unsigned options = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE |
                            (shared ? static_cast<unsigned>(LEV_OPT_REUSEABLE_PORT) : 0u);
   listener_.reset(
@@ -210,7 +210,7 @@
 // share and that is needed: of two processes that wake for one connection, the second would hang in accept.
 Listener::Listener(Loop& loop, const std::string& address, evutil_socket_t inherited, Accepted accepted)
     : loop_(loop), accepted_(std::move(accepted)), rest_(loop, [this] { end_rest(); }) {
-  check_inherited(inherited, Endpoint(address), address);
+  check_inherited(inherited, SocketAddress(address), address);
   evutil_make_socket_nonblocking(inherited);
   evutil_make_socket_closeonexec(inherited);
   constexpr int listens_already = 0;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -17,9 +17,9 @@
 namespace lemonroute::net {
 
 // host:port, with a numeric IPv4 or [IPv6] host. Throws std::invalid_argument.
-class Endpoint {
+class SocketAddress {
  public:
-  explicit Endpoint(const std::string& text);
+  explicit SocketAddress(const std::string& text);
   const sockaddr* address() const { return reinterpret_cast<const sockaddr*>(&storage_); }
   int length() const { return length_; }
 
@@ -41,7 +41,7 @@
 
   Connection(Loop& loop, evutil_socket_t accepted, Handler& handler);
   // Connects. Out of descriptors it may use one that is kept back for its purpose.
-  Connection(Loop& loop, const Endpoint& to, Handler& handler, Purpose purpose = Purpose::nodes);
+  Connection(Loop& loop, const SocketAddress& to, Handler& handler, Purpose purpose = Purpose::nodes);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
--- a/src/ops/handover.cpp
+++ b/src/ops/handover.cpp
@@ -96,20 +96,20 @@
     close(fd_);
 }
 
-bool Handover::send(const std::string& path, const PassedStream& stream) {
+bool Handover::send(const std::string& path, const TransferredStream& stream) {
   const nlohmann::json all{{"id", stream.id},
-                           {"kind", stream.kind},
+                           {"kind", stream.request_class},
                            {"node", stream.node},
                            {"attempt", stream.attempt},
-                           {"client", stream.client.closes},
-                           {"call", stream.call.closes}};
+                           {"client", stream.client.close_after_response},
+                           {"call", stream.call.close_after_response}};
   const Descriptors both{stream.client.fd, stream.call.fd};
   return post(path, text_of(all), &both);
 }
 
 void Handover::tell(const std::string& path, const HandoverState& handover_state) {
   auto rates = nlohmann::json::array();
-  for (const auto& [role, rate] : handover_state.read_rates)
+  for (const auto& [role, rate] : handover_state.prefill_rates)
     rates.push_back({static_cast<int>(role), rate});
   const std::string begins = R"({"read_rates":)" + text_of(rates) + R"(,"nodes":[)", ends = "]}";
   std::string list;
@@ -119,10 +119,10 @@
   };
   for (const auto& one : handover_state.nodes) {
     const std::string text = text_of({{"node", one.node},
-                                      {"load", one.load},
+                                      {"load", one.load_report},
                                       {"age_us", one.age.count()},
-                                      {"avoided", one.avoided},
-                                      {"sent", one.sent}});
+                                      {"avoided", one.ejected},
+                                      {"sent", one.work_rate}});
     if (begins.size() + list.size() + 1 + text.size() + ends.size() > most_text && !list.empty())
       flush();
     list += (list.empty() ? "" : ",") + text;
@@ -158,8 +158,8 @@
     if (const auto nodes = all.find("nodes"); nodes != all.end()) {
       HandoverState handover_state;
       for (const auto& one : all.at("read_rates"))
-        handover_state.read_rates.emplace_back(static_cast<Role>(one.at(0).get<int>()),
-                                               one.at(1).get<double>());
+        handover_state.prefill_rates.emplace_back(static_cast<Role>(one.at(0).get<int>()),
+                                                  one.at(1).get<double>());
       for (const auto& one : *nodes)
         handover_state.nodes.push_back({one.at("node"), one.at("load"),
                                         Micros(one.at("age_us").get<Micros::rep>()), one.at("avoided"),
@@ -172,7 +172,7 @@
     }
     if (both[1] < 0)
       throw std::runtime_error("it brings no connections");
-    PassedStream stream{all.at("id"), all.at("kind"), all.at("node"), all.at("attempt"), {}, {}};
+    TransferredStream stream{all.at("id"), all.at("kind"), all.at("node"), all.at("attempt"), {}, {}};
     stream.client = {both[0], all.at("client").get<bool>()};
     stream.call = {both[1], all.at("call").get<bool>()};
     taken_(stream);
--- a/src/ops/handover.h
+++ b/src/ops/handover.h
@@ -14,7 +14,8 @@
 // The receiving end: a datagram socket at a path that the processes of one router share. The newest has it.
 class Handover {
  public:
-  using Taken = std::function<void(const PassedStream&)>;  // the descriptors are the receiver's from then on
+  using Taken =
+      std::function<void(const TransferredStream&)>;  // the descriptors are the receiver's from then on
   using Told = std::function<void(const HandoverState&)>;
   Handover(net::Loop& loop, const std::string& path, Taken taken, Told told);
   ~Handover();
@@ -26,7 +27,7 @@
 
   // Sends a stream to whoever receives at `path`; false: nobody does, or not now. Its descriptors stay open
   // here.
-  static bool send(const std::string& path, const PassedStream& stream);
+  static bool send(const std::string& path, const TransferredStream& stream);
   // Tells what is known of the nodes, in as many messages as it takes; what can't be sent is left out.
   static void tell(const std::string& path, const HandoverState& handover_state);
 
--- a/src/ops/management.cpp
+++ b/src/ops/management.cpp
@@ -134,24 +134,24 @@
   const auto name = http::query_value(head.target, "name");
   if (!name || name->empty())
     return {400, "name=ID is missing or can't be read\n", {}};
-  switch (out ? router_.take_out(*name) : router_.put_back(*name)) {
-    case Router::Ordered::done:
+  switch (out ? router_.drain_node(*name) : router_.undrain_node(*name)) {
+    case Router::OverrideResult::applied:
       return {200, *name + (out ? " is out\n" : " may serve\n"), {}};
-    case Router::Ordered::never_listed:
+    case Router::OverrideResult::unknown_node:
       return {404, *name + " was never listed\n", {}};
-    case Router::Ordered::not_stored:
+    case Router::OverrideResult::not_stored:
       break;
   }
   return {503, "it can't be stored, nothing has changed\n", {}};
 }
 
 Management::Answer Management::metrics() const {
-  const Figures figures = router_.figures();
+  const RouterMetrics figures = router_.metrics();
   const Reloads reloads = reloads_();
   auto transactions = nlohmann::json::object();
   for (const auto& [name, counts] : figures.classes)
     transactions[name] = {
-        {"answered", counts.answered}, {"deferred", counts.deferred}, {"errored", counts.errored}};
+        {"answered", counts.answered}, {"deferred", counts.rejected}, {"errored", counts.failed}};
   auto peers = nlohmann::json::object();
   for (std::size_t i = 0; i < net::Tally::kinds; ++i) {
     const auto kind = static_cast<net::Overdone>(i);
@@ -159,10 +159,10 @@
   }
   const nlohmann::json all{{"bad_peers", peers},
                            {"transactions", transactions},
-                           {"sends", figures.sends},
-                           {"current", figures.current},
-                           {"cluster_size", figures.listed},
-                           {"cluster_unhealthy", figures.unhealthy},
+                           {"sends", figures.sent_attempts},
+                           {"current", figures.open_requests},
+                           {"cluster_size", figures.listed_nodes},
+                           {"cluster_unhealthy", figures.unhealthy_nodes},
                            {"conf_loaded", reloads.loaded},
                            {"conf_invalid", reloads.invalid}};
   // Names of classes come from a file: what is no UTF-8 there must not end the program here.
--- a/src/peers/udp.cpp
+++ b/src/peers/udp.cpp
@@ -32,7 +32,7 @@
 
 Udp::Udp(net::Loop& loop, const std::string& address, std::size_t most, Came came)
     : most_(most), came_(std::move(came)), buffer_(most + 1, '\0') {
-  const net::Endpoint at(address);
+  const net::SocketAddress at(address);
   fd_ = socket(at.address()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ >= 0)
     setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &buffered, sizeof buffered);
@@ -81,7 +81,7 @@
 
 bool Udp::send(const std::string& to, std::string_view bytes) {
   try {
-    const net::Endpoint at(to);
+    const net::SocketAddress at(to);
     return sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, at.address(),
                   static_cast<socklen_t>(at.length())) >= 0;
   } catch (const std::invalid_argument&) {
--- a/src/pools/demand/own.cpp
+++ b/src/pools/demand/own.cpp
@@ -6,9 +6,9 @@
 namespace lemonroute::pools {
 
 void Own::add(const NodeObserver::Demand& seen, Micros now) {
-  const auto all = static_cast<double>(seen.taken + seen.refused);
-  const double refused = all > 0 ? static_cast<double>(seen.refused) / all : 0;
-  const double filled = std::clamp(seen.own, 0.0, 1.0) * seen.writers;
+  const auto all = static_cast<double>(seen.accepted_requests + seen.rejected_requests);
+  const double refused = all > 0 ? static_cast<double>(seen.rejected_requests) / all : 0;
+  const double filled = std::clamp(seen.own_load, 0.0, 1.0) * seen.decode_nodes;
   const double wanted = filled / (1 - std::min(refused, most_refused));
   const double part =
       at_ == Micros(0)
--- a/src/pools/extension/inventory.cpp
+++ b/src/pools/extension/inventory.cpp
@@ -14,11 +14,11 @@
   Inventory stock;
   std::map<std::string, std::size_t> at_site;
   for (const auto& node : nodes) {
-    if (!kinds.contains(node.kind) || node.listed == Phase::gone || node.zone.size() > most_name ||
-        !settings.region_of(node.zone))
+    if (!kinds.contains(node.kind) || node.listed_state == EndpointState::removed ||
+        node.zone.size() > most_name || !settings.region_of(node.zone))
       continue;
-    const std::size_t ready = node.listed == Phase::ready ? 1 : 0;
-    stock.writers[{node.zone, node.entry.cell}] += ready;
+    const std::size_t ready = node.listed_state == EndpointState::ready ? 1 : 0;
+    stock.writers[{node.zone, node.endpoint.cell}] += ready;
     at_site[node.zone] += ready;
     if (stock.writers.size() > most_pools)
       stock.writers.erase(std::prev(stock.writers.end()));
--- a/src/pools/extension/planners.cpp
+++ b/src/pools/extension/planners.cpp
@@ -17,7 +17,7 @@
   std::string best;
   std::uint64_t most = 0;
   for (const auto& keeper : keepers) {
-    const auto rank = hash_of(region + "\n" + keeper);
+    const auto rank = hash_text(region + "\n" + keeper);
     if (there(keeper, view) && (best.empty() || rank > most))
       best = keeper, most = rank;
   }
--- a/src/pools/extension/pools.cpp
+++ b/src/pools/extension/pools.cpp
@@ -11,7 +11,7 @@
       planning_(options_.settings),
       sum_(options_.settings.influence),
       questions_(options_.settings.terms, seed),
-      by_(seed ^ hash_of(options_.name) ^ options_.start),
+      by_(seed ^ hash_text(options_.name) ^ options_.start),
       mark_(options_.settings.mark()) {
   for (const auto& [name, settings] : options_.settings.regions)
     regions_.push_back({name, &settings});
--- a/src/pools/rights/rights.cpp
+++ b/src/pools/rights/rights.cpp
@@ -7,26 +7,26 @@
   return at != settings.regions.end() && (at->second.keepers.empty() || at->second.reserve.contains(pool));
 }
 
-Guide::Laid Rights::lay(const Node& node) const {
+FleetView::NodeOverlay Rights::lay(const Node& node) const {
   if (!frame_->writers.contains(node.kind))
     return {};
   const std::string* home = frame_->settings.region_of(node.zone);
   if (!home)
     return {};
-  const PoolName name{node.zone, node.entry.cell};
+  const PoolName name{node.zone, node.endpoint.cell};
   if (never_moves(frame_->settings, *home, name)) {
-    Guide::Laid laid;
-    laid.away = *home != frame_->region;
+    FleetView::NodeOverlay laid;
+    laid.drained = *home != frame_->region;
     return laid;
   }
   const auto at = pools_.find(name);
-  Guide::Laid laid;
-  laid.away = true;  // of a pool that has only just been listed, too: nobody has promised it yet
+  FleetView::NodeOverlay laid;
+  laid.drained = true;  // of a pool that has only just been listed, too: nobody has promised it yet
   if (at == pools_.end() || at->second.away)
     return laid;
-  laid.away = false;
-  laid.started = at->second.started;
-  laid.until = at->second.until;
+  laid.drained = false;
+  laid.started_at = at->second.started;
+  laid.expires_at = at->second.until;
   return laid;
 }
 
--- a/src/pools/settings.cpp
+++ b/src/pools/settings.cpp
@@ -34,7 +34,7 @@
       put(pool.text());
     text << '\n';
   }
-  return hash_of(text.str());
+  return hash_text(text.str());
 }
 
 }  // namespace lemonroute::pools
--- a/src/rules/monitor.cpp
+++ b/src/rules/monitor.cpp
@@ -54,7 +54,8 @@
 
 // ---- Nodes ------------------------------------------------------------------------------------------------
 
-void Monitor::listed(Micros now, const std::string& name, Phase phase, Micros started, double capacity) {
+void Monitor::listed(Micros now, const std::string& name, EndpointState phase, Micros started,
+                     double capacity) {
   now = move(now);
   Node& node = nodes_[name];
   if (node.started != started)
@@ -62,7 +63,7 @@
   node.phase = phase;
   node.started = started;
   node.capacity = capacity;
-  if (phase == Phase::ready)
+  if (phase == EndpointState::ready)
     node.off.reset();
   else if (!node.off)
     node.off = now;
@@ -131,17 +132,17 @@
 
 void Monitor::repeated(Micros now, const std::string& request, const std::string& name, const Watched& one) {
   const Node& node = nodes_[name];
-  if (!one.ran || !node.serves || one.terms.effect == Effect::safe)
+  if (!one.ran || !node.serves || one.terms.effect == Idempotency::idempotent)
     return;
   const std::string after = " after an attempt at " + one.ran->node + " that may have run";
-  if (one.terms.effect == Effect::unsafe)
+  if (one.terms.effect == Idempotency::not_idempotent)
     return breach(Rule::attempts, now, request, name, "sent again" + after);
   if (now - one.ran->sent >= one.terms.window)
     breach(Rule::attempts, now, request, name,
            "sent again " + ms(now - one.ran->sent) + after + ", its window is " + ms(one.terms.window));
   const bool same =
-      one.terms.group == Group::all ||
-      (one.terms.group == Group::zone ? one.ran->zone == node.zone : one.ran->cell == node.cell);
+      one.terms.group == RetryScope::all ||
+      (one.terms.group == RetryScope::zone ? one.ran->zone == node.zone : one.ran->cell == node.cell);
   if (!same)
     breach(Rule::attempts, now, request, name, "sent again outside the group" + after);
 }
@@ -215,7 +216,8 @@
 void Monitor::refused(Micros now, const std::string& request) {
   if (const auto found = requests_.find(request); found != requests_.end() && found->second.ran) {
     const Terms& terms = found->second.terms;
-    if (terms.effect == Effect::unsafe || (terms.effect == Effect::keyed && terms.group != Group::all))
+    if (terms.effect == Idempotency::not_idempotent ||
+        (terms.effect == Idempotency::idempotent_with_key && terms.group != RetryScope::all))
       breach(Rule::attempts, std::max(now, now_), request, found->second.ran->node,
              "refused after it may have run there");
   }
--- a/src/rules/monitor.h
+++ b/src/rules/monitor.h
@@ -48,9 +48,9 @@
 
 // What the class of a request allows once an attempt of it may have run.
 struct Terms {
-  Effect effect = Effect::safe;
-  Group group = Group::all;  // of keyed ones: the nodes that discard a repeat,
-  Micros window{};           // for so long from the sending of that attempt on
+  Idempotency effect = Idempotency::idempotent;
+  RetryScope group = RetryScope::all;  // of keyed ones: the nodes that discard a repeat,
+  Micros window{};                     // for so long from the sending of that attempt on
 };
 
 // Times never go back between calls; a call with an earlier one counts as at the latest.
@@ -63,7 +63,7 @@
   // ---- the nodes, as the router was told ----
   // `capacity`: prompt tokens a second once warm; 0: unknown, no budget is watched. A new `started` is a new
   // process.
-  void listed(Micros now, const std::string& node, Phase phase, Micros started, double capacity = 0);
+  void listed(Micros now, const std::string& node, EndpointState phase, Micros started, double capacity = 0);
   // Where it stands. Reading has no effect, so what a node does that serves nobody is no repeat.
   void placed(const std::string& node, const std::string& zone, std::uint16_t cell, bool serves);
   void banned(Micros now, const std::string& node);  // from the yes to the operator on
@@ -102,7 +102,7 @@
 
  private:
   struct Node {
-    Phase phase = Phase::ready;
+    EndpointState phase = EndpointState::ready;
     Micros started{};
     double capacity = 0;
     std::optional<Micros> off, banned;  // since when it must not get new work
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -30,7 +30,8 @@
       generation_budget_(generation_bytes),
       map_(std::make_shared<Map>(known_.names)) {}
 
-void Tiers::kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens, Micros now) {
+void Tiers::on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+                             Micros now) {
   const auto device = known_.names.of(node.name);
   const auto* generation = known_.generations.find(device);
   if (!generation)
@@ -64,7 +65,7 @@
   }
 }
 
-void Tiers::found(const Node& node, Key session, Key shared, double tokens, Micros now) {
+void Tiers::on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) {
   const auto device = known_.names.of(node.name);
   const auto* generation = known_.generations.find(device);
   if (!generation)
@@ -100,13 +101,13 @@
   due_ = Micros{};  // at once
 }
 
-void Tiers::lost(const Node& node, Micros now) {
+void Tiers::on_cache_lost(const Node& node, Micros now) {
   const auto device = known_.names.of(node.name);
   if (devices_.count(device) && known_.generations.lost(device, now))
     advanced(device);
 }
 
-void Tiers::listed(const std::vector<Node>& nodes, Micros now) {
+void Tiers::on_endpoints(const std::vector<Node>& nodes, Micros now) {
   known_.generations.unlist_all();
   devices_.clear();
   for (const auto& node : nodes) {
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -20,14 +20,14 @@
   Tiers(Options options, std::uint64_t seed);
 
   // What this router sees while it serves, as a NodeObserver hears it; on the peers' thread.
-  void kept(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
-            Micros now) override;
+  void on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
+                        Micros now) override;
   // What a node itself has counted as kept of a prompt, from its beginning, when it read it: hints that said
   // much more were wrong. The one thing that corrects trust in others.
-  void found(const Node& node, Key session, Key shared, double tokens, Micros now) override;
-  void lost(const Node& node, Micros now) override;
-  void listed(const std::vector<Node>& nodes, Micros now) override;
-  void demand(const Demand&, Micros) override {}
+  void on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) override;
+  void on_cache_lost(const Node& node, Micros now) override;
+  void on_endpoints(const std::vector<Node>& nodes, Micros now) override;
+  void on_demand(const Demand&, Micros) override {}
 
   // Never null. Another one at the most every 200 ms, and every second as what it says fades.
   std::shared_ptr<const Map> map() const { return map_; }
--- a/src/tiers/snapshot/map.cpp
+++ b/src/tiers/snapshot/map.cpp
@@ -4,7 +4,7 @@
 
 namespace lemonroute::tiers {
 
-std::vector<KeptAt> Map::kept(Key session, Key shared) const {
+std::vector<CacheLocation> Map::cache_locations(Key session, Key shared) const {
   std::vector<Held> all;
   const auto gather = [&](KeyId key) {
     std::vector<std::uint32_t> of_site;  // it knows these better than the region
@@ -38,14 +38,14 @@
   });
   if (all.size() > most_hints)
     all.resize(most_hints);
-  std::vector<KeptAt> kept;
+  std::vector<CacheLocation> kept;
   kept.reserve(all.size());
   for (const auto& held : all)
     kept.push_back({nodes_[held.node], held.tokens, held.confidence});
   return kept;
 }
 
-Micros Map::lost(const Node& node) const {
+Micros Map::cache_lost_at(const Node& node) const {
   const auto found = lost_.find(node.name);
   return found == lost_.end() ? Micros{} : found->second;
 }
--- a/src/tiers/snapshot/map.h
+++ b/src/tiers/snapshot/map.h
@@ -12,7 +12,7 @@
 
 namespace lemonroute::tiers {
 
-class Map : public Guide {
+class Map : public FleetView {
  public:
   struct Held {
     std::uint32_t node = 0;  // index of `nodes`
@@ -23,8 +23,8 @@
   std::uint64_t version() const { return version_; }  // grows with each map that differs
   // Best first, most_hints at the most. A key's holders are the same few at all routers of a site
   // (holders_bound of them), so that a hot opening is read at no more devices than that.
-  std::vector<KeptAt> kept(Key session, Key shared) const override;
-  Micros lost(const Node& node) const override;  // the last loss that others told of it; 0: none
+  std::vector<CacheLocation> cache_locations(Key session, Key shared) const override;
+  Micros cache_lost_at(const Node& node) const override;  // the last loss that others told of it; 0: none
   std::size_t keys() const { return held_[0].size() + held_[1].size(); }
 
  private:
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -110,22 +110,23 @@
     const std::string at_i = "lanes." + std::to_string(i) + ".";
     ClassSettings c;
     c.name = table.text(at_i + "name", "");
-    c.effect = table.pick<Effect>(at_i + "idempotency", {{"read_like", Effect::safe},
-                                                         {"idempotency_key", Effect::keyed},
-                                                         {"non_idempotent", Effect::unsafe}});
-    if (c.effect == Effect::keyed) {
-      c.group = table.pick<Group>(at_i + "group",
-                                  {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-      c.window = table.time(at_i + "window-us");
+    c.idempotency =
+        table.pick<Idempotency>(at_i + "idempotency", {{"read_like", Idempotency::idempotent},
+                                                       {"idempotency_key", Idempotency::idempotent_with_key},
+                                                       {"non_idempotent", Idempotency::not_idempotent}});
+    if (c.idempotency == Idempotency::idempotent_with_key) {
+      c.retry_scope = table.pick<RetryScope>(
+          at_i + "group", {{"all", RetryScope::all}, {"zone", RetryScope::zone}, {"cell", RetryScope::cell}});
+      c.retry_window = table.time(at_i + "window-us");
     }
-    c.aim = table.time(at_i + "slo-us");
+    c.latency_objective = table.time(at_i + "slo-us");
     c.deadline = table.time(at_i + "hard-limit-us", Micros(0));
-    c.aim_per_1000_tokens = at(per_1000, i);
-    c.token_aim = at(token_aim, i);
-    c.aim_stretch = table.number(at_i + "aim-stretch", 0);
-    c.late_worth = table.number(at_i + "late-worth", 0);
-    c.worth = table.number(at_i + "worth", 1);
-    c.stream = table.flag(at_i + "stream", false);
+    c.latency_objective_per_1000_tokens = at(per_1000, i);
+    c.inter_token_objective = at(token_aim, i);
+    c.objective_slack_factor = table.number(at_i + "aim-stretch", 0);
+    c.late_priority_weight = table.number(at_i + "late-worth", 0);
+    c.priority_weight = table.number(at_i + "worth", 1);
+    c.streaming = table.flag(at_i + "stream", false);
     s.classes.push_back(std::move(c));
   }
   const auto tenant_count = table.count("accounts.count", 0);
@@ -139,39 +140,40 @@
   table.text("extra.kind-role");  // no role can be guessed
   for (const auto role : table.list("extra.kind-role"))
     s.kind_role.push_back(table.choose<Role>(
-        "extra.kind-role", role, {{"read", Role::read}, {"write", Role::write}, {"both", Role::both}}));
+        "extra.kind-role", role, {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}));
   s.kind_memory = table.numbers("extra.tokens-by-kind");
   for (const auto column : table.list("report.columns"))
     s.report_columns.emplace_back(column);
   s.report_x0_is_memory = table.text("extra.report-x0", "").find("memory") != std::string_view::npos;
-  s.report_x1_is_unread = table.text("extra.report-x1", "").find("prompt_tokens") != std::string_view::npos;
+  s.report_x1_is_queued_tokens =
+      table.text("extra.report-x1", "").find("prompt_tokens") != std::string_view::npos;
   s.report_by_probe = table.text("report.how", "") == "pull";
   s.discovery_on_request =
       table.has("discovery") && table.pick<bool>("discovery", {{"pushed", false}, {"on_request", true}});
-  s.writers_read = table.flag("extra.read-in-place", false);
-  s.resume = table.flag("extra.resume", false);
-  s.place_ahead = table.flag("extra.early-pairing", false);
-  s.may_cancel = table.flag("limits.cancel", false);
-  s.may_probe = table.flag("limits.probes", false);
-  s.second_copies = table.flag("limits.second-copies", false);
-  s.retry_after = table.flag("limits.retry-after", false);
-  s.marks_retry = table.flag("clients.marks-retry", false);
+  s.decode_nodes_prefill = table.flag("extra.read-in-place", false);
+  s.stream_resume_allowed = table.flag("extra.resume", false);
+  s.reservation_allowed = table.flag("extra.early-pairing", false);
+  s.cancellation_allowed = table.flag("limits.cancel", false);
+  s.probing_allowed = table.flag("limits.probes", false);
+  s.hedging_allowed = table.flag("limits.second-copies", false);
+  s.retry_after_allowed = table.flag("limits.retry-after", false);
+  s.retry_attempt_header = table.flag("clients.marks-retry", false);
   s.max_attempts = table.count("limits.max-attempts");
   s.max_retry_after = table.time("limits.max-retry-after-us", Micros(0));
   s.connect_timeout = table.time("limits.connect-timeout-us", Micros(0));
-  s.release_within = table.time("extra.release-us");
+  s.reservation_release_timeout = table.time("extra.release-us");
   s.answer_slack = table.time("safety.answer-slack-us", Micros(0));
-  s.ask_every = table.time("safety.ask-every-us", Micros(0));
-  s.cold_for = table.time("safety.cold-us");
-  s.cold_from = table.number("safety.cold-from");
+  s.poll_interval = table.time("safety.ask-every-us", Micros(0));
+  s.slow_start_duration = table.time("safety.cold-us");
+  s.slow_start_initial_capacity = table.number("safety.cold-from");
   s.drain_grace = table.time("safety.drain-grace-us", Micros(0));
-  s.fall_multiple = table.number("safety.fall-multiple");
-  s.fall_window = table.time("safety.fall-us");
-  s.over_share_worth = table.number("over-share-worth", 1);
-  s.tick = table.time("tick-us", Micros(0));
-  s.me = table.count("me", 0);
-  s.siblings = std::max<std::uint32_t>(1, table.count("siblings"));
-  s.zone = table.count("locality", 0);
+  s.overload_factor = table.number("safety.fall-multiple");
+  s.overload_window = table.time("safety.fall-us");
+  s.over_quota_priority_weight = table.number("over-share-worth", 1);
+  s.min_batch_interval = table.time("tick-us", Micros(0));
+  s.router_index = table.count("me", 0);
+  s.router_count = std::max<std::uint32_t>(1, table.count("siblings"));
+  s.router_zone = table.count("locality", 0);
   return s;
 }
 
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -123,14 +123,14 @@
   io(v);
 }
 template <class IO>
-void fields(IO& io, ListEntry& v) {
-  io(v.host);
+void fields(IO& io, Endpoint& v) {
+  io(v.id);
   io(v.zone);
   io(v.kind);
   io(v.cell);
-  io(v.phase);
+  io(v.state);
   io(v.weight);
-  io(v.started);
+  io(v.started_at);
 }
 template <class IO>
 void fields(IO& io, Create& v) {
@@ -140,70 +140,70 @@
 template <class IO>
 void fields(IO&, Shutdown&) {}
 template <class IO>
-void fields(IO& io, HostList& v) {
+void fields(IO& io, EndpointListUpdate& v) {
   io(v.kind);
   io(v.version);
-  io.template list<std::uint32_t>(v.hosts);
+  io.template list<std::uint32_t>(v.endpoints);
 }
 template <class IO>
 void fields(IO& io, Request& v) {
   io(v.id);
-  io(v.cls);
-  io(v.tenant);
-  io(v.session);
-  io(U32Micros{v.budget});
-  io(U32Micros{v.expected});
-  io(v.shared);
-  io(v.prompt);
-  io(v.shared_prefix);
-  io(v.max_output);
+  io(v.class_index);
+  io(v.tenant_index);
+  io(v.session_key);
+  io(U32Micros{v.time_budget});
+  io(U32Micros{v.expected_latency});
+  io(v.shared_prefix_key);
+  io(v.prompt_tokens);
+  io(v.shared_prefix_tokens);
+  io(v.max_output_tokens);
   io(v.flags);
 }
 template <class IO>
-void fields(IO& io, First& v) {
+void fields(IO& io, FirstTokenReceived& v) {
   io(v.id);
-  io(v.host);
+  io(v.endpoint);
   io(v.attempt);
   io(U32Micros{v.elapsed});
 }
 template <class IO>
-void fields(IO& io, PlaceNote& v) {
+void fields(IO& io, ReservationUpdate& v) {
   io(v.id);
-  io(v.host);
+  io(v.endpoint);
   io(v.kind);
   io(v.value);
   io(v.attempt);
 }
 template <class IO>
-void fields(IO& io, Completed& v) {
+void fields(IO& io, AttemptCompleted& v) {
   io(v.id);
   io(v.outcome);
-  io(v.done);
+  io(v.request_finished);
   io(U32Micros{v.elapsed});
-  io(v.host);
-  io(v.note);
+  io(v.endpoint);
+  io(v.cached_tokens);
   io(v.attempt);
-  io.template list<std::uint8_t>(v.load);
+  io.template list<std::uint8_t>(v.load_report);
 }
 template <class IO>
-void fields(IO& io, Abandoned& v) {
+void fields(IO& io, ClientDisconnected& v) {
   io(v.id);
 }
 template <class IO>
-void fields(IO& io, Alarm& v) {
-  io(v.cookie);
+void fields(IO& io, TimerFired& v) {
+  io(v.timer_id);
 }
 template <class IO>
 void fields(IO& io, HealthResult& v) {
-  io(v.host);
+  io(v.endpoint);
   io(v.outcome);
   io(U32Micros{v.elapsed});
-  io.template list<std::uint8_t>(v.load);
+  io.template list<std::uint8_t>(v.load_report);
 }
 template <class IO>
 void fields(IO& io, PeerMessage& v) {
   io(v.from);
-  io(ShortText{v.blob});
+  io(ShortText{v.payload});
 }
 template <class IO>
 void fields(IO& io, Broken& v) {
@@ -212,40 +212,40 @@
 template <class IO>
 void fields(IO& io, Send& v) {
   io(v.id);
-  io(U32Micros{v.within});
-  io(v.host);
+  io(U32Micros{v.timeout});
+  io(v.endpoint);
 }
 template <class IO>
-void fields(IO& io, Refuse& v) {
+void fields(IO& io, RejectRequest& v) {
   io(v.id);
-  io(U32Micros{v.stay_away});
+  io(U32Micros{v.retry_after});
 }
 template <class IO>
-void fields(IO& io, Fail& v) {
+void fields(IO& io, FailRequest& v) {
   io(v.id);
 }
 template <class IO>
-void fields(IO& io, Cancel& v) {
+void fields(IO& io, CancelAttempt& v) {
   io(v.id);
   io(v.attempt);
 }
 template <class IO>
-void fields(IO& io, Sleep& v) {
-  io(v.cookie);
-  io(U32Micros{v.after});
+void fields(IO& io, StartTimer& v) {
+  io(v.timer_id);
+  io(U32Micros{v.delay});
 }
 template <class IO>
 void fields(IO& io, Probe& v) {
-  io(v.host);
+  io(v.endpoint);
 }
 template <class IO>
-void fields(IO& io, HangUp& v) {
-  io(v.host);
+void fields(IO& io, CloseIdleConnections& v) {
+  io(v.endpoint);
 }
 template <class IO>
-void fields(IO& io, Tell& v) {
+void fields(IO& io, SendPeerMessage& v) {
   io(v.to);
-  io(ShortText{v.blob});
+  io(ShortText{v.payload});
 }
 template <class IO>
 void fields(IO& io, Log& v) {
@@ -258,16 +258,16 @@
 template <class IO>
 void fields(IO&, Snapshot&) {}
 template <class IO>
-void fields(IO& io, Evict& v) {
+void fields(IO& io, EvictReservation& v) {
   io(v.id);
 }
 template <class IO>
-void fields(IO& io, SetAside& v) {
+void fields(IO& io, ReserveCapacity& v) {
   io(v.id);
-  io(v.host);
+  io(v.endpoint);
 }
 template <class IO>
-void fields(IO& io, Release& v) {
+void fields(IO& io, ReleaseReservation& v) {
   io(v.id);
 }
 
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -17,10 +17,12 @@
   std::string line;
 };
 
-using AnyEvent = std::variant<Create, Shutdown, HostList, Request, First, PlaceNote, Completed, Abandoned,
-                              Alarm, HealthResult, PeerMessage>;
-using AnyAction = std::variant<Broken, Send, Refuse, Fail, Cancel, Sleep, Probe, HangUp, Tell, Log, Subscribe,
-                               Snapshot, Evict, SetAside, Release>;
+using AnyEvent =
+    std::variant<Create, Shutdown, EndpointListUpdate, Request, FirstTokenReceived, ReservationUpdate,
+                 AttemptCompleted, ClientDisconnected, TimerFired, HealthResult, PeerMessage>;
+using AnyAction = std::variant<Broken, Send, RejectRequest, FailRequest, CancelAttempt, StartTimer, Probe,
+                               CloseIdleConnections, SendPeerMessage, Log, Subscribe, Snapshot,
+                               EvictReservation, ReserveCapacity, ReleaseReservation>;
 
 template <class Body>
 struct Record {
