--- a/tests/acceptance/calls_test.cpp
+++ b/tests/acceptance/calls_test.cpp
@@ -10,12 +10,12 @@
 namespace lemonroute::acceptance {
 namespace {
 
-struct Noted : Attempt {
-  void written() override {}
-  void event(std::string_view data) override { events += std::string(data) + ";"; }
-  void done(Result with) override { result = std::move(with); }
+struct Noted : AttemptHandler {
+  void on_request_written() override {}
+  void on_data(std::string_view data) override { events += std::string(data) + ";"; }
+  void on_done(AttemptResult with) override { result = std::move(with); }
   std::string events;
-  std::optional<Result> result;
+  std::optional<AttemptResult> result;
 };
 
 constexpr std::string_view stream_head =
@@ -34,8 +34,8 @@
   Node node;
   node.address = door.address;
   Noted attempt;
-  const auto call =
-      client.begin(node, {"q", "/v1/chat/completions", std::make_shared<std::string>("{}")}, 5s, attempt);
+  const auto call = client.start_attempt(
+      node, {"q", "/v1/chat/completions", std::make_shared<std::string>("{}")}, 5s, attempt);
   EXPECT_TRUE(until(loop, [&] { return readable(door.fd); }));
   const int peer = accept(door.fd, nullptr, nullptr);
   std::string asked;
@@ -64,23 +64,23 @@
   };
   const char* declined = "Srv-Declined: 1\r\n";
   for (const Row& row : std::initializer_list<Row>{
-           {plain("202 Accepted", "", "{\"cached_tokens\":4096}"), Outcome::read, 4096},
-           {plain("202 Accepted", "", "no JSON"), Outcome::read},
+           {plain("202 Accepted", "", "{\"cached_tokens\":4096}"), Outcome::prefill_done, 4096},
+           {plain("202 Accepted", "", "no JSON"), Outcome::prefill_done},
            {plain("500 Oops"), Outcome::error},
-           {plain("503 No", declined), Outcome::full},
-           {plain("504 No", declined), Outcome::full},
+           {plain("503 No", declined), Outcome::rejected_over_capacity},
+           {plain("504 No", declined), Outcome::rejected_over_capacity},
            {plain("503 No"), Outcome::error},  // not said to be turned away: it may have run
            {plain("504 No"), Outcome::error},
            {plain("500 No", declined), Outcome::error},
-           {plain("410 Gone", declined), Outcome::full, 1},  // there is no state
+           {plain("410 Gone", declined), Outcome::rejected_over_capacity, 1},  // there is no state
            {plain("410 Gone"), Outcome::error},
            {plain("400 Bad"), Outcome::error, 0, true},
            {plain("404 None"), Outcome::error, 0, true},
            {plain("200 OK", "Content-Type: text/plain\r\n", "hello"), Outcome::error}}) {
     const auto got = outcome_of(row.answer).result.value();
     EXPECT_EQ(got.outcome, row.outcome) << row.answer;
-    EXPECT_EQ(got.kept, row.kept) << row.answer;
-    EXPECT_EQ(got.unfit, row.unfit) << row.answer;
+    EXPECT_EQ(got.cached_tokens, row.kept) << row.answer;
+    EXPECT_EQ(got.bad_request, row.unfit) << row.answer;
   }
   EXPECT_EQ(outcome_of("", true).result->outcome, Outcome::reset) << "it had all of the request";
 }
@@ -92,7 +92,7 @@
   const auto whole = outcome_of(head + event + mark + chunk(": Srv-Load: x0=0.5\n\n") + last);
   EXPECT_EQ(whole.result->outcome, Outcome::ok);
   EXPECT_EQ(whole.events, "a;");
-  EXPECT_EQ(whole.result->load, "x0=0.5");
+  EXPECT_EQ(whole.result->load_report, "x0=0.5");
   EXPECT_EQ(outcome_of(head + event + mark, true).result->outcome, Outcome::reset) << "no last chunk";
   EXPECT_EQ(outcome_of(head + event + last).result->outcome, Outcome::reset) << "no end mark";
   EXPECT_EQ(outcome_of(head + mark + last).result->outcome, Outcome::error) << "no event";
@@ -108,7 +108,7 @@
   Node node;
   node.address = door.address;
   Noted attempt;
-  const auto call = client.begin(node, {"q", "/", std::make_shared<std::string>("{}")}, 5s, attempt);
+  const auto call = client.start_attempt(node, {"q", "/", std::make_shared<std::string>("{}")}, 5s, attempt);
   ASSERT_TRUE(until(loop, [&] { return readable(door.fd); }));
   const int peer = accept(door.fd, nullptr, nullptr);
   say(peer, std::string(stream_head) + "9\r\ndata: a");
@@ -140,7 +140,7 @@
   FullDoor() : Door(0) {
     for (int& one : knocks) {
       one = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-      const net::Endpoint to(address);
+      const net::SocketAddress to(address);
       const bool up = connect(one, to.address(), static_cast<socklen_t>(to.length())) == 0;
       EXPECT_TRUE(up || errno == EINPROGRESS);
     }
@@ -283,7 +283,7 @@
   } quiet;
   Door door;
   net::Loop loop;
-  const net::Connection out(loop, net::Endpoint(door.address), quiet);
+  const net::Connection out(loop, net::SocketAddress(door.address), quiet);
   const net::Connection in(loop, accept(door.fd, nullptr, nullptr), quiet);
   for (const auto* one : {&out, &in}) {
     int on = 0;
--- a/tests/acceptance/evidence_test.cpp
+++ b/tests/acceptance/evidence_test.cpp
@@ -10,7 +10,7 @@
 Settings reporting() {
   Settings s = settings();
   s.report_columns = {"x0", "x1"};
-  s.report_x0_is_memory = s.report_x1_is_unread = true;
+  s.report_x0_is_memory = s.report_x1_is_queued_tokens = true;
   return s;
 }
 
@@ -22,7 +22,7 @@
   bed.list({host(1, reader_kind), host(2, reader_kind), host(8, writer_kind), host(9, writer_kind)});
   bed.serve(bed.request(2000), 60ms);
   for (int i = 0; i < 5; ++i)
-    for (const HostId id : {8, 9})
+    for (const EndpointId id : {8, 9})
       bed.feed(HealthResult{id, Outcome::ok, 1ms, {1, 0}});
   EXPECT_EQ(Bed::sent(bed.feed(bed.request(2000))), 0u) << "full as they are";
   const Micros longest = s.classes[0].deadline, from = bed.now;
@@ -41,8 +41,8 @@
                 host(9, writer_kind)});
       for (int i = 0; i < 30; ++i)
         bed.serve(bed.request(2000), 120ms);
-      const HostId home = bed.serve(bed.request(tokens, 0, 77), Micros(static_cast<long>(60 * tokens)));
-      for (const HostId id : {1, 2, 3})
+      const EndpointId home = bed.serve(bed.request(tokens, 0, 77), Micros(static_cast<long>(60 * tokens)));
+      for (const EndpointId id : {1, 2, 3})
         bed.feed(HealthResult{id, Outcome::ok, 1ms, {0, id == home ? queue : 0}});
       EXPECT_NE(Bed::sent(bed.feed(bed.request(tokens + 300, 0, 77))), 0u)
           << tokens << " tokens, " << queue << " thousand waiting where they are kept, two readers idle";
@@ -58,8 +58,8 @@
   std::mt19937_64 random(1);
   for (int i = 0; i < 40000; ++i) {  // more than are remembered
     const Request r = bed.request(2000, 0, random());
-    const HostId at = Bed::sent(bed.feed(r));
-    bed.feed(Abandoned{r.id});
+    const EndpointId at = Bed::sent(bed.feed(r));
+    bed.feed(ClientDisconnected{r.id});
     bed.complete(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
     bed.alarms.clear();
     bed.now += 1ms;
@@ -67,17 +67,17 @@
   int known = 0;
   for (int i = 0; i < 100; ++i) {
     const Key key = random();
-    const HostId at = bed.serve(bed.request(2000, 0, key), 50ms);
+    const EndpointId at = bed.serve(bed.request(2000, 0, key), 50ms);
     for (int k = 0; k < 10; ++k)
       bed.serve(bed.request(2000, 0, random()), 50ms);
     double match = 0;
-    bed.scheduler.explain([&](const Choice& choice) {
+    bed.scheduler.set_choice_observer([&](const Choice& choice) {
       for (const auto& one : choice.candidates)
-        if (one.host == at)
-          match = std::max(match, one.match);
+        if (one.endpoint == at)
+          match = std::max(match, one.recorded_match);
     });
     bed.serve(bed.request(2300, 0, key), 50ms);
-    bed.scheduler.explain({});
+    bed.scheduler.set_choice_observer({});
     known += match > 1000;
   }
   EXPECT_GE(known, 90);
--- a/tests/acceptance/floors_test.cpp
+++ b/tests/acceptance/floors_test.cpp
@@ -20,8 +20,8 @@
 class Fleet {
  public:
   Fleet() : bed_(stated()) {
-    std::vector<ListEntry> hosts;
-    for (HostId id = 1; id <= 5; ++id) {
+    std::vector<Endpoint> hosts;
+    for (EndpointId id = 1; id <= 5; ++id) {
       hosts.push_back(host(id, reader_kind));
       hosts.push_back(host(10 + id, writer_kind));
     }
@@ -40,7 +40,7 @@
   }
   template <class Wait, class Load>
   void report(Wait wait, Load load) {
-    for (HostId id = 1; id <= 5; ++id) {
+    for (EndpointId id = 1; id <= 5; ++id) {
       const float unread = static_cast<float>(wait() * 20), held = static_cast<float>(load());
       for (int i = 0; i < 6; ++i) {
         bed_.feed(HealthResult{id, Outcome::ok, 1ms, {0, unread}});
@@ -51,10 +51,10 @@
   // Asked, and given up at once, so that the next one meets what is drawn and nothing else.
   bool taken(const Drawn& drawn) {
     Request r = bed_.request(static_cast<float>(drawn.tokens), drawn.cls, drawn.session);
-    r.tenant = drawn.tenant;
-    const HostId at = Bed::sent(bed_.feed(r));
+    r.tenant_index = drawn.tenant;
+    const EndpointId at = Bed::sent(bed_.feed(r));
     if (at) {
-      bed_.feed(Abandoned{r.id});
+      bed_.feed(ClientDisconnected{r.id});
       bed_.complete(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
     }
     bed_.alarms.clear();
@@ -70,10 +70,10 @@
   static Settings stated() {
     Settings s = settings();
     s.report_columns = {"x0", "x1"};
-    s.report_x0_is_memory = s.report_x1_is_unread = true;
+    s.report_x0_is_memory = s.report_x1_is_queued_tokens = true;
     for (auto& c : s.classes)
-      c.aim = 1500ms, c.deadline = 7500ms, c.worth = 1;
-    s.classes[1].worth = 0.25;
+      c.latency_objective = 1500ms, c.deadline = 7500ms, c.priority_weight = 1;
+    s.classes[1].priority_weight = 0.25;
     return s;
   }
   std::mt19937_64 random_{7};
--- a/tests/acceptance/front_test.cpp
+++ b/tests/acceptance/front_test.cpp
@@ -14,22 +14,26 @@
 };
 
 // Takes every attempt and never says a word.
-struct Silent : Nodes {
+struct Silent : NodeTransport {
   struct Begun {
     std::string id, body;
     Micros within;
-    Attempt* attempt;
+    AttemptHandler* attempt;
   };
-  std::unique_ptr<Call> begin(const Node&, const Prompt& prompt, Micros within, Attempt& attempt) override {
+  std::unique_ptr<Call> start_attempt(const Node&, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override {
     begun.push_back({prompt.id, *prompt.body, within, &attempt});
     return std::make_unique<Call>();
   }
-  std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)>) override {
+  std::unique_ptr<Call> release_reservation(const Node&, const std::string&,
+                                            std::function<void(bool)>) override {
     return std::make_unique<Call>();
   }
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
   std::vector<Begun> begun;
 };
 
@@ -39,20 +43,20 @@
     logging::set_level(logging::Level::error);
     if (!nodes)
       return;
-    core.update(ListKind::full, 1,
-                {{"r", "127.0.0.1:1", "a", "r", 0, Phase::ready, 1, Micros(0)},
-                 {"w", "127.0.0.1:1", "a", "w", 0, Phase::ready, 1, Micros(0)}});
+    core.update_endpoints(EndpointListKind::full, 1,
+                          {{"r", "127.0.0.1:1", "a", "r", 0, EndpointState::ready, 1, Micros(0)},
+                           {"w", "127.0.0.1:1", "a", "w", 0, EndpointState::ready, 1, Micros(0)}});
   }
   static Settings settings(Micros most_retry_after) {
     Settings s;
     s.classes.resize(1);
     s.classes[0].name = "k";
-    s.classes[0].aim = 1500ms;
+    s.classes[0].latency_objective = 1500ms;
     s.classes[0].deadline = 7500ms;
-    s.kind_role = {Role::read, Role::write};
+    s.kind_role = {Role::prefill, Role::decode};
     s.max_attempts = 6;
-    s.may_cancel = true;
-    s.retry_after = most_retry_after > 0us;
+    s.cancellation_allowed = true;
+    s.retry_after_allowed = most_retry_after > 0us;
     s.max_retry_after = most_retry_after;
     return s;
   }
@@ -60,7 +64,7 @@
   std::string ask(const std::string& fields, const std::string& body = "{}",
                   const std::string& whole = "\r\n\r\n") {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const net::Endpoint to("127.0.0.1:" + std::to_string(front.port()));
+    const net::SocketAddress to("127.0.0.1:" + std::to_string(front.port()));
     EXPECT_EQ(connect(fd, to.address(), static_cast<socklen_t>(to.length())), 0);
     const std::string text = "POST /v1/chat/completions HTTP/1.1\r\nReq-Id: q" + std::to_string(++asked) +
                              "\r\nReq-Kind: k\r\n" + fields +
@@ -148,8 +152,8 @@
   Bed bed(true);
   bed.ask("Req-Deadline: 0\r\n");
   bed.clock.at += 1us;
-  bed.core.run_due();
-  EXPECT_EQ(bed.core.open(), 0u);
+  bed.core.run_timers();
+  EXPECT_EQ(bed.core.open_requests(), 0u);
 }
 
 TEST(Body, UpTo256KiBAndNotMore) {
@@ -165,12 +169,12 @@
 // One token is four characters, where a request does not say how long its prompt is.
 TEST(Lengths, AreStatedOrCountedInCharacters) {
   struct Ear : NodeObserver {
-    void kept(const Node&, Key, Key, double tokens, double shared_tokens, Micros) override {
+    void on_prefix_cached(const Node&, Key, Key, double tokens, double shared_tokens, Micros) override {
       heard = {tokens, shared_tokens};
     }
-    void lost(const Node&, Micros) override {}
-    void listed(const std::vector<Node>&, Micros) override {}
-    void demand(const Demand&, Micros) override {}
+    void on_cache_lost(const Node&, Micros) override {}
+    void on_endpoints(const std::vector<Node>&, Micros) override {}
+    void on_demand(const Demand&, Micros) override {}
     std::pair<double, double> heard;
   };
   using Both = std::pair<double, double>;
@@ -180,12 +184,12 @@
                   Both{5120, 2048}}}) {
     Bed bed(true);
     Ear ear;
-    bed.core.observer(&ear);
+    bed.core.set_node_observer(&ear);
     bed.ask(field, std::string(4000, 'x'));
     ASSERT_EQ(bed.silent.begun.size(), 1u);
-    bed.silent.begun[0].attempt->done({Outcome::read, 0, {}, {}});
+    bed.silent.begun[0].attempt->on_done({Outcome::prefill_done, 0, {}, {}});
     EXPECT_EQ(ear.heard, lengths) << field;
-    bed.core.observer(nullptr);
+    bed.core.set_node_observer(nullptr);
   }
 }
 
--- a/tests/acceptance/late_connect_test.cpp
+++ b/tests/acceptance/late_connect_test.cpp
@@ -13,17 +13,17 @@
   Micros now() const override { return at; }
 };
 struct Asker : Client {
-  bool event(std::string_view) override { return true; }
+  bool on_data(std::string_view) override { return true; }
   void finish() override {}
-  void refuse(Micros) override {}
-  void fail(Failure) override {}
-  void cut() override {}
+  void reject(Micros) override {}
+  void fail(FailureReason) override {}
+  void abort_stream() override {}
 };
 
 TEST(LateConnect, NothingGoesToANodeThatLeftMeanwhile) {
   logging::set_level(logging::Level::error);
   Door door(0);
-  const net::Endpoint to(door.address);
+  const net::SocketAddress to(door.address);
   int knocks[3];
   for (int& one : knocks) {  // the queue is full, so that the next who knocks has to wait
     one = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -38,25 +38,25 @@
   Settings s;
   s.classes.resize(1);
   s.classes[0].name = "k";
-  s.classes[0].aim = 2s;
+  s.classes[0].latency_objective = 2s;
   s.classes[0].deadline = 30s;
-  s.kind_role = {Role::read, Role::write};
+  s.kind_role = {Role::prefill, Role::decode};
   s.max_attempts = 6;
   s.connect_timeout = limits.connect_timeout;
   Router core(s, {"a"}, {"r", "w"}, 1, clock, nodes);
-  Router::Listed reader{"r", door.address, "a", "r", 0, Phase::ready, 1, Micros(0)};
-  core.update(ListKind::full, 1, {reader});
+  Router::ListedNode reader{"r", door.address, "a", "r", 0, EndpointState::ready, 1, Micros(0)};
+  core.update_endpoints(EndpointListKind::full, 1, {reader});
   Asker asker;
   ClientRequest client_request;
   client_request.prompt = {"q", "/", std::make_shared<std::string>("{}")};
-  client_request.kind = "k";
+  client_request.request_class = "k";
   client_request.prompt_tokens = 100;
   RequestId id = 0;
-  ASSERT_EQ(core.take(client_request, asker, id), Router::Taken::yes);
-  reader.phase = Phase::draining;
-  core.update(ListKind::delta, 2, {reader});
+  ASSERT_EQ(core.submit(client_request, asker, id), Router::SubmitResult::accepted);
+  reader.state = EndpointState::draining;
+  core.update_endpoints(EndpointListKind::incremental, 2, {reader});
   clock.at += 600ms;
-  core.run_due();
+  core.run_timers();
   // Now it comes up: the kernel knocks again a second after the first time.
   std::string got;
   std::vector<int> peers;
--- a/tests/acceptance/soak_test.cpp
+++ b/tests/acceptance/soak_test.cpp
@@ -43,37 +43,38 @@
 };
 
 // Each call is answered by hand; a release has always arrived.
-struct Nodes1 : Nodes {
+struct Nodes1 : NodeTransport {
   struct Run : Call {
     explicit Run(Nodes1& of) : nodes(of) {}
     ~Run() override { nodes.out = nullptr; }
     Nodes1& nodes;
   };
-  std::unique_ptr<Call> begin(const Node&, const Prompt&, Micros, Attempt& attempt) override {
+  std::unique_ptr<Call> start_attempt(const Node&, const Prompt&, Micros, AttemptHandler& attempt) override {
     EXPECT_EQ(out, nullptr);
     out = &attempt;
     return std::make_unique<Run>(*this);
   }
-  std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)> done) override {
+  std::unique_ptr<Call> release_reservation(const Node&, const std::string&,
+                                            std::function<void(bool)> done) override {
     releases.push_back(std::move(done));
     return std::make_unique<Call>();
   }
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override {
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
     ADD_FAILURE() << "probes are priced";
     return nullptr;
   }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
-  Attempt* out = nullptr;
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
+  AttemptHandler* out = nullptr;
   std::vector<std::function<void(bool)>> releases;
 };
 
 struct Asker : Client {
-  bool event(std::string_view) override { return true; }
+  bool on_data(std::string_view) override { return true; }
   void finish() override { ++answers; }
-  void refuse(Micros) override { ++answers; }
-  void fail(Failure) override { ++answers; }
-  void cut() override { ++answers; }
+  void reject(Micros) override { ++answers; }
+  void fail(FailureReason) override { ++answers; }
+  void abort_stream() override { ++answers; }
   int answers = 0;
 };
 
@@ -94,9 +95,9 @@
   std::size_t rest() {
     pass(1min);
     EXPECT_TRUE(core_.idle());
-    EXPECT_EQ(core_.open(), 0u);
-    EXPECT_EQ(core_.known(), 8u);
-    EXPECT_EQ(core_.next_due(), std::nullopt) << "no timer is left";
+    EXPECT_EQ(core_.open_requests(), 0u);
+    EXPECT_EQ(core_.known_nodes(), 8u);
+    EXPECT_EQ(core_.next_timer(), std::nullopt) << "no timer is left";
     return live;
   }
   std::map<int, int> endings;
@@ -106,45 +107,45 @@
     Settings s;
     ClassSettings c;
     c.name = "k";
-    c.aim = 1500ms;
+    c.latency_objective = 1500ms;
     c.deadline = 6s;
     s.classes = {c};
-    s.kind_role = {Role::read, Role::write};
+    s.kind_role = {Role::prefill, Role::decode};
     s.kind_memory = {200000, 150000};
     s.report_columns = {"x0"};
     s.report_x0_is_memory = true;
     s.max_attempts = 6;
-    s.may_cancel = s.retry_after = true;
+    s.cancellation_allowed = s.retry_after_allowed = true;
     s.max_retry_after = 500ms;
-    s.release_within = 1s;
-    s.fall_window = 1s;
+    s.reservation_release_timeout = 1s;
+    s.overload_window = 1s;
     return s;
   }
   bool one_in(std::uint64_t n) { return random_() % n == 0; }
   // A node in the place of another: a new name, as every release of the nodes brings.
   void list(int place) {
-    std::vector<Router::Listed> changes;
-    const auto entry = [&](int number, Phase phase) {
+    std::vector<Router::ListedNode> changes;
+    const auto entry = [&](int number, EndpointState phase) {
       const std::string kind = place % 2 ? "w" : "r";
       changes.push_back({kind + std::to_string(place) + "-" + std::to_string(number), "127.0.0.1:1", "a",
                          kind, 0, phase, 1, Micros(0)});
     };
     if (numbers_[place])
-      entry(numbers_[place], Phase::gone);
-    entry(++numbers_[place], Phase::ready);
-    core_.update(ListKind::delta, ++version_, changes);
+      entry(numbers_[place], EndpointState::removed);
+    entry(++numbers_[place], EndpointState::ready);
+    core_.update_endpoints(EndpointListKind::incremental, ++version_, changes);
   }
   void ask() {
     Asker asker;
     ClientRequest client_request;
     client_request.prompt = {"q" + std::to_string(asked_++), "/", std::make_shared<std::string>("{}")};
-    client_request.kind = "k";
-    client_request.session = 1 + random_() % 500;
-    client_request.shared = 1 + random_() % 20;
+    client_request.request_class = "k";
+    client_request.session_key = 1 + random_() % 500;
+    client_request.shared_prefix_key = 1 + random_() % 20;
     client_request.prompt_tokens = static_cast<double>(500 + random_() % 4000);
-    client_request.shared_tokens = 400;
+    client_request.shared_prefix_tokens = 400;
     RequestId id = 0;
-    ASSERT_EQ(core_.take(client_request, asker, id), Router::Taken::yes);
+    ASSERT_EQ(core_.submit(client_request, asker, id), Router::SubmitResult::accepted);
     bool reads = true;
     while (nodes_.out) {
       clock_.at += 5ms;
@@ -152,20 +153,25 @@
       if (how == 0) {  // its time is over, at whatever stage
         pass(7s);
       } else if (how == 1) {
-        core_.gone(id);
+        core_.client_disconnected(id);
         ++asker.answers;
       } else if (how <= 4) {
-        nodes_.out->done({how == 2 ? Outcome::reset : how == 3 ? Outcome::error : Outcome::full, 0, {}, "x"});
+        nodes_.out->on_done({how == 2   ? Outcome::reset
+                             : how == 3 ? Outcome::error
+                                        : Outcome::rejected_over_capacity,
+                             0,
+                             {},
+                             "x"});
       } else if (reads) {
         reads = false;
-        nodes_.out->done({Outcome::read, 100, "x0=0.1", {}});
+        nodes_.out->on_done({Outcome::prefill_done, 100, "x0=0.1", {}});
       } else {
-        Attempt& stream = *nodes_.out;
-        stream.event("a");
+        AttemptHandler& stream = *nodes_.out;
+        stream.on_data("a");
         if (how == 5)
           pass(5s);  // it falls silent
         else
-          stream.done({how == 6 ? Outcome::reset : Outcome::ok, 0, "x0=0.1", {}});
+          stream.on_done({how == 6 ? Outcome::reset : Outcome::ok, 0, "x0=0.1", {}});
       }
       ++endings[static_cast<int>(how)];
     }
@@ -175,9 +181,9 @@
   }
   void pass(Micros span) {
     const Micros until = clock_.at + span;
-    for (auto due = core_.next_due(); due && *due <= until; due = core_.next_due()) {
+    for (auto due = core_.next_timer(); due && *due <= until; due = core_.next_timer()) {
       clock_.at = std::max(clock_.at, *due);
-      core_.run_due();
+      core_.run_timers();
       for (const auto& done : std::exchange(nodes_.releases, {}))
         done(true);
     }
--- a/tests/conformance/node_cases.cpp
+++ b/tests/conformance/node_cases.cpp
@@ -27,17 +27,17 @@
   std::uint16_t port;
 };
 
-struct Recorder : Attempt {
-  void written() override { sent = true; }
-  void event(std::string_view data) override { text += data; }
-  void done(Result with) override {
+struct Recorder : AttemptHandler {
+  void on_request_written() override { sent = true; }
+  void on_data(std::string_view data) override { text += data; }
+  void on_done(AttemptResult with) override {
     result = with;
     over = true;
     call.reset();
   }
   bool sent = false, over = false;
   string text;
-  Result result;
+  AttemptResult result;
   std::unique_ptr<Call> call;
 };
 
@@ -45,9 +45,9 @@
   switch (outcome) {
     case Outcome::ok:
       return "ok";
-    case Outcome::read:
+    case Outcome::prefill_done:
       return "read";
-    case Outcome::full:
+    case Outcome::rejected_over_capacity:
       return "full";
     case Outcome::error:
       return "error";
@@ -75,7 +75,7 @@
 
   std::unique_ptr<Recorder> begin() {
     auto recorder = std::make_unique<Recorder>();
-    recorder->call = client.begin(
+    recorder->call = client.start_attempt(
         node, {"q" + std::to_string(++calls), "/v1/chat/completions", std::make_shared<string>("{}")},
         std::chrono::seconds(3), *recorder);
     return recorder;
@@ -536,7 +536,7 @@
     peer->until([&] { return peer->over(3); });
     peer->send(head(*peer, 1) + data(1, event("a")));
     peer->until([&] { return !slow->text.empty(); });
-    slow->call->hold_back(true);
+    slow->call->pause_reading(true);
     std::size_t given = 0;
     for (int i = 0; i < 3; ++i)
       peer->send(data(1, event(string(16000, 'x'))));
--- a/tests/conformance/server_cases.cpp
+++ b/tests/conformance/server_cases.cpp
@@ -20,9 +20,10 @@
 namespace {
 
 // Nodes that serve everything at once: what is tried here is the wire, not the fleet.
-struct EagerNodes : Nodes {
+struct EagerNodes : NodeTransport {
   explicit EagerNodes(net::Loop& loop) : loop_(loop) {}
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros, Attempt& attempt) override {
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros,
+                                      AttemptHandler& attempt) override {
     auto alive = std::make_shared<bool>(true);
     ++begun;
     struct Watched : Call {
@@ -40,17 +41,18 @@
       if (!*alive)
         return;
       if (outcome != Outcome::ok && (reader || hold == 0))
-        return attempt.done({outcome, 0, {}, {}});
+        return attempt.on_done({outcome, 0, {}, {}});
       if (reader)
-        return attempt.done({Outcome::read, 0, {}, {}});
+        return attempt.on_done({Outcome::prefill_done, 0, {}, {}});
       for (int i = 0; i < events && *alive; ++i)
-        attempt.event(text);
+        attempt.on_data(text);
       if (*alive && hold != 3)
-        attempt.done({Outcome::ok, 0, {}, {}});
+        attempt.on_done({Outcome::ok, 0, {}, {}});
     });
     return watched;
   }
-  std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)> done) override {
+  std::unique_ptr<Call> release_reservation(const Node&, const std::string&,
+                                            std::function<void(bool)> done) override {
     struct Answered : Call {
       std::shared_ptr<std::function<void(bool)>> done;
     };
@@ -62,9 +64,11 @@
     });
     return call;
   }
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
   net::Loop& loop_;
   Outcome outcome = Outcome::ok;
   int hold = 0;  // 1: readers never answer, 2: writers never, 3: streams never end
@@ -76,24 +80,24 @@
   Settings s;
   ClassSettings c;
   c.name = "k";
-  c.aim = std::chrono::seconds(2);
+  c.latency_objective = std::chrono::seconds(2);
   c.deadline = std::chrono::seconds(6);
   s.classes = {c};
-  s.kind_role = {Role::read, Role::write};
+  s.kind_role = {Role::prefill, Role::decode};
   s.kind_memory = {200000, 150000};
   s.max_attempts = 2;
-  s.may_cancel = s.retry_after = true;
+  s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = std::chrono::seconds(1);
-  s.cold_for = Micros(1);
-  s.fall_window = std::chrono::seconds(1);
+  s.slow_start_duration = Micros(1);
+  s.overload_window = std::chrono::seconds(1);
   return s;
 }
 
 struct Bed {
   explicit Bed(grpc::Session::Limits limits = {}) : server(loop, "127.0.0.1:0", 16, false, limits) {
-    core.update(ListKind::full, 1,
-                {{"r", "127.0.0.1:1", "a", "r", 0, Phase::ready, 1, Micros(0)},
-                 {"w", "127.0.0.1:1", "a", "w", 0, Phase::ready, 1, Micros(0)}});
+    core.update_endpoints(EndpointListKind::full, 1,
+                          {{"r", "127.0.0.1:1", "a", "r", 0, EndpointState::ready, 1, Micros(0)},
+                           {"w", "127.0.0.1:1", "a", "w", 0, EndpointState::ready, 1, Micros(0)}});
     server.add(front);
     server.add(health);
     server.add(reflection);
@@ -451,11 +455,11 @@
       return bed.connection_error({PROTOCOL_ERROR});
     const auto* reset = bed.peer->find(RST_STREAM, 257);
     if (!reset)
-      return "the 129th is not refused; open: " + std::to_string(bed.core.open()) +
+      return "the 129th is not refused; open: " + std::to_string(bed.core.open_requests()) +
              ", begun: " + std::to_string(bed.nodes.begun) + (bed.peer->closed ? ", closed" : "");
     if (bed.peer->code(*reset) != REFUSED_STREAM)
       return "code " + std::to_string(bed.peer->code(*reset));
-    return bed.expect(std::to_string(bed.core.open()), "128");
+    return bed.expect(std::to_string(bed.core.open_requests()), "128");
   });
   list.add("RFC9113 6.4", "RST_STREAM ends the call, and what was done for it", [](Bed& bed) {
     bed.nodes.hold = 1;
@@ -463,7 +467,7 @@
     bed.peer->until([&] { return bed.nodes.begun == 1; });
     bed.peer->send(frame(RST_STREAM, NONE, 1, number(CANCEL)));
     bed.peer->until([&] { return bed.nodes.gone == 1; });
-    if (bed.nodes.gone != 1 || bed.core.open() != 0)
+    if (bed.nodes.gone != 1 || bed.core.open_requests() != 0)
       return string("the attempt goes on");
     bed.nodes.hold = 0;
     return bed.alive(3);
@@ -496,7 +500,7 @@
     bed.peer->until([&] { return bed.nodes.begun == 2; });
     bed.peer->drop();
     bed.peer->until([&] { return bed.nodes.gone == 2; });
-    return bed.expect(std::to_string(bed.core.open()), "0");
+    return bed.expect(std::to_string(bed.core.open_requests()), "0");
   });
   // SETTINGS.
   list.connection("RFC9113 6.5.2", "ENABLE_PUSH of 2",
@@ -682,7 +686,7 @@
     bed.nodes.hold = 1;
     bed.hello().send(bed.open(1, {{"grpc-timeout", "1m"}}) + bed.body(1, bed.generate()));
     bed.peer->until([&] {
-      bed.core.run_due();
+      bed.core.run_timers();
       return bed.peer->over(1);
     });
     return bed.expect(bed.status_of(1), "4");
@@ -845,7 +849,7 @@
     return bed.expect(std::to_string(bed.peer->body(1).size()), "24");
   });
   list.add("gRPC answers", "a refusal says when to come back, for programs too", [](Bed& bed) {
-    bed.core.update(ListKind::full, 2, {});
+    bed.core.update_endpoints(EndpointListKind::full, 2, {});
     bed.hello().send(bed.open(1) + bed.body(1, bed.generate()));
     if (const auto wrong = bed.expect(bed.status_of(1), "14"); !wrong.empty())
       return wrong;
@@ -1013,7 +1017,7 @@
         bed.peer->until([&] { return bed.peer->find(RST_STREAM, 1) != nullptr; }, 12000);
         if (!bed.peer->find(RST_STREAM, 1))
           return string("it is kept");
-        return bed.expect(std::to_string(bed.core.open()), "0");
+        return bed.expect(std::to_string(bed.core.open_requests()), "0");
       },
       quick);
   grpc::Session::Limits idle;
--- a/tests/core/drawn.h
+++ b/tests/core/drawn.h
@@ -34,34 +34,35 @@
   // Classes of each effect, in any order; short windows, short deadlines, any number of attempts.
   Settings settings() {
     Settings s;
-    for (const auto& [name, effect] :
-         {std::pair("draft", Effect::safe), {"keyed", Effect::keyed}, {"once", Effect::unsafe}}) {
+    for (const auto& [name, effect] : {std::pair("draft", Idempotency::idempotent),
+                                       {"keyed", Idempotency::idempotent_with_key},
+                                       {"once", Idempotency::not_idempotent}}) {
       ClassSettings c;
       c.name = name;
-      c.effect = effect;
-      c.group = any({Group::all, Group::zone, Group::cell});
+      c.idempotency = effect;
+      c.retry_scope = any({RetryScope::all, RetryScope::zone, RetryScope::cell});
       c.deadline = any<Micros>({200ms, 500ms, 1s, 2s, 3s, 6s});
-      c.aim = c.deadline / 3;
-      c.window = any<Micros>({50ms, 200ms, 500ms, 1s, 5s});
-      c.stream = true;
+      c.latency_objective = c.deadline / 3;
+      c.retry_window = any<Micros>({50ms, 200ms, 500ms, 1s, 5s});
+      c.streaming = true;
       s.classes.push_back(c);
     }
     shuffle(s.classes);
-    s.kind_role = {Role::read, Role::write, Role::both};
+    s.kind_role = {Role::prefill, Role::decode, Role::mixed};
     s.kind_memory = {200000, 150000, 150000};
     s.max_attempts = any<std::uint32_t>({1, 2, 2, 3, 3, 4, 4, 5, 5, 6, 6});
-    s.may_cancel = one_in(2);
-    s.retry_after = one_in(2);
+    s.cancellation_allowed = one_in(2);
+    s.retry_after_allowed = one_in(2);
     s.max_retry_after = 500ms;
-    s.release_within = any<Micros>({500ms, 1s});
+    s.reservation_release_timeout = any<Micros>({500ms, 1s});
     s.connect_timeout = any<Micros>({100ms, 250ms, 1s});
     s.drain_grace = 500ms;
-    s.cold_for = 5s;
-    s.cold_from = 0.3;
-    s.fall_window = any<Micros>({1s, 3s});
-    s.fall_multiple = 3;
-    s.siblings = static_cast<std::uint32_t>(1 + below(3));
-    s.tick = 2ms;
+    s.slow_start_duration = 5s;
+    s.slow_start_initial_capacity = 0.3;
+    s.overload_window = any<Micros>({1s, 3s});
+    s.overload_factor = 3;
+    s.router_count = static_cast<std::uint32_t>(1 + below(3));
+    s.min_batch_interval = 2ms;
     return s;
   }
 
--- a/tests/core/grpc_client_test.cpp
+++ b/tests/core/grpc_client_test.cpp
@@ -10,10 +10,10 @@
 namespace lemonroute::conformance {
 namespace {
 
-struct Noted : Attempt {
-  void written() override {}
-  void event(std::string_view) override {}
-  void done(Result result) override {
+struct Noted : AttemptHandler {
+  void on_request_written() override {}
+  void on_data(std::string_view) override {}
+  void on_done(AttemptResult result) override {
     outcome = result.outcome;
     call.reset();
   }
@@ -37,7 +37,7 @@
   ~GrpcUnsent() override { close(door); }
   void begin(Noted& noted, const string& id) {
     noted.call =
-        client.begin(node, {id, "/", std::make_shared<string>("{}")}, std::chrono::seconds(3), noted);
+        client.start_attempt(node, {id, "/", std::make_shared<string>("{}")}, std::chrono::seconds(3), noted);
   }
   // The node, once it has taken the connection.
   void accept(std::uint32_t streams) {
@@ -73,11 +73,11 @@
 TEST_F(GrpcUnsent, WhatIsLetGoOfBeforeTheConnectionIsUpIsNotWritten) {
   Noted gone, stays;
   begin(gone, "gone");
-  EXPECT_TRUE(gone.call->unsent());
+  EXPECT_TRUE(gone.call->not_sent());
   // In the turn of the loop in which the connection comes up, and behind the session's own job that hands on
   // what is to be sent.
   loop.defer([&] {
-    EXPECT_TRUE(gone.call->unsent());
+    EXPECT_TRUE(gone.call->not_sent());
     gone.call.reset();
   });
   event_base_loop(loop.base(), EVLOOP_NONBLOCK);
@@ -86,7 +86,7 @@
   ASSERT_TRUE(peer->until([&] { return !asked().empty(); }));
   peer->settle();
   EXPECT_EQ(asked(), Ids{"stays"});
-  EXPECT_FALSE(stays.call->unsent());
+  EXPECT_FALSE(stays.call->not_sent());
 }
 
 TEST_F(GrpcUnsent, WhatIsLetGoOfWhileItWaitsForAPlaceIsNotWritten) {
@@ -94,10 +94,10 @@
   begin(first, "first");
   accept(1);
   ASSERT_TRUE(peer->until([&] { return peer->over(1); }));
-  EXPECT_FALSE(first.call->unsent());
+  EXPECT_FALSE(first.call->not_sent());
   begin(gone, "gone");
   peer->settle();
-  EXPECT_TRUE(gone.call->unsent());
+  EXPECT_TRUE(gone.call->not_sent());
   gone.call.reset();
   begin(last, "last");
   peer->settle();
--- a/tests/core/grpc_front_test.cpp
+++ b/tests/core/grpc_front_test.cpp
@@ -19,7 +19,7 @@
     logging::set_level(logging::Level::error);
     std::signal(SIGPIPE, SIG_IGN);
     nodes.many = true;
-    core.update(ListKind::full, 1, {test::Bed::node("r"), test::Bed::node("w")});
+    core.update_endpoints(EndpointListKind::full, 1, {test::Bed::node("r"), test::Bed::node("w")});
     server.add(front);
     peer = std::make_unique<Peer>(loop, Peer::dial(server.port()));
   }
@@ -46,10 +46,10 @@
     ASSERT_TRUE(peer->until([&] { return nodes.begun.size() > before; }));
   }
   // Its prompt is read, and a writer has it.
-  void read() { nodes.begun.back().attempt->done({Outcome::read, 0, {}, {}}); }
-  Attempt& writer() { return *nodes.begun.back().attempt; }
+  void read() { nodes.begun.back().attempt->on_done({Outcome::prefill_done, 0, {}, {}}); }
+  AttemptHandler& writer() { return *nodes.begun.back().attempt; }
   bool gone() {
-    return peer->until([&] { return core.open() == 0; });
+    return peer->until([&] { return core.open_requests() == 0; });
   }
 
   net::Loop loop;
@@ -78,9 +78,9 @@
     hello();
     ask(1);
     half ? peer->end() : peer->drop();
-    for (int i = 0; i < 4000 && core.open() > 0; ++i)
+    for (int i = 0; i < 4000 && core.open_requests() > 0; ++i)
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
-    EXPECT_EQ(core.open(), 0u);
+    EXPECT_EQ(core.open_requests(), 0u);
     EXPECT_FALSE(nodes.begun.back().open);
   }
 }
@@ -92,10 +92,10 @@
   ask(1);
   peer->send(frame(GOAWAY, NONE, 0, number(0) + number(NO_ERROR)));
   peer->settle();
-  EXPECT_EQ(core.open(), 1u);
+  EXPECT_EQ(core.open_requests(), 1u);
   read();
-  writer().event("a");
-  writer().done({Outcome::ok, 0, {}, {}});
+  writer().on_data("a");
+  writer().on_done({Outcome::ok, 0, {}, {}});
   EXPECT_TRUE(peer->until([&] { return peer->field(1, "grpc-status") == "0"; }));
 
   peer = std::make_unique<Peer>(loop, Peer::dial(server.port()));
@@ -117,16 +117,16 @@
     read();
     const string much(32 * 1024, 'x');
     for (int i = 0; i < 2000; ++i) {  // far more than sockets hold
-      writer().event(much);
+      writer().on_data(much);
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);  // and the peer does not read
       if (window && i == 4)
         break;
     }
     EXPECT_TRUE(nodes.begun.back().open);
     peer->send(frame(RST_STREAM, NONE, 1, number(CANCEL)));
-    for (int i = 0; i < 4000 && core.open() > 0; ++i)
+    for (int i = 0; i < 4000 && core.open_requests() > 0; ++i)
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
-    EXPECT_EQ(core.open(), 0u);
+    EXPECT_EQ(core.open_requests(), 0u);
     EXPECT_FALSE(nodes.begun.back().open);
   }
 }
@@ -136,16 +136,16 @@
   hello(setting(4, 100));
   ask(1);
   read();
-  Attempt& slow = writer();
+  AttemptHandler& slow = writer();
   for (int i = 0; i < 4; ++i)
-    slow.event(string(40000, 'x'));
+    slow.on_data(string(40000, 'x'));
   peer->settle();
   ask(3);
   read();
-  Attempt& quick = writer();
+  AttemptHandler& quick = writer();
   peer->send(frame(WINDOW_UPDATE, NONE, 3, number(100000)));
   for (const char* text : {"one", "two", "three"}) {
-    quick.event(text);
+    quick.on_data(text);
     EXPECT_TRUE(peer->until([&] { return peer->body(3).find(text) != string::npos; })) << text;
   }
   EXPECT_LE(peer->body(1).size(), 100u);
@@ -158,8 +158,8 @@
   server.stop_accepting();
   peer->settle();
   read();
-  writer().event("a");
-  writer().done({Outcome::ok, 0, {}, {}});
+  writer().on_data("a");
+  writer().on_done({Outcome::ok, 0, {}, {}});
   ASSERT_TRUE(peer->until([&] { return peer->closed; }));  // the end has come
   EXPECT_EQ(peer->field(1, "grpc-status"), "0");
   for (int i = 0; i < 20; ++i)
--- a/tests/core/http_client_test.cpp
+++ b/tests/core/http_client_test.cpp
@@ -12,10 +12,10 @@
 namespace lemonroute {
 namespace {
 
-struct Unheard : Attempt {
-  void written() override {}
-  void event(std::string_view) override {}
-  void done(Result) override {}
+struct Unheard : AttemptHandler {
+  void on_request_written() override {}
+  void on_data(std::string_view) override {}
+  void on_done(AttemptResult) override {}
 };
 
 // In the turn of the loop in which the connection comes up, and then once more with one that is kept.
@@ -35,9 +35,9 @@
   http::NodeClient client(loop, http::ClientLimits{});
   Node node;
   node.address = "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
-  const auto begin = [&](const char* id, Attempt& attempt) {
-    return client.begin(node, {id, "/", std::make_shared<std::string>("{}")}, std::chrono::seconds(3),
-                        attempt);
+  const auto begin = [&](const char* id, AttemptHandler& attempt) {
+    return client.start_attempt(node, {id, "/", std::make_shared<std::string>("{}")}, std::chrono::seconds(3),
+                                attempt);
   };
   const auto turn = [&] {
     for (int i = 0; i < 50; ++i)
@@ -54,14 +54,14 @@
   };
   Unheard unheard;
   auto gone = begin("gone", unheard);
-  EXPECT_TRUE(gone->unsent());
+  EXPECT_TRUE(gone->not_sent());
   loop.defer([&] { gone.reset(); });
   turn();
   take();
   EXPECT_EQ(came, "");
   auto stays = begin("stays", unheard);
   turn();
-  EXPECT_FALSE(stays->unsent());
+  EXPECT_FALSE(stays->not_sent());
   take();
   EXPECT_NE(came.find("Req-Id: stays"), std::string::npos);
   EXPECT_EQ(came.find("gone"), std::string::npos);
--- a/tests/core/play.cpp
+++ b/tests/core/play.cpp
@@ -15,15 +15,16 @@
 rules::Limits Play::limits_of(const Settings& settings) {
   rules::Limits limits;
   limits.drain_grace = settings.drain_grace;
-  limits.held = settings.release_within + 300ms;  // the way of the call included
-  limits.cold_for = settings.cold_for;
-  limits.cold_window = settings.fall_window;
-  limits.cold_from = settings.cold_from;
-  limits.siblings = settings.siblings;
+  limits.held = settings.reservation_release_timeout + 300ms;  // the way of the call included
+  limits.cold_for = settings.slow_start_duration;
+  limits.cold_window = settings.overload_window;
+  limits.cold_from = settings.slow_start_initial_capacity;
+  limits.siblings = settings.router_count;
   // Of requests of mean work a cold node bears n, and what chance adds to that.
-  const double tokens = settings.cold_from * capacity *
-                        std::chrono::duration<double>(settings.fall_window).count() / settings.siblings;
-  const double n = settings.fall_multiple * tokens / mean_prompt;
+  const double tokens = settings.slow_start_initial_capacity * capacity *
+                        std::chrono::duration<double>(settings.overload_window).count() /
+                        settings.router_count;
+  const double n = settings.overload_factor * tokens / mean_prompt;
   limits.cold_multiple = (n + 3 * std::sqrt(n) + 3) * mean_prompt / tokens;
   return limits;
 }
@@ -42,8 +43,8 @@
     place.name = name;
     place.zone = draw_.one_in(2) ? "z1" : "z2";
     place.cell = static_cast<std::uint16_t>(1 + draw_.below(2));
-    place.role = name[0] == 'r' ? Role::read : name[0] == 'w' ? Role::write : Role::both;
-    monitor_.placed(name, place.zone, place.cell, place.role != Role::read);
+    place.role = name[0] == 'r' ? Role::prefill : name[0] == 'w' ? Role::decode : Role::mixed;
+    monitor_.placed(name, place.zone, place.cell, place.role != Role::prefill);
   }
   list_all();
 }
@@ -81,7 +82,7 @@
 void Play::go() {
   const Micros end = clock_.at + most_time + settles_for;
   while (fault_.empty()) {
-    const auto ours = timers_.next(), theirs = core_.next_due();
+    const auto ours = timers_.next_due(), theirs = core_.next_timer();
     if (!ours && (!theirs || core_.idle()))
       return;
     const Micros next = std::min(ours.value_or(Micros::max()), theirs.value_or(Micros::max()));
@@ -92,9 +93,9 @@
       return;
     monitor_.advance(clock_.at);
     if (ours && *ours <= next)
-      timers_.run(clock_.at);
+      timers_.run_due(clock_.at);
     else
-      core_.run_due();
+      core_.run_timers();
   }
 }
 
@@ -116,23 +117,23 @@
   const std::string name = "q" + std::to_string(askers_.size());
   auto& one = *(askers_[name] = std::make_unique<Asker>(*this, name));
   const auto& c = settings_.classes[draw_.below(settings_.classes.size())];
-  one.effect = c.effect;
+  one.effect = c.idempotency;
   ClientRequest client_request;
   client_request.prompt = {name, "/", std::make_shared<std::string>("{}")};
-  client_request.kind = c.name;
-  client_request.session = draw_.below(5);
-  client_request.shared = draw_.below(3);
-  client_request.budget = draw_.one_in(3) ? 100ms + draw_.up_to(4s) : c.deadline;
+  client_request.request_class = c.name;
+  client_request.session_key = draw_.below(5);
+  client_request.shared_prefix_key = draw_.below(3);
+  client_request.time_budget = draw_.one_in(3) ? 100ms + draw_.up_to(4s) : c.deadline;
   client_request.prompt_tokens = static_cast<double>(50 + draw_.below(1000));
   one.tokens = client_request.prompt_tokens;
-  client_request.shared_tokens = client_request.prompt_tokens / 2;
-  client_request.max_output = 100;
-  monitor_.taken(clock_.at, name, clock_.at + client_request.budget, settings_.max_attempts,
-                 {c.effect, c.group, c.window});
-  if (core_.take(client_request, one, one.id) != Router::Taken::yes)
+  client_request.shared_prefix_tokens = client_request.prompt_tokens / 2;
+  client_request.max_output_tokens = 100;
+  monitor_.taken(clock_.at, name, clock_.at + client_request.time_budget, settings_.max_attempts,
+                 {c.idempotency, c.retry_scope, c.retry_window});
+  if (core_.submit(client_request, one, one.id) != Router::SubmitResult::accepted)
     fault(name + " is not taken");
   if (draw_.one_in(3))
-    at(clock_.at + draw_.up_to(draw_.one_in(2) ? client_request.budget : client_request.budget / 8),
+    at(clock_.at + draw_.up_to(draw_.one_in(2) ? client_request.time_budget : client_request.time_budget / 8),
        [this, &one] { leave(one); });
 }
 
@@ -143,7 +144,7 @@
   if (std::none_of(settings_.classes.begin(), settings_.classes.end(),
                    [](auto& c) { return c.deadline >= 3s; }))
     return;
-  const Role role = draw_.any({Role::read, Role::write});
+  const Role role = draw_.any({Role::prefill, Role::decode});
   for (auto& [name, place] : nodes_)
     if (place.role == role && !draw_.one_in(3))
       start(place);
@@ -158,36 +159,36 @@
   ++seen_.left;
   seen_.left_waiting += one.live && !one.live->sent;
   monitor_.left(clock_.at, one.name);
-  core_.gone(one.id);
-  if (one.live && (settings_.may_cancel || one.live->begun || !one.live->sent))
+  core_.client_disconnected(one.id);
+  if (one.live && (settings_.cancellation_allowed || one.live->begun || !one.live->sent))
     fault(one.name + "'s attempt goes on, its client has gone");
 }
 
 void Play::end_waits() {
   waits_end_ = clock_.at + draw_.up_to(1s);
   ++seen_.ended_early;
-  core_.end_waits(*waits_end_);
+  core_.set_shutdown_deadline(*waits_end_);
 }
 
 // ---- Nodes, discovery and operators
 // -------------------------------------------------------------------------
 
-Router::Listed Play::entry(const Place& place) const {
+Router::ListedNode Play::entry(const Place& place) const {
   return {place.name, "127.0.0.1:1", place.zone, place.name.substr(0, 1),
           place.cell, place.phase,   1,          place.started};
 }
 void Play::list(Place& place) {
   monitor_.listed(clock_.at, place.name, place.phase, place.started, capacity);
-  core_.update(ListKind::delta, ++version_, {entry(place)});
+  core_.update_endpoints(EndpointListKind::incremental, ++version_, {entry(place)});
 }
 void Play::list_all() {
-  std::vector<Router::Listed> all;
+  std::vector<Router::ListedNode> all;
   for (auto& [name, place] : nodes_) {
     monitor_.listed(clock_.at, name, place.phase, place.started, capacity);
-    if (place.phase != Phase::gone)
+    if (place.phase != EndpointState::removed)
       all.push_back(entry(place));
   }
-  core_.update(ListKind::full, ++version_, all);
+  core_.update_endpoints(EndpointListKind::full, ++version_, all);
 }
 
 void Play::trouble() {
@@ -196,7 +197,8 @@
   Place& place = it->second;
   // A state is let go of in time past two lost nodes, not past any number.
   const auto lost = std::count_if(nodes_.begin(), nodes_.end(), [&](auto& one) {
-    return one.second.phase != Phase::gone && (!one.second.alive || clock_.at < one.second.silent_until);
+    return one.second.phase != EndpointState::removed &&
+           (!one.second.alive || clock_.at < one.second.silent_until);
   });
   switch (lost < 2 ? draw_.below(7) : 4 + draw_.below(3)) {
     case 0:
@@ -211,7 +213,7 @@
         place.alive = true;
         at(clock_.at + draw_.up_to(500ms), [this, &place, since = clock_.at] {
           place.started = since;
-          place.phase = Phase::ready;
+          place.phase = EndpointState::ready;
           list(place);
         });
       });
@@ -221,11 +223,11 @@
     case 4:
       return list_all();
     case 5: {
-      if (core_.take_out(place.name) != Router::Ordered::done)
+      if (core_.drain_node(place.name) != Router::OverrideResult::applied)
         return;
       monitor_.banned(clock_.at, place.name);
       return at(clock_.at + draw_.up_to(2s), [this, &place] {
-        core_.put_back(place.name);
+        core_.undrain_node(place.name);
         monitor_.unbanned(clock_.at, place.name);
       });
     }
@@ -236,7 +238,7 @@
 
 // A network cut: all nodes of one role but one fall silent together, and those of the other role as it ends.
 void Play::cut_off() {
-  Role role = draw_.any({Role::read, Role::write});
+  Role role = draw_.any({Role::prefill, Role::decode});
   Micros from = clock_.at;
   for (auto cuts = 1 + draw_.below(2); cuts > 0; --cuts) {
     const Micros until = from + 200ms + draw_.up_to(2s);
@@ -244,28 +246,28 @@
       ++seen_.cuts;
       bool spared = false;
       for (auto& [name, place] : nodes_)
-        if (place.role == role && place.phase == Phase::ready && std::exchange(spared, true))
+        if (place.role == role && place.phase == EndpointState::ready && std::exchange(spared, true))
           place.silent_until = std::max(place.silent_until, until);
     });
     from = until;
-    role = role == Role::read ? Role::write : Role::read;
+    role = role == Role::prefill ? Role::decode : Role::prefill;
   }
 }
 
 void Play::drain(Place& place) {  // and it comes back, or goes
-  place.phase = Phase::draining;
+  place.phase = EndpointState::draining;
   list(place);
   at(clock_.at + draw_.up_to(3s), [this, &place] {
     if (draw_.one_in(2))
       return go_away(place);
-    place.phase = Phase::ready;
+    place.phase = EndpointState::ready;
     list(place);
   });
 }
 
 void Play::go_away(Place& place) {  // for good: its process has ended
   die(place);
-  place.phase = Phase::gone;
+  place.phase = EndpointState::removed;
   list(place);
 }
 
@@ -274,19 +276,19 @@
     die(place);
   place.alive = true;
   place.started = clock_.at;
-  place.phase = Phase::ready;
+  place.phase = EndpointState::ready;
   list(place);
 }
 
 // What SIGHUP may bring. What was taken keeps the terms of its class.
 void Play::retune() {
   // A state that waits already is judged by one figure.
-  const Micros within = settings_.release_within;
+  const Micros within = settings_.reservation_release_timeout;
   settings_ = draw_.settings();
-  settings_.release_within = within;
-  seen_.retuned_open += core_.open() > 0;
+  settings_.reservation_release_timeout = within;
+  seen_.retuned_open += core_.open_requests() > 0;
   monitor_.limit(limits_of(settings_));
-  core_.retune(settings_, {"z1", "z2"}, {"r", "w", "m"});
+  core_.update_settings(settings_, {"z1", "z2"}, {"r", "w", "m"});
 }
 
 }  // namespace lemonroute::property
--- a/tests/core/play.h
+++ b/tests/core/play.h
@@ -22,7 +22,7 @@
       ended_early = 0, released = 0, late_connections = 0, cuts = 0, ended_after_hang = 0;
 };
 
-class Play : Nodes {
+class Play : NodeTransport {
  public:
   Play(std::uint64_t seed, Seen& seen);
   ~Play() override;
@@ -33,8 +33,8 @@
   struct Place {
     std::string name, zone;
     std::uint16_t cell = 0;
-    Role role = Role::read;
-    Phase phase = Phase::ready;
+    Role role = Role::prefill;
+    EndpointState phase = EndpointState::ready;
     Micros started{}, silent_until{};
     bool alive = true;
     int starts = 0;  // processes of it that have ended
@@ -48,13 +48,15 @@
   struct Asker;
   struct Releasing;
 
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
-                              Attempt& attempt) override;
-  std::unique_ptr<Call> release(const Node& node, const std::string& id,
-                                std::function<void(bool)> done) override;
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override;
+  std::unique_ptr<Call> release_reservation(const Node& node, const std::string& id,
+                                            std::function<void(bool)> done) override;
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
 
   void plan();
   void go();
@@ -76,7 +78,7 @@
   void read(Run& run);
   void write(Run& run);
   void stream(Run& run, int left);
-  void end(Run& run, Result result);
+  void end(Run& run, AttemptResult result);
   void let_go(Run& run);
   void hold(const std::string& request, Place& place);
   void end_well(const std::string& request, Place& place);
@@ -85,7 +87,7 @@
   void at(Micros when, std::function<void()> job) { timers_.add(when, std::move(job)); }
   void later(Run& run, Micros after, std::function<void()> job);
   static rules::Limits limits_of(const Settings& settings);
-  Router::Listed entry(const Place& place) const;
+  Router::ListedNode entry(const Place& place) const;
   void fault(const std::string& what) {
     if (fault_.empty())
       fault_ = what;
--- a/tests/core/play_nodes.cpp
+++ b/tests/core/play_nodes.cpp
@@ -3,7 +3,7 @@
 
 namespace lemonroute::property {
 
-void Play::Run::hold_back(bool on) {
+void Play::Run::pause_reading(bool on) {
   held_back = on;
   if (on || !std::exchange(paused, false))
     return;
@@ -32,7 +32,7 @@
 
 void Play::later(Run& run, Micros after, std::function<void()> job) {
   if (run.timer)
-    timers_.drop(*run.timer);
+    timers_.cancel(*run.timer);
   run.timer = timers_.add(clock_.at + after, [&run, job = std::move(job)] {
     run.timer.reset();
     const auto kept = job;  // the call may be let go of, and this with it
@@ -40,7 +40,8 @@
   });
 }
 
-std::unique_ptr<Call> Play::begin(const Node& node, const Prompt& prompt, Micros, Attempt& attempt) {
+std::unique_ptr<Call> Play::start_attempt(const Node& node, const Prompt& prompt, Micros,
+                                          AttemptHandler& attempt) {
   Asker& asker = *askers_.at(prompt.id);
   if (asker.live)
     fault(prompt.id + " has two attempts out at once");
@@ -75,28 +76,29 @@
 void Play::send(Run& run) {
   Asker& asker = run.asker;
   run.sent = true;
-  seen_.to_leaving += run.place.phase != Phase::ready;
-  if (run.place.role != Role::read && asker.served_at)
-    ++(asker.effect == Effect::keyed ? seen_.keyed_repeats : seen_.repeats);
+  seen_.to_leaving += run.place.phase != EndpointState::ready;
+  if (run.place.role != Role::prefill && asker.served_at)
+    ++(asker.effect == Idempotency::idempotent_with_key ? seen_.keyed_repeats : seen_.repeats);
   monitor_.sent(clock_.at, asker.name, run.place.name, asker.tokens);
   if (clock_.at < run.place.silent_until)
     return;
-  run.place.role == Role::write ? write(run) : read(run);
+  run.place.role == Role::decode ? write(run) : read(run);
 }
 
 void Play::read(Run& run) {
   const Micros alone(static_cast<Micros::rep>(run.asker.tokens / capacity * 1e6));
   const Micros span = alone + draw_.up_to(draw_.one_in(4) ? 800ms : 50ms);
   const auto outcome =
-      draw_.any({Outcome::read, Outcome::read, Outcome::read, Outcome::read, Outcome::read, Outcome::full,
-                 Outcome::error, Outcome::reset, Outcome::connect_failed, Outcome::timeout});
+      draw_.any({Outcome::prefill_done, Outcome::prefill_done, Outcome::prefill_done, Outcome::prefill_done,
+                 Outcome::prefill_done, Outcome::rejected_over_capacity, Outcome::error, Outcome::reset,
+                 Outcome::connect_failed, Outcome::timeout});
   if (outcome == Outcome::timeout)
     return;  // it never says a word
   later(run, span, [this, &run, outcome] {
-    const bool well = outcome == Outcome::read;
-    if (well && run.place.role == Role::both)
+    const bool well = outcome == Outcome::prefill_done;
+    if (well && run.place.role == Role::mixed)
       return stream(run, 3);
-    if (well || (outcome == Outcome::reset && run.place.role == Role::read && draw_.one_in(2)))
+    if (well || (outcome == Outcome::reset && run.place.role == Role::prefill && draw_.one_in(2)))
       hold(run.asker.name, run.place);
     end(run, {outcome, 0, {}, {}});
   });
@@ -105,12 +107,13 @@
 void Play::write(Run& run) {
   const bool there = std::any_of(nodes_.begin(), nodes_.end(),
                                  [&](auto& one) { return one.second.held.count(run.asker.name) > 0; });
-  const auto outcome = draw_.any({Outcome::ok, Outcome::ok, Outcome::ok, Outcome::ok, Outcome::full,
-                                  Outcome::error, Outcome::reset, Outcome::connect_failed, Outcome::timeout});
+  const auto outcome =
+      draw_.any({Outcome::ok, Outcome::ok, Outcome::ok, Outcome::ok, Outcome::rejected_over_capacity,
+                 Outcome::error, Outcome::reset, Outcome::connect_failed, Outcome::timeout});
   const Micros span = hop + draw_.up_to(draw_.one_in(4) ? 600ms : 80ms);
   if (!there || draw_.one_in(16)) {
     ++seen_.lost_state;
-    return later(run, hop, [this, &run] { end(run, {Outcome::full, 1, {}, {}}); });
+    return later(run, hop, [this, &run] { end(run, {Outcome::rejected_over_capacity, 1, {}, {}}); });
   }
   if (outcome == Outcome::timeout)
     return;
@@ -133,7 +136,7 @@
   Asker& asker = run.asker;
   Place& place = run.place;
   const int before = asker.events;
-  run.attempt.event("x");
+  run.attempt.on_data("x");
   if (asker.open && asker.events != before + 1)
     fault(asker.name + " waits for an event that has come");
   if (!place.calls.count(&run))
@@ -150,26 +153,26 @@
   });
 }
 
-void Play::end(Run& run, Result result) {
+void Play::end(Run& run, AttemptResult result) {
   run.over = true;
   if (run.timer)
-    timers_.drop(*run.timer);
+    timers_.cancel(*run.timer);
   run.timer.reset();
   const bool ran =
-      run.begun || (result.outcome != Outcome::full && result.outcome != Outcome::connect_failed &&
-                    result.outcome != Outcome::read);
+      run.begun || (result.outcome != Outcome::rejected_over_capacity &&
+                    result.outcome != Outcome::connect_failed && result.outcome != Outcome::prefill_done);
   if (run.sent) {
     monitor_.over(clock_.at, run.asker.name, run.place.name, ran);
-    run.asker.served_at |= ran && run.place.role != Role::read;
+    run.asker.served_at |= ran && run.place.role != Role::prefill;
   }
   run.asker.live = nullptr;
-  run.attempt.done(std::move(result));  // the call is gone now
+  run.attempt.on_done(std::move(result));  // the call is gone now
 }
 
 // The core has let go of it. A read may have ended well in that very moment.
 void Play::let_go(Run& run) {
   if (run.timer)
-    timers_.drop(*run.timer);
+    timers_.cancel(*run.timer);
   run.place.calls.erase(&run);
   if (run.over)
     return;
@@ -177,10 +180,10 @@
   if (!run.sent)
     return void(++seen_.unsent_dropped);
   run.asker.closed_at = clock_.at;
-  if (run.place.role == Role::read && run.place.alive && draw_.one_in(3))
+  if (run.place.role == Role::prefill && run.place.alive && draw_.one_in(3))
     end_well(run.asker.name, run.place);
   monitor_.over(clock_.at, run.asker.name, run.place.name);
-  run.asker.served_at |= run.place.role != Role::read;
+  run.asker.served_at |= run.place.role != Role::prefill;
 }
 
 // At once, or when its node goes on after a hang, unless it is another process by then.
@@ -197,7 +200,8 @@
   });
 }
 
-std::unique_ptr<Call> Play::release(const Node& node, const std::string& id, std::function<void(bool)> done) {
+std::unique_ptr<Call> Play::release_reservation(const Node& node, const std::string& id,
+                                                std::function<void(bool)> done) {
   auto call = std::make_unique<Releasing>(*this);
   Place& place = nodes_.at(node.name);
   if (clock_.at < place.silent_until)
--- a/tests/core/play_parts.h
+++ b/tests/core/play_parts.h
@@ -10,17 +10,17 @@
 constexpr double capacity = 8000;
 
 struct Play::Run : Call {
-  Run(Play& play, Place& place, Asker& asker, Attempt& attempt)
+  Run(Play& play, Place& place, Asker& asker, AttemptHandler& attempt)
       : play(play), place(place), asker(asker), attempt(attempt) {
     place.calls.insert(this);
   }
   ~Run() override { play.let_go(*this); }
-  bool unsent() const override { return !sent; }
-  void hold_back(bool on) override;
+  bool not_sent() const override { return !sent; }
+  void pause_reading(bool on) override;
   Play& play;
   Place& place;
   Asker& asker;
-  Attempt& attempt;
+  AttemptHandler& attempt;
   bool sent = false, begun = false, over = false, held_back = false, paused = false;
   int left = 0;  // events of its stream
   std::optional<Timers::Id> timer;
@@ -28,7 +28,7 @@
 
 struct Play::Asker : Client {
   Asker(Play& play, std::string name) : play(play), name(std::move(name)) {}
-  bool event(std::string_view) override {
+  bool on_data(std::string_view) override {
     ++events;
     if (!std::exchange(begun, true))
       play.monitor_.first(play.clock_.at, name);
@@ -37,20 +37,21 @@
     ++play.seen_.held_back;
     play.at(play.clock_.at + play.draw_.up_to(300ms), [this] {
       if (open)
-        play.core_.drained(id);
+        play.core_.resume_stream(id);
     });
     return false;
   }
   void finish() override { end(play.seen_.served, "served"); }
-  void refuse(Micros away) override {
-    if (away < Micros(0) || away > (play.settings_.retry_after ? play.settings_.max_retry_after : Micros(0)))
+  void reject(Micros away) override {
+    if (away < Micros(0) ||
+        away > (play.settings_.retry_after_allowed ? play.settings_.max_retry_after : Micros(0)))
       play.fault(name + " is told to stay away for longer than the settings allow");
     open = false;
     ++play.seen_.refused;
     play.monitor_.refused(play.clock_.at, name);
   }
-  void fail(Failure) override { end(play.seen_.failed, "failed"); }
-  void cut() override { end(play.seen_.cut, "cut"); }
+  void fail(FailureReason) override { end(play.seen_.failed, "failed"); }
+  void abort_stream() override { end(play.seen_.cut, "cut"); }
   void end(int& count, const char* how) {
     open = false;
     ++count;
@@ -59,7 +60,7 @@
   Play& play;
   std::string name;
   RequestId id = 0;
-  Effect effect = Effect::safe;
+  Idempotency effect = Idempotency::idempotent;
   bool open = true, begun = false;
   double tokens = 0;
   int events = 0;
@@ -72,7 +73,7 @@
   explicit Releasing(Play& play) : play(play) {}
   ~Releasing() override {
     if (timer)
-      play.timers_.drop(*timer);
+      play.timers_.cancel(*timer);
   }
   Play& play;
   std::optional<Timers::Id> timer;
--- a/tests/core/unsent_test.cpp
+++ b/tests/core/unsent_test.cpp
@@ -12,10 +12,11 @@
 struct SlowNodes : TestNodes {
   struct SlowCall : NoteCall {
     SlowCall(std::function<void()> over, const bool& unsent) : NoteCall(std::move(over)), unsent_(unsent) {}
-    bool unsent() const override { return unsent_; }
+    bool not_sent() const override { return unsent_; }
     const bool& unsent_;
   };
-  std::unique_ptr<Call> begin(const Node& node, const Prompt&, Micros, Attempt& attempt) override {
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt&, Micros,
+                                      AttemptHandler& attempt) override {
     begun.push_back({node.id, &attempt, true});
     return std::make_unique<SlowCall>([this, i = begun.size() - 1] { begun[i].open = false; }, unsent);
   }
@@ -26,34 +27,34 @@
   Unsent() { logging::set_level(logging::Level::error); }
   static Settings limits() {
     Settings s = settings();
-    s.may_cancel = false;
+    s.cancellation_allowed = false;
     s.drain_grace = 500ms;
-    s.release_within = 1s;
-    s.classes[0].effect = Effect::keyed;
-    s.classes[0].window = 400ms;
+    s.reservation_release_timeout = 1s;
+    s.classes[0].idempotency = Idempotency::idempotent_with_key;
+    s.classes[0].retry_window = 400ms;
     return s;
   }
   void start(std::vector<std::string> names, Settings with = limits()) {
     core.emplace(with, std::vector<std::string>{"a"}, std::vector<std::string>{"r", "w"}, 1, clock, nodes);
-    std::vector<Router::Listed> list;
+    std::vector<Router::ListedNode> list;
     for (const auto& name : names)
       list.push_back(Bed::node(name));
-    core->update(ListKind::full, 1, list);
+    core->update_endpoints(EndpointListKind::full, 1, list);
     ClientRequest client_request;
     client_request.prompt = {"q", "/", std::make_shared<std::string>("{}")};
-    client_request.kind = "k";
+    client_request.request_class = "k";
     client_request.prompt_tokens = 100;
-    ASSERT_EQ(core->take(client_request, client, id), Router::Taken::yes);
+    ASSERT_EQ(core->submit(client_request, client, id), Router::SubmitResult::accepted);
   }
-  void read() { end(Outcome::read); }
+  void read() { end(Outcome::prefill_done); }
   void end(Outcome outcome, std::uint32_t note = 0) {
-    nodes.begun.back().attempt->done({outcome, note, {}, {}});
+    nodes.begun.back().attempt->on_done({outcome, note, {}, {}});
   }
   void pass(Micros span) {
     clock.at += span;
-    core->run_due();
+    core->run_timers();
   }
-  std::string at() const { return core->name_of(nodes.begun.back().host); }
+  std::string at() const { return core->endpoint_name(nodes.begun.back().host); }
 
   TestClock clock;
   SlowNodes nodes;
@@ -65,7 +66,7 @@
 // The settings forbid to call off attempts; one of which no node has heard is none.
 TEST_F(Unsent, IsLetGoOfWithItsClient) {
   start({"r", "w"});
-  core->gone(id);
+  core->client_disconnected(id);
   EXPECT_FALSE(nodes.begun[0].open);
   EXPECT_TRUE(nodes.released.empty());  // nothing can be held for it
   EXPECT_TRUE(core->idle());
@@ -74,7 +75,7 @@
 TEST_F(Unsent, IsLetGoOfWithItsClientAtAWriterToo) {
   start({"r", "w"});
   read();
-  core->gone(id);
+  core->client_disconnected(id);
   EXPECT_EQ(nodes.begun.size(), 2u);
   EXPECT_FALSE(nodes.begun[1].open);
   EXPECT_EQ(nodes.released.size(), 1u);
@@ -84,22 +85,22 @@
   start({"r", "w"});
   read();
   nodes.unsent = false;
-  core->gone(id);
+  core->client_disconnected(id);
   EXPECT_TRUE(nodes.begun[1].open);
-  nodes.begun[1].attempt->event("a");
+  nodes.begun[1].attempt->on_data("a");
   EXPECT_TRUE(nodes.begun[1].open);  // whoever tells of an event is not let go of while it does
-  core->run_due();
+  core->run_timers();
   EXPECT_FALSE(nodes.begun[1].open);
   EXPECT_TRUE(core->idle());
   EXPECT_EQ(client.seen, "");
 }
 
 TEST_F(Unsent, DoesNotBeginLongAfterItsNodeLeaves) {
-  for (const Phase phase : {Phase::draining, Phase::gone}) {
+  for (const EndpointState phase : {EndpointState::draining, EndpointState::removed}) {
     nodes = {};
     start({"r", "r2", "w"});
     const std::string first = at();
-    core->update(ListKind::delta, 2, {Bed::node(first, phase)});
+    core->update_endpoints(EndpointListKind::incremental, 2, {Bed::node(first, phase)});
     pass(249ms);
     EXPECT_EQ(nodes.begun.size(), 1u);
     pass(1ms);
@@ -112,7 +113,7 @@
   // One that has left by then goes on.
   nodes = {};
   start({"r", "r2", "w"});
-  core->update(ListKind::delta, 2, {Bed::node(at(), Phase::draining)});
+  core->update_endpoints(EndpointListKind::incremental, 2, {Bed::node(at(), EndpointState::draining)});
   nodes.unsent = false;
   pass(400ms);
   EXPECT_TRUE(nodes.begun[0].open);
@@ -122,7 +123,7 @@
 TEST_F(Unsent, DoesNotBeginAtANodeThatIsOutByHand) {
   start({"r", "r2", "w"});
   const std::string first = at();
-  ASSERT_EQ(core->take_out(first), Router::Ordered::done);
+  ASSERT_EQ(core->drain_node(first), Router::OverrideResult::applied);
   pass(250ms);
   EXPECT_FALSE(nodes.begun[0].open);
   EXPECT_NE(at(), first);
@@ -172,7 +173,7 @@
 // only.
 TEST_F(Unsent, WhatACutReadLeftIsNotHeldForAnAttemptThatDoesNotBegin) {
   start({"r", "r2", "r3", "w"});
-  const HostId first = nodes.begun[0].host;
+  const EndpointId first = nodes.begun[0].host;
   end(Outcome::reset);
   ASSERT_EQ(nodes.begun.size(), 2u);
   pass(500ms);
@@ -192,7 +193,7 @@
   EXPECT_TRUE(nodes.begun[2].open);
   // Once it has ended well, a release would take its state away from the decode, for half of the settings'
   // time.
-  end(Outcome::read);
+  end(Outcome::prefill_done);
   ASSERT_EQ(nodes.begun.size(), 4u);
   for (int i = 0; i < 8; ++i)
     pass(60ms);
--- a/tests/crossings/core/called_off_test.cpp
+++ b/tests/crossings/core/called_off_test.cpp
@@ -9,7 +9,7 @@
   // time that a node has to hear of a call's end.
   void until_called_off() {
     Settings with = limits();
-    with.may_cancel = true;
+    with.cancellation_allowed = true;
     start(with);
     while (nodes.begun[0].open && clock.at < begin + with.classes[0].deadline)
       pass(step);
@@ -32,14 +32,14 @@
 
 TEST_F(CalledOff, ClientThatLeavesMeanwhileGetsNoNextAttempt) {
   until_called_off();
-  core->gone(id);
+  core->client_disconnected(id);
   expect_quiet(1, 0);
   EXPECT_EQ(nodes.released.size() > 0, true) << "the read may have ended well as it was cut";
 }
 
 TEST_F(CalledOff, EndOfWaitsMeanwhileIsAnswered) {
   until_called_off();
-  core->end_waits(clock.at + 1ms);
+  core->set_shutdown_deadline(clock.at + 1ms);
   pass(1ms);
   EXPECT_EQ(client.answers, 1);
   EXPECT_EQ(nodes.begun.size(), 1u);
--- a/tests/crossings/core/crossing_bed.h
+++ b/tests/crossings/core/crossing_bed.h
@@ -12,10 +12,11 @@
 struct WireNodes : TestNodes {
   struct WireCall : NoteCall {
     WireCall(std::function<void()> over, const bool& unsent) : NoteCall(std::move(over)), unsent_(unsent) {}
-    bool unsent() const override { return unsent_; }
+    bool not_sent() const override { return unsent_; }
     const bool& unsent_;
   };
-  std::unique_ptr<Call> begin(const Node& node, const Prompt&, Micros within, Attempt& attempt) override {
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt&, Micros within,
+                                      AttemptHandler& attempt) override {
     told.push_back(within);
     begun.push_back({node.id, &attempt, true});
     return std::make_unique<WireCall>([this, i = begun.size() - 1] { begun[i].open = false; }, unsent);
@@ -26,12 +27,12 @@
 
 struct Crossing : ::testing::Test {
   Crossing() { logging::set_level(logging::Level::error); }
-  static Settings limits(Effect effect = Effect::safe, Micros window = 1s) {
+  static Settings limits(Idempotency effect = Idempotency::idempotent, Micros window = 1s) {
     Settings s = settings();
-    s.release_within = 1s;
+    s.reservation_release_timeout = 1s;
     s.drain_grace = 500ms;
-    s.classes[0].effect = effect;
-    s.classes[0].window = window;
+    s.classes[0].idempotency = effect;
+    s.classes[0].retry_window = window;
     return s;
   }
   void start(Settings with, std::vector<std::string> names = {"r", "r2", "w", "w2"}) {
@@ -40,32 +41,32 @@
     client = {};
     limit = with;
     core.emplace(with, zones, kinds, 1, clock, nodes);
-    std::vector<Router::Listed> list;
+    std::vector<Router::ListedNode> list;
     for (const auto& name : names)
       list.push_back(Bed::node(name));
-    core->update(ListKind::full, 1, list);
+    core->update_endpoints(EndpointListKind::full, 1, list);
     take("q");
   }
   void take(const std::string& name) {
     ClientRequest request;
     request.prompt = {name, "/", std::make_shared<std::string>("{}")};
-    request.kind = "k";
+    request.request_class = "k";
     request.prompt_tokens = 100;
-    ASSERT_EQ(core->take(request, client, id), Router::Taken::yes);
+    ASSERT_EQ(core->submit(request, client, id), Router::SubmitResult::accepted);
   }
-  void retune(Settings with) { core->retune(with, zones, kinds); }
+  void retune(Settings with) { core->update_settings(with, zones, kinds); }
   void done(Outcome outcome, std::uint32_t kept = 0) {
-    nodes.begun.back().attempt->done({outcome, kept, {}, {}});
+    nodes.begun.back().attempt->on_done({outcome, kept, {}, {}});
   }
   void pass(Micros span) {
     clock.at += span;
-    core->run_due();
+    core->run_timers();
   }
   std::size_t open() const {
     return static_cast<std::size_t>(
         std::count_if(nodes.begun.begin(), nodes.begun.end(), [](const auto& one) { return one.open; }));
   }
-  std::string at() const { return core->name_of(nodes.begun.back().host); }
+  std::string at() const { return core->endpoint_name(nodes.begun.back().host); }
   // Nothing is sent and nobody is told anything any more.
   void expect_quiet(std::size_t begun, int answers) {
     for (int i = 0; i < 80; ++i)
--- a/tests/crossings/core/crossings_test.cpp
+++ b/tests/crossings/core/crossings_test.cpp
@@ -10,13 +10,13 @@
   for (const bool cancels : {true, false})
     for (const bool gone_first : {true, false}) {
       Settings with = limits();
-      with.may_cancel = cancels;
+      with.cancellation_allowed = cancels;
       start(with);
       nodes.unsent = gone_first;
-      core->gone(id);
+      core->client_disconnected(id);
       EXPECT_EQ(nodes.begun[0].open, !gone_first && !cancels);
       if (nodes.begun[0].open)
-        done(Outcome::read);  // what it has read is let go of at once
+        done(Outcome::prefill_done);  // what it has read is let go of at once
       EXPECT_EQ(nodes.released.size(), gone_first ? 0u : 1u);
       expect_quiet(1, 0);
     }
@@ -25,14 +25,14 @@
 TEST_F(Crossing, ClientGoneAndReadDone) {
   for (const bool gone_first : {true, false}) {
     Settings with = limits();
-    with.may_cancel = false;
+    with.cancellation_allowed = false;
     start(with);
     if (gone_first)
-      core->gone(id);
-    done(Outcome::read);
+      core->client_disconnected(id);
+    done(Outcome::prefill_done);
     if (!gone_first) {
       nodes.unsent = true;
-      core->gone(id);
+      core->client_disconnected(id);
     }
     EXPECT_EQ(open(), 0u);
     ASSERT_EQ(nodes.released.size(), 1u);
@@ -46,12 +46,12 @@
     start(limits());
     // The read becomes overdue some time; the attempt after it is begun in the same moment.
     if (gone_first)
-      core->gone(id);
+      core->client_disconnected(id);
     for (int i = 0; i < 50 && nodes.begun.size() < 2; ++i)
       pass(100ms);
     ASSERT_EQ(nodes.begun.size(), gone_first ? 1u : 2u);
     if (!gone_first)
-      core->gone(id);
+      core->client_disconnected(id);
     EXPECT_EQ(open(), 0u);
     expect_quiet(gone_first ? 1 : 2, 0);
   }
@@ -60,13 +60,13 @@
 TEST_F(Crossing, ClientGoneAndLastByteOfTheAnswer) {
   for (const bool gone_first : {true, false}) {
     start(limits());
-    done(Outcome::read);
-    nodes.begun.back().attempt->event("a");
+    done(Outcome::prefill_done);
+    nodes.begun.back().attempt->on_data("a");
     if (gone_first)
-      core->gone(id);
+      core->client_disconnected(id);
     else
       done(Outcome::ok);
-    core->gone(id);  // the close that follows the answer
+    core->client_disconnected(id);  // the close that follows the answer
     EXPECT_EQ(client.seen, gone_first ? "a" : "a|end");
     EXPECT_TRUE(core->idle());
     expect_quiet(2, gone_first ? 0 : 1);
@@ -78,23 +78,23 @@
 // The terms are those with which the request was taken, whichever comes first.
 TEST_F(Crossing, RetryAndAShorterWindow) {
   for (const bool settings_first : {true, false}) {
-    start(limits(Effect::keyed, 1s));
-    done(Outcome::read);
+    start(limits(Idempotency::idempotent_with_key, 1s));
+    done(Outcome::prefill_done);
     pass(300ms);
     if (settings_first)
-      retune(limits(Effect::keyed, 200ms));
+      retune(limits(Idempotency::idempotent_with_key, 200ms));
     done(Outcome::error);
     if (!settings_first)
-      retune(limits(Effect::keyed, 200ms));
+      retune(limits(Idempotency::idempotent_with_key, 200ms));
     ASSERT_EQ(nodes.begun.size(), 3u);
     EXPECT_EQ(open(), 1u);
   }
   // One that is taken later has the new ones.
-  start(limits(Effect::keyed, 1s));
-  core->gone(id);
-  retune(limits(Effect::keyed, 200ms));
+  start(limits(Idempotency::idempotent_with_key, 1s));
+  core->client_disconnected(id);
+  retune(limits(Idempotency::idempotent_with_key, 200ms));
   take("later");
-  done(Outcome::read);
+  done(Outcome::prefill_done);
   pass(300ms);
   const std::size_t begun = nodes.begun.size();
   done(Outcome::error);
@@ -105,9 +105,9 @@
 TEST_F(Crossing, RetryAndAnotherEffect) {
   for (const bool settings_first : {true, false})
     for (const bool becomes_safe : {true, false}) {
-      start(limits(becomes_safe ? Effect::unsafe : Effect::safe));
-      const Settings later = limits(becomes_safe ? Effect::safe : Effect::unsafe);
-      done(Outcome::read);
+      start(limits(becomes_safe ? Idempotency::not_idempotent : Idempotency::idempotent));
+      const Settings later = limits(becomes_safe ? Idempotency::idempotent : Idempotency::not_idempotent);
+      done(Outcome::prefill_done);
       if (settings_first)
         retune(later);
       done(Outcome::error);  // it may have run
@@ -121,11 +121,11 @@
 TEST_F(Crossing, RetryAndDeadline) {
   for (const bool deadline_first : {true, false}) {
     start(limits());
-    done(Outcome::read);
+    done(Outcome::prefill_done);
     const std::size_t begun = nodes.begun.size();
     clock.at += 6s - (deadline_first ? 0us : 1us);
     if (deadline_first)
-      core->run_due();
+      core->run_timers();
     else
       done(Outcome::error);
     EXPECT_LE(nodes.begun.size(), begun + 1);
@@ -141,20 +141,20 @@
 TEST_F(Crossing, RetryAndNodeLeaving) {
   for (const bool list_first : {true, false}) {
     start(limits(), {"r", "w", "w2"});
-    done(Outcome::read);
+    done(Outcome::prefill_done);
     const std::string first = at(), other = first == "w" ? "w2" : "w";
     if (list_first)
-      core->update(ListKind::delta, 2, {Bed::node(other, Phase::draining)});
+      core->update_endpoints(EndpointListKind::incremental, 2, {Bed::node(other, EndpointState::draining)});
     nodes.unsent = true;
     done(Outcome::error);
     if (list_first) {
       for (std::size_t i = 2; i < nodes.begun.size(); ++i)
-        EXPECT_NE(core->name_of(nodes.begun[i].host), other);
+        EXPECT_NE(core->endpoint_name(nodes.begun[i].host), other);
       continue;
     }
     ASSERT_EQ(nodes.begun.size(), 3u);
     ASSERT_EQ(at(), other);
-    core->update(ListKind::delta, 2, {Bed::node(other, Phase::draining)});
+    core->update_endpoints(EndpointListKind::incremental, 2, {Bed::node(other, EndpointState::draining)});
     pass(249ms);
     EXPECT_TRUE(nodes.begun[2].open);
     pass(1ms);
@@ -166,15 +166,15 @@
 TEST_F(Crossing, RetryAndNodeRestarted) {
   for (const bool list_first : {true, false}) {
     start(limits(), {"r", "w", "w2"});
-    done(Outcome::read);
+    done(Outcome::prefill_done);
     auto again = Bed::node("r");
-    again.started = clock.at + 600ms;  // beyond any doubt about the clocks
+    again.started_at = clock.at + 600ms;  // beyond any doubt about the clocks
     clock.at += 610ms;
     if (list_first)
-      core->update(ListKind::delta, 2, {again});
-    done(Outcome::full, 1);  // the decode node finds no state, and the prompt is read anew
+      core->update_endpoints(EndpointListKind::incremental, 2, {again});
+    done(Outcome::rejected_over_capacity, 1);  // the decode node finds no state, and the prompt is read anew
     if (!list_first)
-      core->update(ListKind::delta, 2, {again});
+      core->update_endpoints(EndpointListKind::incremental, 2, {again});
     EXPECT_EQ(nodes.released.size(), list_first ? 0u : 1u);
     ASSERT_EQ(nodes.begun.size(), 3u);
     EXPECT_EQ(at(), "r");
@@ -189,15 +189,15 @@
   for (const Stage stage : {Stage::connecting, Stage::sent, Stage::streaming})
     for (const bool end_first : {true, false}) {
       start(limits(), {"r", "w"});
-      done(Outcome::read);
+      done(Outcome::prefill_done);
       const auto reach = [&] {
         nodes.unsent = stage == Stage::connecting;
         if (stage == Stage::streaming)
-          nodes.begun.back().attempt->event("a");
+          nodes.begun.back().attempt->on_data("a");
       };
       if (!end_first)
         reach();
-      core->end_waits(clock.at + 300ms);
+      core->set_shutdown_deadline(clock.at + 300ms);
       if (end_first)
         reach();
       pass(300ms);
@@ -213,21 +213,21 @@
 TEST_F(Crossing, AdoptedStreamAndItsEnds) {
   for (const bool gone_first : {true, false}) {
     start(limits(), {"r", "w"});
-    core->gone(id);
+    core->client_disconnected(id);
     const std::size_t begun = nodes.begun.size();
     TestClient given;
     RequestId adopted = 0;
-    ASSERT_TRUE(core->adopt({"s", "k", "w", 1, {}, {}}, given, adopted));
+    ASSERT_TRUE(core->adopt_stream({"s", "k", "w", 1, {}, {}}, given, adopted));
     RequestId again = 0;
-    EXPECT_FALSE(core->adopt({"s", "k", "w", 1, {}, {}}, given, again));  // open here by now
-    core->end_waits(clock.at + 100ms);
+    EXPECT_FALSE(core->adopt_stream({"s", "k", "w", 1, {}, {}}, given, again));  // open here by now
+    core->set_shutdown_deadline(clock.at + 100ms);
     pass(200ms);
     EXPECT_TRUE(nodes.begun.back().open);  // a stream is left alone
     if (gone_first)
-      core->gone(adopted);
+      core->client_disconnected(adopted);
     else
       done(Outcome::ok);
-    core->gone(adopted);
+    core->client_disconnected(adopted);
     EXPECT_EQ(given.answers, gone_first ? 0 : 1);
     EXPECT_EQ(open(), 0u);
     EXPECT_EQ(nodes.begun.size(), begun + 1);
--- a/tests/crossings/core/held_test.cpp
+++ b/tests/crossings/core/held_test.cpp
@@ -18,7 +18,7 @@
   Held() { logging::set_level(logging::Level::error); }
   static Settings limits(Micros release_within) {
     Settings s = settings();
-    s.release_within = release_within;
+    s.reservation_release_timeout = release_within;
     return s;
   }
   // What is asked of node `name` fails to answer; the others answer at once.
@@ -31,7 +31,7 @@
   void answer(Bed& bed) {
     for (; looked < bed.nodes.released.size(); ++looked) {
       const auto [host, done] = bed.nodes.released[looked];
-      asked.push_back(bed.core.name_of(host));
+      asked.push_back(bed.core.endpoint_name(host));
       if (silent.count(asked.back()))
         continue;
       answered.insert(asked.back());
@@ -45,7 +45,7 @@
       answer(bed);
     }
   }
-  std::string at(const Bed& bed) const { return bed.core.name_of(bed.nodes.begun.back().host); }
+  std::string at(const Bed& bed) const { return bed.core.endpoint_name(bed.nodes.begun.back().host); }
 
   std::set<std::string> silent, answered;
   std::vector<std::string> asked;
@@ -64,12 +64,12 @@
       bed.next_id = id;
       bed.take();
       const std::string holder = at(bed);
-      bed.done(Outcome::read);
+      bed.done(Outcome::prefill_done);
       const std::set<std::string> living{holder == "r5" ? "r4" : "r5", "w5"};
       for (const auto& name : ten)
         if (!living.count(name))
           silent.insert(name);
-      bed.core.gone(bed.id);
+      bed.core.client_disconnected(bed.id);
       answer(bed);
       pass(bed, within + tolerance);
       EXPECT_FALSE(answered.empty()) << id << " within " << within.count() << " us";
@@ -83,22 +83,22 @@
   Bed bed(ten, limits(500ms));
   bed.nodes.many = true;
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   const auto waits = bed.nodes.begun.size() - 1;
   const RequestId left = bed.id;
   bed.next_id = "other";
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   const std::string streams = at(bed);
   bed.pass(2s);
-  bed.nodes.begun.back().attempt->event("a");
+  bed.nodes.begun.back().attempt->on_data("a");
   ASSERT_TRUE(bed.nodes.begun[waits].open);
   bed.nodes.released
       .clear();  // those that were made while it could not be known whether the decodes had arrived
-  bed.core.gone(left);
+  bed.core.client_disconnected(left);
   bed.pass(100ms);
   ASSERT_EQ(bed.nodes.released.size(), 2u);
-  EXPECT_EQ(bed.core.name_of(bed.nodes.released[1].first), streams);
+  EXPECT_EQ(bed.core.endpoint_name(bed.nodes.released[1].first), streams);
 }
 
 // A read that hangs may end well once its node goes on, long after another node has taken the release. So the
@@ -135,12 +135,12 @@
     EXPECT_FALSE(bed.core.idle());
     auto restarted = Bed::node("r");
     // A start so soon after the end of the read may have come before it, by another clock.
-    restarted.started = bed.clock.at - 400ms;
-    bed.core.update(ListKind::delta, 2, {restarted});
+    restarted.started_at = bed.clock.at - 400ms;
+    bed.core.update_endpoints(EndpointListKind::incremental, 2, {restarted});
     pass(bed, 100ms);
     EXPECT_FALSE(bed.core.idle());
-    restarted.started = bed.clock.at;
-    bed.core.update(ListKind::delta, 3, {restarted});
+    restarted.started_at = bed.clock.at;
+    bed.core.update_endpoints(EndpointListKind::incremental, 3, {restarted});
     pass(bed, 1s);
     EXPECT_TRUE(bed.core.idle());
   }
@@ -151,13 +151,13 @@
   Bed bed({"r", "w"}, limits(500ms));
   const Micros start = bed.clock.at - 200ms;
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   silence(bed, {"r", "w"});
-  bed.core.gone(bed.id);
+  bed.core.client_disconnected(bed.id);
   answer(bed);
   auto restarted = Bed::node("r");
-  restarted.started = start;
-  bed.core.update(ListKind::delta, 2, {restarted});
+  restarted.started_at = start;
+  bed.core.update_endpoints(EndpointListKind::incremental, 2, {restarted});
   pass(bed, 1s);
   EXPECT_FALSE(bed.core.idle());
   silent.clear();
@@ -169,9 +169,9 @@
 TEST_F(Held, ALongNetworkCutIsOutlasted) {
   Bed bed({"r", "w"}, limits(500ms));
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   silence(bed, {"r", "w"});
-  bed.core.gone(bed.id);
+  bed.core.client_disconnected(bed.id);
   pass(bed, 10s);
   EXPECT_FALSE(bed.core.idle());
   EXPECT_LE(asked.size(), 32u);  // ever slower
@@ -185,16 +185,18 @@
 TEST_F(Held, ALostReleaseGoesOnAfterALongRetry) {
   Bed bed({"r", "w", "w2"}, limits(500ms));
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   silence(bed, {"r", "w", "w2"});
-  bed.done(Outcome::full, 1);  // its state is lost, says the decode node: it is let go and read anew
+  bed.done(Outcome::rejected_over_capacity,
+           1);  // its state is lost, says the decode node: it is let go and read anew
   answer(bed);
   ASSERT_EQ(asked.size(), 1u);
   ASSERT_EQ(bed.nodes.begun.size(), 3u);
   pass(bed, 5s);
   silent.clear();
   while (bed.client.answers == 0)
-    bed.done(Outcome::full);  // proves that nothing ran, and so leaves nothing new to let go
+    bed.done(
+        Outcome::rejected_over_capacity);  // proves that nothing ran, and so leaves nothing new to let go
   pass(bed, 1s + tolerance);
   EXPECT_FALSE(answered.empty());
   EXPECT_TRUE(bed.core.idle());
@@ -208,8 +210,8 @@
   const std::string first = at(bed);
   bed.done(Outcome::reset);
   ASSERT_NE(at(bed), first);
-  bed.done(Outcome::read);
-  bed.nodes.begun.back().attempt->event("a");
+  bed.done(Outcome::prefill_done);
+  bed.nodes.begun.back().attempt->on_data("a");
   pass(bed, 2s);
   EXPECT_TRUE(asked.empty());
   bed.done(Outcome::ok);
@@ -225,8 +227,8 @@
   bed.take();
   bed.done(Outcome::reset);
   ASSERT_EQ(at(bed), "r");
-  bed.done(Outcome::read);
-  bed.nodes.begun.back().attempt->event("a");
+  bed.done(Outcome::prefill_done);
+  bed.nodes.begun.back().attempt->on_data("a");
   bed.done(Outcome::ok);
   answer(bed);
   EXPECT_TRUE(asked.empty());
@@ -243,17 +245,17 @@
     bed.take();
     if (!bed.nodes.begun.back().open)
       continue;
-    bed.done(Outcome::read);
-    bed.core.gone(bed.id);
+    bed.done(Outcome::prefill_done);
+    bed.core.client_disconnected(bed.id);
   }
   silence(bed, {"r", "w", "w2"});
   pass(bed, 700ms);
   ASSERT_GT(asked.size(), 400u);
   bed.next_id = "late";
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   const std::size_t before = bed.nodes.released.size();
-  bed.core.gone(bed.id);
+  bed.core.client_disconnected(bed.id);
   EXPECT_EQ(bed.nodes.released.size(), before + 1) << "its first call is made at once";
 }
 
--- a/tests/crossings/grpc/both_sides_bed.h
+++ b/tests/crossings/grpc/both_sides_bed.h
@@ -15,12 +15,12 @@
     logging::set_level(logging::Level::error);
     std::signal(SIGPIPE, SIG_IGN);
     core.on_change = [this] {
-      if (const auto at = core.next_due())
+      if (const auto at = core.next_timer())
         due.start(*at - clock.now());
     };
-    core.update(ListKind::full, 1,
-                {{"r", prefill.address, "a", "r", 0, Phase::ready, 1, {}},
-                 {"w", decode.address, "a", "w", 0, Phase::ready, 1, {}}});
+    core.update_endpoints(EndpointListKind::full, 1,
+                          {{"r", prefill.address, "a", "r", 0, EndpointState::ready, 1, {}},
+                           {"w", decode.address, "a", "w", 0, EndpointState::ready, 1, {}}});
     server.add(front);
     client = dial();
   }
@@ -72,7 +72,7 @@
   StandInNode prefill{loop}, decode{loop};
   grpc::NodeClient nodes{loop, grpc::Session::Limits{std::chrono::seconds(5)}};
   Router core{test::settings(), {"a"}, {"r", "w"}, 1, clock, nodes};
-  net::Timer due{loop, [this] { core.run_due(); }};
+  net::Timer due{loop, [this] { core.run_timers(); }};
   grpc::Front front{core};
   grpc::Server server{loop, "127.0.0.1:0", 16};
   std::unique_ptr<Peer> client;
--- a/tests/crossings/grpc/connection_loss_test.cpp
+++ b/tests/crossings/grpc/connection_loss_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_FALSE(next.outcome);
   another->send(head(*another, 1) + prefill_done(1) + tail(*another, 1));
   ASSERT_TRUE(another->until([&] { return next.outcome.has_value(); }));
-  EXPECT_EQ(next.outcome, Outcome::read);
+  EXPECT_EQ(next.outcome, Outcome::prefill_done);
 }
 
 // Connecting fails × the next attempt, begun as that is told.
@@ -169,9 +169,9 @@
   for (const bool lost : {true, false}) {
     std::vector<bool> told;
     std::unique_ptr<Call> again, release;
-    release = client.release(node, "q", [&](bool arrived) {
+    release = client.release_reservation(node, "q", [&](bool arrived) {
       told.push_back(arrived);
-      again = client.release(node, "q", [&](bool second) { told.push_back(second); });
+      again = client.release_reservation(node, "q", [&](bool second) { told.push_back(second); });
     });
     ASSERT_TRUE(peer = stand_in.accept());
     ASSERT_TRUE(peer->until([&] { return peer->over(1); }));
@@ -202,7 +202,7 @@
   out(first);
   peer->send(head(*peer, 1) + prefill_done(1) + tail(*peer, 1));
   ASSERT_TRUE(peer->until([&] { return first.outcome.has_value(); }));
-  client.hang_up(node);
+  client.close_idle_connections(node);
   begin(next, "next");
   Peer* another = stand_in.accept();
   ASSERT_TRUE(another);
@@ -215,7 +215,7 @@
 // Whoever is told of an event lets go of the call, with more events in the same piece.
 TEST_F(GrpcLoss, ACallMayBeLetGoOfByAnEvent) {
   struct Letting : NotedAttempt {
-    void event(std::string_view data) override {
+    void on_data(std::string_view data) override {
       text += data;
       call.reset();
     }
--- a/tests/crossings/grpc/front_test.cpp
+++ b/tests/crossings/grpc/front_test.cpp
@@ -10,10 +10,10 @@
 using std::chrono::milliseconds;
 
 struct NotedNodes : test::TestNodes {
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
-                              Attempt& attempt) override {
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override {
     given.push_back(within);
-    return TestNodes::begin(node, prompt, within, attempt);
+    return TestNodes::start_attempt(node, prompt, within, attempt);
   }
   std::vector<Micros> given;
 };
@@ -23,7 +23,7 @@
     logging::set_level(logging::Level::error);
     std::signal(SIGPIPE, SIG_IGN);
     nodes.many = true;
-    core.update(ListKind::full, 1, {test::Bed::node("r"), test::Bed::node("w")});
+    core.update_endpoints(EndpointListKind::full, 1, {test::Bed::node("r"), test::Bed::node("w")});
     server.add(front);
     peer = std::make_unique<Peer>(loop, Peer::dial(server.port()));
   }
@@ -63,10 +63,10 @@
   // The attempt that was begun last, at a prefill node, and then at a decode node, ends well.
   void serve() {
     const std::size_t before = nodes.begun.size();
-    nodes.begun.back().attempt->done({Outcome::read, 0, {}, {}});
+    nodes.begun.back().attempt->on_done({Outcome::prefill_done, 0, {}, {}});
     ASSERT_EQ(nodes.begun.size(), before + 1);
-    nodes.begun.back().attempt->event("a");
-    nodes.begun.back().attempt->done({Outcome::ok, 0, {}, {}});
+    nodes.begun.back().attempt->on_data("a");
+    nodes.begun.back().attempt->on_done({Outcome::ok, 0, {}, {}});
   }
 
   net::Loop loop;
@@ -189,7 +189,7 @@
   peer->send(frame(DATA, END_STREAM, 3, call_message("p")));
   peer->settle();
   clock.at += milliseconds(1);
-  core.run_due();
+  core.run_timers();
   ASSERT_TRUE(peer->until([&] { return peer->over(3); }));
   EXPECT_EQ(peer->field(3, "grpc-status"), "4");
 }
@@ -205,14 +205,14 @@
   peer->send(reset(1, CANCEL));
   serve();  // the first one's answer, before the loop sees the cancel
   peer->settle();
-  EXPECT_EQ(core.open(), 1u);
+  EXPECT_EQ(core.open_requests(), 1u);
   EXPECT_FALSE(peer->closed);
-  nodes.begun[0].attempt->done({Outcome::read, 0, {}, {}});
-  nodes.begun.back().attempt->event("b");
-  nodes.begun.back().attempt->done({Outcome::ok, 0, {}, {}});
+  nodes.begun[0].attempt->on_done({Outcome::prefill_done, 0, {}, {}});
+  nodes.begun.back().attempt->on_data("b");
+  nodes.begun.back().attempt->on_done({Outcome::ok, 0, {}, {}});
   ASSERT_TRUE(peer->until([&] { return peer->over(3); }));
   EXPECT_EQ(peer->field(3, "grpc-status"), "0");
-  EXPECT_EQ(core.open(), 0u);
+  EXPECT_EQ(core.open_requests(), 0u);
 }
 
 // A client that opens no window × a drain: the others of its connection end, and its answer waits for it.
--- a/tests/crossings/grpc/node_client_bed.h
+++ b/tests/crossings/grpc/node_client_bed.h
@@ -18,7 +18,7 @@
   }
   void begin(NotedAttempt& attempt, const string& id, Micros within = std::chrono::seconds(3),
              const string& body = "{}") {
-    attempt.call = client.begin(node, {id, "/", std::make_shared<string>(body)}, within, attempt);
+    attempt.call = client.start_attempt(node, {id, "/", std::make_shared<string>(body)}, within, attempt);
   }
   bool until(const std::function<bool()>& holds) { return turn_until(loop, holds); }
 
--- a/tests/crossings/grpc/node_client_test.cpp
+++ b/tests/crossings/grpc/node_client_test.cpp
@@ -57,7 +57,7 @@
   ASSERT_TRUE(peer->until([&] { return asked(*peer).size() == 2; }));
   peer->settle();
   EXPECT_EQ(asked(*peer), (Ids{"first", "behind"}));
-  EXPECT_TRUE(late.call->unsent());
+  EXPECT_TRUE(late.call->not_sent());
   late.call.reset();
   peer->settle();
   EXPECT_EQ(peer->find(RST_STREAM, 3), nullptr) << "a stream that was never opened";
@@ -77,7 +77,7 @@
     peer->send(reset(1, CANCEL));
     if (!before) {
       ASSERT_TRUE(peer->until([&] { return asked(*peer).size() == 2; }));
-      EXPECT_FALSE(gone.call->unsent());
+      EXPECT_FALSE(gone.call->not_sent());
       gone.call.reset();
       ASSERT_TRUE(peer->until([&] { return peer->find(RST_STREAM, 3) != nullptr; }));
     }
@@ -112,7 +112,7 @@
   EXPECT_EQ(asked(*another), Ids{"next"});
   peer->send(head(*peer, 1) + prefill_done(1) + tail(*peer, 1));
   ASSERT_TRUE(peer->until([&] { return first.outcome.has_value(); }));
-  EXPECT_EQ(first.outcome, Outcome::read);
+  EXPECT_EQ(first.outcome, Outcome::prefill_done);
   EXPECT_EQ(asked(*peer), Ids{"first"});
 }
 
@@ -141,7 +141,7 @@
   peer->send(frame(SETTINGS, NONE, 0, setting(3, 1)) + reset(1, CANCEL));
   peer->settle();
   EXPECT_EQ(asked(*peer), (Ids{"first", "second"}));
-  EXPECT_TRUE(waits.call->unsent());
+  EXPECT_TRUE(waits.call->not_sent());
   peer->send(reset(3, CANCEL));
   ASSERT_TRUE(peer->until([&] { return asked(*peer).size() == 3; }));
   EXPECT_FALSE(waits.outcome);
@@ -179,7 +179,7 @@
   NotedAttempt gone, stays;
   begin(gone, "gone");
   turn_often(loop);
-  EXPECT_TRUE(gone.call->unsent());
+  EXPECT_TRUE(gone.call->not_sent());
   gone.call.reset();
   begin(stays, "stays");
   turn_often(loop);
--- a/tests/crossings/grpc/stand_in_node.h
+++ b/tests/crossings/grpc/stand_in_node.h
@@ -135,10 +135,10 @@
   return frame(RST_STREAM, NONE, stream, number(code));
 }
 
-struct NotedAttempt : Attempt {
-  void written() override { sent = true; }
-  void event(std::string_view data) override { text += data; }
-  void done(Result result) override {
+struct NotedAttempt : AttemptHandler {
+  void on_request_written() override { sent = true; }
+  void on_data(std::string_view data) override { text += data; }
+  void on_done(AttemptResult result) override {
     outcome = result.outcome;
     call.reset();
     if (then)
--- a/tests/crossings/http/client_test.cpp
+++ b/tests/crossings/http/client_test.cpp
@@ -28,7 +28,7 @@
   }
   void all_gone(std::size_t sent) {
     door.settle();
-    EXPECT_EQ(door.core.open(), 0u);
+    EXPECT_EQ(door.core.open_requests(), 0u);
     EXPECT_FALSE(door.out());
     EXPECT_EQ(door.sent(), sent);
   }
@@ -57,7 +57,7 @@
     reads(client, "q" + std::to_string(door.sent()));
     const std::size_t sent = door.sent(), released = door.nodes.released.size();
     go(client, how);
-    door.done(Outcome::read);
+    door.done(Outcome::prefill_done);
     EXPECT_EQ(door.sent(), sent + 1);
     all_gone(sent + 1);
     EXPECT_EQ(door.nodes.released.size(), released + 1) << "the state isn't fetched any more";
@@ -69,8 +69,8 @@
   for (const Goes how : ways) {
     Plug client = door.client();
     reads(client, "q" + std::to_string(door.sent()));
-    door.done(Outcome::read);
-    door.last().event("one");
+    door.done(Outcome::prefill_done);
+    door.last().on_data("one");
     door.settle();
     const std::size_t sent = door.sent();
     go(client, how);
@@ -85,8 +85,8 @@
   for (const Goes how : ways) {
     Plug client = door.client();
     reads(client, "q" + std::to_string(door.sent()));
-    door.done(Outcome::read);
-    door.last().event("one");
+    door.done(Outcome::prefill_done);
+    door.last().on_data("one");
     const std::size_t sent = door.sent();
     door.done(Outcome::ok);
     door.settle();
@@ -118,8 +118,8 @@
 TEST_F(ClientCrossing, EndsItsSendingAsTheFirstAnswerEnds) {
   Plug client = door.client();
   reads(client, "q1");
-  door.done(Outcome::read);
-  door.last().event("one");
+  door.done(Outcome::prefill_done);
+  door.last().on_data("one");
   client.send(Door::request("q2"));
   door.settle();
   client.end_sending();
@@ -134,8 +134,8 @@
   const std::string behind = Door::request("q2");
   client.send(behind.substr(0, 10));
   door.settle();
-  door.done(Outcome::read);
-  door.last().event("one");
+  door.done(Outcome::prefill_done);
+  door.last().on_data("one");
   client.send(behind.substr(10, 30));
   door.settle();
   EXPECT_EQ(door.sent(), 2u);
@@ -166,8 +166,8 @@
 TEST_F(ClientCrossing, IsDismissedBetweenAnAnswerAndTheRequestBehind) {
   Plug client = door.client();
   reads(client, "q1");
-  door.done(Outcome::read);
-  door.last().event("one");
+  door.done(Outcome::prefill_done);
+  door.last().on_data("one");
   client.send(Door::request("q2"));
   door.settle();
   door.done(Outcome::ok);
@@ -189,8 +189,8 @@
     for (const bool client_first : {true, false}) {
       Plug client = door.client();
       reads(client, "q" + std::to_string(door.sent()));
-      door.done(Outcome::read);
-      door.last().event("one");
+      door.done(Outcome::prefill_done);
+      door.last().on_data("one");
       door.settle();
       const std::size_t sent = door.sent();
       if (client_first)
@@ -215,8 +215,8 @@
   for (const Goes how : ways) {
     Plug client = door.client();
     reads(client, "q" + std::to_string(door.sent()));
-    door.done(Outcome::read);
-    door.last().event("one");
+    door.done(Outcome::prefill_done);
+    door.last().on_data("one");
     door.settle();
     go(client, how);
     all_gone(door.sent());
--- a/tests/crossings/http/drain_test.cpp
+++ b/tests/crossings/http/drain_test.cpp
@@ -30,8 +30,8 @@
     ASSERT_TRUE(door.out());
   }
   void serve() {
-    door.done(Outcome::read);
-    door.last().event("one");
+    door.done(Outcome::prefill_done);
+    door.last().on_data("one");
     door.done(Outcome::ok);
     door.settle();
   }
@@ -45,8 +45,8 @@
 TEST_F(Drain, ComesBetweenTheHeadOfAnAnswerAndItsEndWithARequestBehind) {
   Plug client = door.client();
   begin(client, "q1");
-  door.done(Outcome::read);
-  door.last().event("one");
+  door.done(Outcome::prefill_done);
+  door.last().on_data("one");
   client.send(Door::request("q2"));
   door.settle();
   door.front.drain();
@@ -70,8 +70,8 @@
 TEST_F(Drain, ComesBetweenTheHeadOfAnAnswerAndItsEnd) {
   Plug client = door.client();
   begin(client, "q1");
-  door.done(Outcome::read);
-  door.last().event("one");
+  door.done(Outcome::prefill_done);
+  door.last().on_data("one");
   door.settle();
   door.front.drain();
   door.done(Outcome::ok);
@@ -117,7 +117,7 @@
       here.settle();
       client.send(whole.substr(cut));  // held back by the kernel until the first piece is acknowledged
       ASSERT_TRUE(here.until([&] { return here.sent() == 1; }, asking)) << rested << cut;
-      here.last().done({Outcome::error, 0, {}, {}, true});
+      here.last().on_done({Outcome::error, 0, {}, {}, true});
       here.settle();
       EXPECT_NE(client.read().find("Connection: close"), std::string::npos);
       EXPECT_TRUE(client.ended);
@@ -201,15 +201,15 @@
   door.front.drain();
   door.front.stop_accepting();
   const auto end = std::chrono::steady_clock::now() + 5s;
-  while (door.core.open() > 1 && std::chrono::steady_clock::now() < end) {
+  while (door.core.open_requests() > 1 && std::chrono::steady_clock::now() < end) {
     behind.send(noise);
     asks_none.send(noise);
     door.settle();
   }
-  EXPECT_EQ(door.core.open(), 1u) << "the flood's request is ended";
+  EXPECT_EQ(door.core.open_requests(), 1u) << "the flood's request is ended";
   EXPECT_NE(behind.read().find("HTTP/1.1 400 "), std::string::npos);
   EXPECT_NE(asks_none.read().find("HTTP/1.1 4"), std::string::npos);
-  door.nodes.begun.front().attempt->done({Outcome::error, 0, {}, {}, true});
+  door.nodes.begun.front().attempt->on_done({Outcome::error, 0, {}, {}, true});
   door.settle();
   EXPECT_NE(asked.read().find("Connection: close"), std::string::npos);
   asked.close();
@@ -234,9 +234,9 @@
   door.settle();
   ASSERT_TRUE(door.out());
   door.front.drain();
-  door.done(Outcome::read);
+  door.done(Outcome::prefill_done);
   for (std::size_t i = 0; i < events; ++i)
-    door.last().event(std::string(16 * 1024, 'y'));
+    door.last().on_data(std::string(16 * 1024, 'y'));
   door.done(Outcome::ok);
   door.settle();
   if (GetParam())
--- a/tests/crossings/http/release_test.cpp
+++ b/tests/crossings/http/release_test.cpp
@@ -13,7 +13,7 @@
   Node node;
   node.address = door.address;
   std::optional<bool> arrived;
-  const auto call = client.release(node, "q1", [&](bool with) { arrived = with; });
+  const auto call = client.release_reservation(node, "q1", [&](bool with) { arrived = with; });
   EXPECT_TRUE(until(loop, [&] { return readable(door.fd); }));
   const int peer = accept(door.fd, nullptr, nullptr);
   std::string asked;
--- a/tests/crossings/http/stream_play.h
+++ b/tests/crossings/http/stream_play.h
@@ -37,9 +37,9 @@
   StreamPlay(std::vector<Stream> streams, std::size_t events, std::chrono::milliseconds every)
       : streams_(std::move(streams)), events_(events), every_(every) {
     logging::set_level(logging::Level::error);
-    core_.update(ListKind::full, 1,
-                 {{"r", reader_.address, "a", "r", 0, Phase::ready, 1, Micros(0)},
-                  {"w", writer_.address, "a", "w", 0, Phase::ready, 1, Micros(0)}});
+    core_.update_endpoints(EndpointListKind::full, 1,
+                           {{"r", reader_.address, "a", "r", 0, EndpointState::ready, 1, Micros(0)},
+                            {"w", writer_.address, "a", "w", 0, EndpointState::ready, 1, Micros(0)}});
   }
   // Until all streams but the slow ones have ended; false: they didn't.
   bool play() {
@@ -49,7 +49,7 @@
         loop_,
         [&] {
           note_round();
-          core_.run_due();
+          core_.run_timers();
           return over_.load();
         },
         60s);
@@ -77,9 +77,9 @@
     Settings s;
     s.classes.resize(1);
     s.classes[0].name = "k";
-    s.classes[0].aim = 30s;
+    s.classes[0].latency_objective = 30s;
     s.classes[0].deadline = 60s;
-    s.kind_role = {Role::read, Role::write};
+    s.kind_role = {Role::prefill, Role::decode};
     s.max_attempts = 6;
     return s;
   }
@@ -140,7 +140,7 @@
     const int small = 4096;
     if (streams_[i].slow)
       setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-    const net::Endpoint to("127.0.0.1:" + std::to_string(port));
+    const net::SocketAddress to("127.0.0.1:" + std::to_string(port));
     EXPECT_EQ(connect(fd, to.address(), static_cast<socklen_t>(to.length())), 0);
     say(fd, "POST /v1/chat/completions HTTP/1.1\r\nReq-Id: q" + std::to_string(i) +
                 "\r\nReq-Kind: k\r\nContent-Length: 2\r\n\r\n{}");
--- a/tests/crossings/process/handover_test.cpp
+++ b/tests/crossings/process/handover_test.cpp
@@ -187,7 +187,7 @@
   std::vector<std::string> taken;
   ops::Handover end(
       loop, path,
-      [&](const PassedStream& stream) {
+      [&](const TransferredStream& stream) {
         taken.push_back(stream.id);
         close(stream.client.fd);
         close(stream.call.fd);
--- a/tests/deployments/begun_test.cpp
+++ b/tests/deployments/begun_test.cpp
@@ -28,13 +28,13 @@
   std::string address;
 };
 
-struct Noted : Attempt {
-  void written() override { all_written = true; }
-  void event(std::string_view) override { ++events; }
-  void done(Result with) override { result = std::move(with); }
+struct Noted : AttemptHandler {
+  void on_request_written() override { all_written = true; }
+  void on_data(std::string_view) override { ++events; }
+  void on_done(AttemptResult with) override { result = std::move(with); }
   bool all_written = false;
   int events = 0;
-  std::optional<Result> result;
+  std::optional<AttemptResult> result;
 };
 
 // The outcome of a request too long for any kernel's buffers at a node that reads none of it.
@@ -47,7 +47,7 @@
   node.address = door.address;
   Noted attempt;
   const Prompt prompt{"q", "/v1/chat/completions", std::make_shared<std::string>(64 * 1024 * 1024, 'x')};
-  const auto call = client.begin(node, prompt, std::chrono::seconds(60), attempt);
+  const auto call = client.start_attempt(node, prompt, std::chrono::seconds(60), attempt);
   const int peer = accept(door.fd, nullptr, nullptr);
   EXPECT_EQ(send(peer, said.data(), said.size(), 0), static_cast<ssize_t>(said.size()));
   while (!said.empty() && attempt.events == 0)
--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -28,9 +28,9 @@
     for (int i = 0; i < 2; ++i)
       processes_.push_back(std::make_unique<Process>(*this, seed + static_cast<std::uint64_t>(i)));
     for (const char* name : {"r1", "r2", "w1", "w2", "w3"})
-      list(name, Phase::ready);
+      list(name, EndpointState::ready);
     if (one_in(4))
-      list("m1", Phase::ready);
+      list("m1", EndpointState::ready);
   }
   // The first faults, in words; empty: none.
   std::string run() {
@@ -61,7 +61,7 @@
   };
 
   struct Run : Call {
-    Run(Play& play, std::string name, Attempt& to, bool serves)
+    Run(Play& play, std::string name, AttemptHandler& to, bool serves)
         : play(play), name(std::move(name)), attempt(to), serves(serves) {
       play.calls_.push_back(this);
     }
@@ -70,44 +70,44 @@
       if (!over)
         play.ended(*this, serves);  // given up, and it may run on
     }
-    std::optional<PassedConnection> passable() override {
-      return begun ? std::optional(PassedConnection{3, false}) : std::nullopt;
+    std::optional<TransferredConnection> transferable_connection() override {
+      return begun ? std::optional(TransferredConnection{3, false}) : std::nullopt;
     }
-    void passed() override { over = true; }
+    void on_transferred() override { over = true; }
     Play& play;
     std::string name;
-    Attempt& attempt;
+    AttemptHandler& attempt;
     bool serves, begun = false, over = false;
   };
 
   struct Asker : Client {
     Asker(Play& play, std::string name) : play(play), name(std::move(name)) {}
-    bool event(std::string_view) override { return begun = true; }
+    bool on_data(std::string_view) override { return begun = true; }
     void finish() override { ++play.seen_.served, answer(); }
-    void refuse(Micros) override {
+    void reject(Micros) override {
       if (play.book_[name].once && play.book_[name].ran)
         play.fault(name, "refused after it may have run");
       answer();
     }
-    void fail(Failure) override { answer(); }
-    void cut() override { answer(); }
+    void fail(FailureReason) override { answer(); }
+    void abort_stream() override { answer(); }
     void answer() { open = false, ++play.book_[name].answers; }
-    std::optional<PassedConnection> passable() override {
-      return begun && open ? std::optional(PassedConnection{4, false}) : std::nullopt;
+    std::optional<TransferredConnection> transferable_connection() override {
+      return begun && open ? std::optional(TransferredConnection{4, false}) : std::nullopt;
     }
-    void passed() override { open = false; }
+    void on_transferred() override { open = false; }
     Play& play;
     std::string name;
     RequestId id = 0;
     bool begun = false, open = true;
   };
 
-  struct Process : Nodes {
+  struct Process : NodeTransport {
     Process(Play& play, std::uint64_t seed)
         : play(play), settings(play.drawn()), core(settings, {"z"}, kinds, seed, play.clock_, *this) {
-      core.explain([this](const Choice& choice) { heard(choice); });
+      core.set_choice_observer([this](const Choice& choice) { heard(choice); });
     }
-    ~Process() override { core.explain({}); }
+    ~Process() override { core.set_choice_observer({}); }
     // Not only is nothing sent: the module itself chooses nothing for what must not go out again. Where a
     // file turned kinds about it may, for a node that has left: it knows its role by the new list. The core
     // knows the old one.
@@ -119,7 +119,8 @@
       if (page.once && page.ran)
         play.fault(name->second, "the module chose a node after it may have run");
     }
-    std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros, Attempt& attempt) override {
+    std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros,
+                                        AttemptHandler& attempt) override {
       Page& page = play.book_[prompt.id];
       if (page.out++ != 0)
         play.fault(prompt.id, "two attempts out at once");
@@ -135,21 +136,25 @@
         ++play.seen_.safe_again;
       const auto kind =
           static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
-      return std::make_unique<Run>(play, prompt.id, attempt, settings.kind_role.at(kind) != Role::read);
+      return std::make_unique<Run>(play, prompt.id, attempt, settings.kind_role.at(kind) != Role::prefill);
     }
-    std::unique_ptr<Call> adopt(const Node&, const PassedConnection&, Attempt& attempt) override {
+    std::unique_ptr<Call> adopt_stream(const Node&, const TransferredConnection&,
+                                       AttemptHandler& attempt) override {
       if (play.one_in(8))
         return nullptr;
       auto call = std::make_unique<Run>(play, play.passing_, attempt, true);
       call->begun = play.adopted_ = true;
       return call;
     }
-    std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)>) override {
+    std::unique_ptr<Call> release_reservation(const Node&, const std::string&,
+                                              std::function<void(bool)>) override {
       return std::make_unique<Call>();  // nobody answers, and it is tried again
     }
-    std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-    void hang_up(const Node&) override {}
-    void limit(const Limits&) override {}
+    std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+      return nullptr;
+    }
+    void close_idle_connections(const Node&) override {}
+    void set_limits(const Limits&) override {}
 
     Play& play;
     std::vector<std::string> kinds{"r", "w", "m"};
@@ -171,22 +176,22 @@
     for (const char* name : {"draft", "once", "chat"}) {
       ClassSettings c;
       c.name = name;
-      c.effect = name[0] == 'o' ? Effect::unsafe : Effect::safe;
-      c.aim = 800ms;
+      c.idempotency = name[0] == 'o' ? Idempotency::not_idempotent : Idempotency::idempotent;
+      c.latency_objective = 800ms;
       c.deadline = name[0] == 'o' ? 3s : 8s;
-      c.stream = true;
+      c.streaming = true;
       s.classes.push_back(c);
     }
-    s.kind_role = {Role::read, Role::write, Role::both};
+    s.kind_role = {Role::prefill, Role::decode, Role::mixed};
     s.kind_memory = {200000, 150000, 150000};
     s.max_attempts = static_cast<std::uint32_t>(2 + below(5));
-    s.may_cancel = !one_in(4);
-    s.retry_after = true;
+    s.cancellation_allowed = !one_in(4);
+    s.retry_after_allowed = true;
     s.max_retry_after = 500ms;
-    s.release_within = 500ms;
-    s.cold_for = 5s;
-    s.fall_window = 1s;
-    s.fall_multiple = 4;
+    s.reservation_release_timeout = 500ms;
+    s.slow_start_duration = 5s;
+    s.overload_window = 1s;
+    s.overload_factor = 4;
     return s;
   }
 
@@ -219,15 +224,15 @@
     askers_.push_back(std::make_unique<Asker>(*this, name));
     ClientRequest client_request;
     client_request.prompt = {name, "/", std::make_shared<std::string>("{}")};
-    client_request.kind = any(std::vector<std::string>{"draft", "once", "once", "chat"});
-    client_request.session = below(6);
-    client_request.shared = below(3);
+    client_request.request_class = any(std::vector<std::string>{"draft", "once", "once", "chat"});
+    client_request.session_key = below(6);
+    client_request.shared_prefix_key = below(3);
     client_request.prompt_tokens = static_cast<double>(100 + below(5000));
-    client_request.shared_tokens = client_request.prompt_tokens / 2;
+    client_request.shared_prefix_tokens = client_request.prompt_tokens / 2;
     const auto& classes = process.settings.classes;
     const auto at = std::find_if(classes.begin(), classes.end(),
-                                 [&](auto& one) { return one.name == client_request.kind; });
-    book_[name] = {at != classes.end() && at->effect == Effect::unsafe,
+                                 [&](auto& one) { return one.name == client_request.request_class; });
+    book_[name] = {at != classes.end() && at->idempotency == Idempotency::not_idempotent,
                    false,
                    false,
                    false,
@@ -236,7 +241,7 @@
                    0,
                    0};
     Asker& asker = *askers_.back();
-    if (process.core.take(client_request, asker, asker.id) == Router::Taken::yes) {
+    if (process.core.submit(client_request, asker, asker.id) == Router::SubmitResult::accepted) {
       process.names[asker.id] = name;
       owner_[name] = &process;
     } else {
@@ -249,30 +254,32 @@
       return stream(call);
     using enum Outcome;
     const auto outcome =
-        any(call.serves ? std::vector{ok, ok, ok, full, full, error, reset, connect_failed, cancelled}
-                        : std::vector{read, read, read, read, read, full, error, reset, connect_failed});
+        any(call.serves ? std::vector{ok, ok, ok, rejected_over_capacity, rejected_over_capacity, error,
+                                      reset, connect_failed, cancelled}
+                        : std::vector{prefill_done, prefill_done, prefill_done, prefill_done, prefill_done,
+                                      rejected_over_capacity, error, reset, connect_failed});
     if (outcome == ok) {
       call.begun = book_[call.name].ran = true;
-      return call.attempt.event("a");
+      return call.attempt.on_data("a");
     }
-    end(call, {outcome, outcome == full && one_in(2) ? 1u : 0u, {}, {}});
+    end(call, {outcome, outcome == rejected_over_capacity && one_in(2) ? 1u : 0u, {}, {}});
   }
   void stream(Run& call) {
     if (one_in(3))
-      return call.attempt.event("b");
+      return call.attempt.on_data("b");
     // A writer that had begun says that there is no state: whatever it says, it has run.
-    const auto outcome =
-        any(std::vector{Outcome::ok, Outcome::ok, Outcome::reset, Outcome::error, Outcome::full});
-    if (outcome == Outcome::full)
+    const auto outcome = any(std::vector{Outcome::ok, Outcome::ok, Outcome::reset, Outcome::error,
+                                         Outcome::rejected_over_capacity});
+    if (outcome == Outcome::rejected_over_capacity)
       ++seen_.gone_410;
-    end(call, {outcome, outcome == Outcome::full ? 1u : 0u, {}, {}});
+    end(call, {outcome, outcome == Outcome::rejected_over_capacity ? 1u : 0u, {}, {}});
   }
-  void end(Run& call, Result result) {
+  void end(Run& call, AttemptResult result) {
     call.over = true;
-    const bool never = result.outcome == Outcome::full || result.outcome == Outcome::connect_failed ||
-                       result.outcome == Outcome::read;
+    const bool never = result.outcome == Outcome::rejected_over_capacity ||
+                       result.outcome == Outcome::connect_failed || result.outcome == Outcome::prefill_done;
     ended(call, call.serves && !never);
-    call.attempt.done(std::move(result));
+    call.attempt.on_done(std::move(result));
   }
   void ended(const Run& call, bool may_have_run) {
     Page& page = book_[call.name];
@@ -287,7 +294,7 @@
     for (;;) {
       Micros next = until;
       for (auto& process : processes_)
-        next = std::min(next, process->core.next_due().value_or(until));
+        next = std::min(next, process->core.next_timer().value_or(until));
       clock_.at = std::max(clock_.at, next);
       run_due();
       if (clock_.at >= until)
@@ -296,17 +303,20 @@
   }
   void run_due() {
     for (auto& process : processes_)
-      process->core.run_due();
+      process->core.run_timers();
   }
-  void list(const std::string& name, Phase phase, bool restarted = false) {
+  void list(const std::string& name, EndpointState phase, bool restarted = false) {
     for (auto& process : processes_)
-      process->core.update(
-          ListKind::delta, ++version_,
+      process->core.update_endpoints(
+          EndpointListKind::incremental, ++version_,
           {{name, "127.0.0.1:1", "z", name.substr(0, 1), 0, phase, 1, restarted ? clock_.at : Micros(0)}});
   }
   void change_list() {
     const auto name = any(std::vector<std::string>{"r1", "r2", "w1", "w2", "w3", "m1"});
-    list(name, any(std::vector{Phase::ready, Phase::ready, Phase::draining, Phase::gone}), one_in(2));
+    list(name,
+         any(std::vector{EndpointState::ready, EndpointState::ready, EndpointState::draining,
+                         EndpointState::removed}),
+         one_in(2));
   }
   void leave() {
     if (askers_.empty())
@@ -316,12 +326,12 @@
       return;
     asker.open = false;
     book_[asker.name].left = true;
-    owner_.at(asker.name)->core.gone(asker.id);
+    owner_.at(asker.name)->core.client_disconnected(asker.id);
   }
   void order() {
     const auto name = any(std::vector<std::string>{"r1", "w1", "w2"});
     for (auto& process : processes_)
-      one_in(2) ? process->core.take_out(name) : process->core.put_back(name);
+      one_in(2) ? process->core.drain_node(name) : process->core.undrain_node(name);
   }
   // What SIGHUP may bring: other attempts, classes in another order, one of them gone or said to be safe by
   // now; in some schedules kinds in another order, and other roles for them.
@@ -332,21 +342,21 @@
     if (one_in(4))
       s.classes.pop_back();
     else if (one_in(4))
-      s.classes[0].effect = Effect::safe;
+      s.classes[0].idempotency = Idempotency::idempotent;
     if (!kinds_fixed_ && one_in(2))
       std::reverse(process.kinds.begin(), process.kinds.end());
-    std::map<std::string, Role> roles{{"r", Role::read}, {"w", Role::write}, {"m", Role::both}};
+    std::map<std::string, Role> roles{{"r", Role::prefill}, {"w", Role::decode}, {"m", Role::mixed}};
     if (!kinds_fixed_ && one_in(2))
       std::swap(roles["r"], roles["w"]);
     for (std::size_t i = 0; i < process.kinds.size(); ++i)
       s.kind_role[i] = roles[process.kinds[i]];
     process.settings = s;
-    seen_.retuned_open += process.core.open() > 0;
-    process.core.retune(s, {"z"}, process.kinds);
+    seen_.retuned_open += process.core.open_requests() > 0;
+    process.core.update_settings(s, {"z"}, process.kinds);
   }
   void hand_over() {
     Process &from = *processes_[0], &to = *processes_[1];
-    from.core.pass_streams([&](const PassedStream& stream) {
+    from.core.transfer_streams([&](const TransferredStream& stream) {
       if (one_in(6))
         return false;
       passing_ = stream.id;
@@ -354,7 +364,7 @@
       askers_.push_back(std::make_unique<Asker>(*this, stream.id));
       Asker& asker = *askers_.back();
       asker.begun = true;
-      if (to.core.adopt(stream, asker, asker.id)) {
+      if (to.core.adopt_stream(stream, asker, asker.id)) {
         to.names[asker.id] = stream.id;
         owner_[stream.id] = &to;
         ++seen_.handed_over;
--- a/tests/deployments/silence_test.cpp
+++ b/tests/deployments/silence_test.cpp
@@ -82,8 +82,8 @@
     EXPECT_TRUE(list.whole);
     ASSERT_EQ(list.nodes.size(), 1u);
     EXPECT_EQ(list.nodes[0].address, "10.1.0.18:5000");
-    EXPECT_EQ(list.nodes[0].phase, Phase::draining);
-    EXPECT_EQ(list.nodes[0].started, 17ms);
+    EXPECT_EQ(list.nodes[0].state, EndpointState::draining);
+    EXPECT_EQ(list.nodes[0].started_at, 17ms);
   }
 }
 
@@ -96,7 +96,7 @@
     const auto node =
         parse_list_text(std::string(R"({"generation":1,"reset":true,"instances":[)") + entry + "]}")
             .nodes.at(0);
-    EXPECT_EQ(std::tuple(node.zone, node.cell, node.weight, node.started),
+    EXPECT_EQ(std::tuple(node.zone, node.cell, node.weight, node.started_at),
               std::tuple(std::string(), 0, 1.0f, Micros(0)));
   }
 }
--- a/tests/deployments/start_test.cpp
+++ b/tests/deployments/start_test.cpp
@@ -15,11 +15,11 @@
   const Settings& s = platform.settings;
   EXPECT_TRUE(platform.unused.empty());
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].effect, Effect::safe);
-  EXPECT_TRUE(s.may_probe && s.marks_retry && s.report_x0_is_memory && s.report_x1_is_unread &&
-              s.tenants.empty());
-  EXPECT_EQ(std::tuple(platform.zones.size(), s.zone, s.siblings), std::tuple(3u, 1u, 3u));
-  EXPECT_EQ(s.release_within, 1s);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::idempotent);
+  EXPECT_TRUE(s.probing_allowed && s.retry_attempt_header && s.report_x0_is_memory &&
+              s.report_x1_is_queued_tokens && s.tenants.empty());
+  EXPECT_EQ(std::tuple(platform.zones.size(), s.router_zone, s.router_count), std::tuple(3u, 1u, 3u));
+  EXPECT_EQ(s.reservation_release_timeout, 1s);
   EXPECT_EQ(platform.known.nodes.at(0).cell, 3);
 }
 
@@ -27,18 +27,18 @@
   const auto platform = parse_platform(shapes::file(shapes::three_classes()));
   const Settings& s = platform.settings;
   ASSERT_EQ(s.classes.size(), 3u);
-  EXPECT_EQ(s.classes[1].effect, Effect::safe);
-  EXPECT_EQ(s.classes[2].effect, Effect::unsafe);
-  EXPECT_EQ(s.classes[2].aim_per_1000_tokens, 60ms);
-  EXPECT_EQ(s.classes[2].token_aim, 50ms);
-  EXPECT_EQ(s.classes[2].worth, 2);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::idempotent);
+  EXPECT_EQ(s.classes[2].idempotency, Idempotency::not_idempotent);
+  EXPECT_EQ(s.classes[2].latency_objective_per_1000_tokens, 60ms);
+  EXPECT_EQ(s.classes[2].inter_token_objective, 50ms);
+  EXPECT_EQ(s.classes[2].priority_weight, 2);
   ASSERT_EQ(s.tenants.size(), 2u);
   EXPECT_EQ(s.tenants[0].name, "randstad zuid");  // as clients name it, not as the flat lines do
   EXPECT_EQ(s.tenants[0].quota_rps, 12.5);
   EXPECT_EQ(platform.zones, std::vector<std::string>{"dc-utrecht"});
-  EXPECT_FALSE(s.may_probe || s.marks_retry);
-  EXPECT_EQ(s.release_within, 500ms);
-  EXPECT_EQ(s.fall_window, 3s);
+  EXPECT_FALSE(s.probing_allowed || s.retry_attempt_header);
+  EXPECT_EQ(s.reservation_release_timeout, 500ms);
+  EXPECT_EQ(s.overload_window, 3s);
 }
 
 // What is allowed and never done is no reason to stay away: each is left out, and named for the log.
@@ -49,7 +49,8 @@
   const auto platform = parse_platform(shapes::file(settings));
   EXPECT_EQ(platform.unused,
             (std::vector<std::string>{"extra.early-pairing", "extra.resume", "limits.second-copies"}));
-  EXPECT_FALSE(platform.settings.place_ahead || platform.settings.resume || platform.settings.second_copies);
+  EXPECT_FALSE(platform.settings.reservation_allowed || platform.settings.stream_resume_allowed ||
+               platform.settings.hedging_allowed);
 }
 
 // One change at a time to what a deployment has: each is taken.
--- a/tests/discovery/cadence_test.cpp
+++ b/tests/discovery/cadence_test.cpp
@@ -239,7 +239,7 @@
   cadence.failed();
   EXPECT_EQ(cadence.next().target, "/v1/servers");
   const auto answer = cadence.take(200, R"({"generation":5,"reset":true,"instances":[]})", 1ms);
-  EXPECT_EQ(answer.kind, ListKind::full);
+  EXPECT_EQ(answer.kind, EndpointListKind::full);
   EXPECT_EQ(cadence.next().target, "/v1/servers?index=5&wait=500");
 }
 
--- a/tests/discovery/keys_test.cpp
+++ b/tests/discovery/keys_test.cpp
@@ -122,10 +122,10 @@
   settings["limits"]["max-retry-after-us"] = 2000000;
   const auto platform = parse_platform(whole(settings).dump());
   EXPECT_TRUE(platform.settings.report_columns.empty());
-  EXPECT_FALSE(platform.settings.report_x0_is_memory || platform.settings.report_x1_is_unread);
+  EXPECT_FALSE(platform.settings.report_x0_is_memory || platform.settings.report_x1_is_queued_tokens);
   EXPECT_EQ(platform.settings.drain_grace, std::chrono::milliseconds(250));
   EXPECT_EQ(platform.settings.max_retry_after, std::chrono::seconds(2));
-  EXPECT_EQ(platform.settings.fall_multiple, 2.5);
+  EXPECT_EQ(platform.settings.overload_factor, 2.5);
 }
 
 // What is allowed, what is left unread and what is unknown are one line of the log.
--- a/tests/discovery/world.h
+++ b/tests/discovery/world.h
@@ -179,11 +179,11 @@
       return rested(end, cadence_.failed(), moved);
     }
     held_version_ = answer.list.version;
-    if (answer.kind == ListKind::full)
+    if (answer.kind == EndpointListKind::full)
       held_.clear();
     if (answer.kind)
       for (const auto& node : answer.list.nodes)
-        held_[node.name] = static_cast<int>(node.started / 1ms);
+        held_[node.name] = static_cast<int>(node.started_at / 1ms);
     // What is held is what tells: a version alone would not.
     for (std::size_t i = 0; i < known; ++i) {
       const auto have = held_.find(name(i));
--- a/tests/edges/ends.cpp
+++ b/tests/edges/ends.cpp
@@ -17,7 +17,7 @@
   Plug client = door.client();
   client.send(Door::request("q1", "Connection: close\r\n"));
   door.settle();
-  door.last().done({Outcome::error, 0, {}, {}, true});
+  door.last().on_done({Outcome::error, 0, {}, {}, true});
   // The answer leaves, and before the front comes to its end the next request is in the kernel.
   client.send(Door::request("q2"));
   door.settle();
@@ -27,7 +27,7 @@
   door.settle();
   client.read();
   assert(client.ended && client.error == 0);  // not reset either
-  assert(door.sent() == 1 && door.core.open() == 0);
+  assert(door.sent() == 1 && door.core.open_requests() == 0);
   client.close();
   // What came unread hides the client's end; the connection goes all the same, in bounded time.
   assert(door.until([&] { return door.front.idle(); }, 5s));
@@ -52,10 +52,10 @@
   Plug client = door.client();
   client.send(Door::request("q1"));
   door.settle();
-  door.done(Outcome::read);
-  door.last().event("one");
+  door.done(Outcome::prefill_done);
+  door.last().on_data("one");
   door.settle();
-  door.last().event("two");
+  door.last().on_data("two");
   client.send(Door::request("q2"));
   door.done(Outcome::reset);
   door.settle();
@@ -100,7 +100,7 @@
   door.front.stop_accepting();
   door.settle();
   assert(door.sent() == 1);
-  door.last().done({Outcome::error, 0, {}, {}, true});
+  door.last().on_done({Outcome::error, 0, {}, {}, true});
   door.settle();
   assert(waits.read().find("400 Bad Request") != std::string::npos && waits.ended && waits.error == 0);
 }
@@ -139,7 +139,7 @@
   net::Listener listener(loop, "127.0.0.1:0", [&](evutil_socket_t fd) {
     taken = std::make_unique<net::Connection>(loop, fd, note);
   });
-  net::Connection to(loop, net::Endpoint("127.0.0.1:" + std::to_string(listener.port())), note);
+  net::Connection to(loop, net::SocketAddress("127.0.0.1:" + std::to_string(listener.port())), note);
   while (!taken)
     loop.run_once();
   assert(is_on(to) && is_on(*taken));
--- a/tests/edges/floods.cpp
+++ b/tests/edges/floods.cpp
@@ -21,8 +21,8 @@
   client.send(std::string(100'000, 'x'));
   door.settle();
   assert(door.loop.tally().counted(Overdone::sent_ahead) == 1);
-  door.done(Outcome::read);
-  door.last().event("one");
+  door.done(Outcome::prefill_done);
+  door.last().on_data("one");
   door.done(Outcome::ok);
   door.settle();
   const std::string got = client.read();
@@ -39,16 +39,16 @@
     client.send(Door::request("q1"));
     door.settle();
     if (streams) {
-      door.done(Outcome::read);
-      door.last().event("one");
+      door.done(Outcome::prefill_done);
+      door.last().on_data("one");
     }
     const std::string more(64 * 1024, 'x');
     std::size_t sent = 0;
-    for (int i = 0; i < 400 && door.core.open() == 1; ++i) {
+    for (int i = 0; i < 400 && door.core.open_requests() == 1; ++i) {
       sent += client.send(more);
       door.settle();
     }
-    assert(door.core.open() == 0 && !door.out() && sent < 4 * 1024 * 1024);
+    assert(door.core.open_requests() == 0 && !door.out() && sent < 4 * 1024 * 1024);
     assert(door.loop.tally().counted(Overdone::flood) == 1);
     const std::string got = client.read();
     assert(got.find(streams ? "data: one" : "400 Bad Request") != std::string::npos);
--- a/tests/edges/gone.cpp
+++ b/tests/edges/gone.cpp
@@ -17,9 +17,9 @@
 }
 
 void seen(Door& door, Plug& client, Goes how) {
-  assert(door.core.open() == 1 && door.out());
+  assert(door.core.open_requests() == 1 && door.out());
   go(client, how);
-  assert(door.until([&] { return door.core.open() == 0 && !door.out(); }, 100ms));
+  assert(door.until([&] { return door.core.open_requests() == 0 && !door.out(); }, 100ms));
 }
 
 // Its request is out at a reader, behind it wait more bytes than are kept, or fewer.
@@ -42,7 +42,7 @@
 
 // Between the reader and the writer, and before a repeat.
 void between_attempts() {
-  for (const Outcome outcome : {Outcome::read, Outcome::full}) {
+  for (const Outcome outcome : {Outcome::prefill_done, Outcome::rejected_over_capacity}) {
     Door door;
     Plug client = door.client();
     client.send(Door::request("q1"));
@@ -51,8 +51,8 @@
     client.send(std::string(100'000, 'x'));
     client.close();
     door.settle();
-    assert(door.core.open() == 0 && !door.out() && door.sent() == before);
-    if (outcome == Outcome::read)
+    assert(door.core.open_requests() == 0 && !door.out() && door.sent() == before);
+    if (outcome == Outcome::prefill_done)
       assert(door.nodes.released.size() == 1);  // what the cut read may have left
   }
 }
@@ -64,10 +64,10 @@
     Plug client = door.client(4096);
     client.send(Door::request("q1"));
     door.settle();
-    door.done(Outcome::read);
+    door.done(Outcome::prefill_done);
     const std::string data(16 * 1024, 'y');
     for (int i = 0; i < 400; ++i) {
-      door.last().event(data);
+      door.last().on_data(data);
       door.settle();
     }
     client.send(std::string(100'000, 'x'));
@@ -84,7 +84,7 @@
     client.send(Door::request("q1"));
     half ? client.end_sending() : client.close();
     door.settle();
-    assert(door.sent() == 0 && door.core.open() == 0 && door.front.idle());
+    assert(door.sent() == 0 && door.core.open_requests() == 0 && door.front.idle());
   }
 }
 
--- a/tests/edges/sockets.h
+++ b/tests/edges/sockets.h
@@ -102,7 +102,7 @@
   }
   std::size_t sent() const { return nodes.begun.size(); }  // attempts begun at nodes
   bool out() const { return !nodes.begun.empty() && nodes.begun.back().open; }
-  Attempt& last() { return *nodes.begun.back().attempt; }
+  AttemptHandler& last() { return *nodes.begun.back().attempt; }
 
  private:
   static http::Front::Options at_loopback(http::Front::Options options, std::size_t places) {
--- a/tests/fleet_knowledge/fleet_test.cpp
+++ b/tests/estimation/estimation_test.cpp
@@ -6,26 +6,27 @@
 #include <numeric>
 #include <random>
 
-#include "fleet/homes.h"
-#include "fleet/learned.h"
-#include "fleet/openings.h"
+#include "estimation/homes.h"
+#include "estimation/learned.h"
+#include "estimation/openings.h"
 
-namespace lemonroute::fleet {
+namespace lemonroute::estimation {
 namespace {
 
 // ---- Openings ----
 
 TEST(Openings, FewArrivalsTellThatOpeningsArePopular) {
-  Openings few, many;
+  PrefixPopularity few, many;
   std::mt19937 random(1);
   std::discrete_distribution<int> popular({20, 10, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5});
   for (int i = 0; i < 15; ++i)
-    few.count(1 + static_cast<Key>(popular(random)));
+    few.record_arrival(1 + static_cast<Key>(popular(random)));
   for (int i = 0; i < 15; ++i)
-    many.count(static_cast<Key>(1000 + i));  // never the same twice
-  few.count(99);
-  many.count(99);
-  EXPECT_GT(few.part(99), 2 * many.part(99)) << "an opening not seen before, where openings are shared a lot";
+    many.record_arrival(static_cast<Key>(1000 + i));  // never the same twice
+  few.record_arrival(99);
+  many.record_arrival(99);
+  EXPECT_GT(few.share(99), 2 * many.share(99))
+      << "an opening not seen before, where openings are shared a lot";
 }
 
 // The estimate comes to the true part as arrivals come, whatever the popularity, and stays a part at any
@@ -38,17 +39,17 @@
     const double all = std::accumulate(weights.begin(), weights.end(), 0.0);
     std::mt19937 random(7);
     std::discrete_distribution<int> draw(weights.begin(), weights.end());
-    Openings openings;
+    PrefixPopularity openings;
     double sum = 0;
     int counted = 0;
     for (int i = 0; i < 6000; ++i) {
-      openings.count(1 + static_cast<Key>(draw(random)));
-      ASSERT_GT(openings.part(1), 0);
-      ASSERT_LE(openings.part(1), 1);
-      ASSERT_LE(openings.known(), 2 * Openings::most);
+      openings.record_arrival(1 + static_cast<Key>(draw(random)));
+      ASSERT_GT(openings.share(1), 0);
+      ASSERT_LE(openings.share(1), 1);
+      ASSERT_LE(openings.tracked_prefixes(), 2 * PrefixPopularity::max_arrivals);
       if (i < 1000)
         continue;
-      sum += openings.part(1);
+      sum += openings.share(1);
       ++counted;
     }
     EXPECT_NEAR(sum / counted, weights[0] / all, 0.15 * weights[0] / all) << "exponent " << exponent;
@@ -56,37 +57,39 @@
 }
 
 TEST(Openings, EndlessNewOnesAreForgotten) {
-  Openings openings;
+  PrefixPopularity openings;
   for (Key key = 1; key < 100000; ++key)
-    openings.count(key);
-  EXPECT_LE(openings.known(), 2 * Openings::most);
+    openings.record_arrival(key);
+  EXPECT_LE(openings.tracked_prefixes(), 2 * PrefixPopularity::max_arrivals);
 }
 
 // ---- Homes ----
 
-std::vector<Member> members(const std::vector<int>& of_zone, HostId from = 100) {
-  std::vector<Member> all;
+std::vector<WeightedNode> members(const std::vector<int>& of_zone, EndpointId from = 100) {
+  std::vector<WeightedNode> all;
   for (std::uint32_t zone = 0; zone < of_zone.size(); ++zone)
     for (int i = 0; i < of_zone[zone]; ++i)
-      all.push_back({from * (zone + 1) + static_cast<HostId>(i), zone});
+      all.push_back({from * (zone + 1) + static_cast<EndpointId>(i), zone});
   return all;
 }
-std::uint32_t zone_of(HostId id) {
+std::uint32_t zone_of(EndpointId id) {
   return id / 100 - 1;
 }
 
 // Of 1,000 openings, those at home in each zone.
-std::vector<int> spread(Seat seat, const std::vector<int>& readers, const std::vector<int>& writers) {
+std::vector<int> spread(RouterLocation seat, const std::vector<int>& readers,
+                        const std::vector<int>& writers) {
   std::vector<int> of_zone(readers.size());
   for (Key opening = 1; opening <= 1000; ++opening)
-    ++of_zone[zone_of(homes(opening, opening, 0, seat, members(readers), members(writers, 1000)).front())];
+    ++of_zone[zone_of(
+        affinity_nodes(opening, opening, 0, seat, members(readers), members(writers, 1000)).front())];
   return of_zone;
 }
 
 TEST(Homes, AZoneKeepsWhatItsReadersAndWritersBear) {
   struct Row {
     const char* what;
-    Seat seat;
+    RouterLocation seat;
     std::vector<int> readers, writers, expected;
   };
   const Row rows[] = {
@@ -111,10 +114,10 @@
   auto readers = members({10, 10});
   for (auto& one : readers)
     if (one.zone == 0)
-      one.able = 0.25;
+      one.relative_capacity = 0.25;
   int here = 0;
   for (Key opening = 1; opening <= 1000; ++opening)
-    here += zone_of(homes(opening, 1, 0, {0, 300}, readers, members({5, 5}, 1000)).front()) == 0;
+    here += zone_of(affinity_nodes(opening, 1, 0, {0, 300}, readers, members({5, 5}, 1000)).front()) == 0;
   EXPECT_NEAR(here, 400, 60);  // 2.5 of 12.5 readers, for half of the traffic
 }
 
@@ -122,11 +125,11 @@
 // its homes; and as many homes as the opening would half fill are given.
 TEST(Homes, AgreeSpreadAndGrowWithThePart) {
   const auto all = members({16, 16}), writers = members({9, 9}, 1000);
-  std::map<HostId, int> first;
+  std::map<EndpointId, int> first;
   int agreed = 0;
   for (Key session = 1; session <= 2000; ++session) {
-    const auto few = homes(42, session, 0.1, {0, 300}, all, writers);
-    const auto more = homes(42, session, 0.15, {0, 300}, all, writers);
+    const auto few = affinity_nodes(42, session, 0.1, {0, 300}, all, writers);
+    const auto more = affinity_nodes(42, session, 0.15, {0, 300}, all, writers);
     ASSERT_EQ(few.size(), 4u);  // 2 * 0.1 * 16, rounded up
     ASSERT_EQ(more.size(), 5u);
     ++first[few.front()];
@@ -135,23 +138,23 @@
   EXPECT_GT(agreed, 2000 * 0.75);
   for (const auto& [id, count] : first)
     EXPECT_NEAR(count, 500, 100);
-  EXPECT_EQ(homes(42, 1, 1, {0, 300}, all, writers).size(), 16u);
-  EXPECT_EQ(homes(42, 1, 0, {0, 300}, all, writers).size(), 1u);
-  EXPECT_TRUE(homes(42, 1, 0.1, {0, 300}, {}, writers).empty());
+  EXPECT_EQ(affinity_nodes(42, 1, 1, {0, 300}, all, writers).size(), 16u);
+  EXPECT_EQ(affinity_nodes(42, 1, 0, {0, 300}, all, writers).size(), 1u);
+  EXPECT_TRUE(affinity_nodes(42, 1, 0.1, {0, 300}, {}, writers).empty());
 }
 
 TEST(Homes, OneReaderLessMovesOnlyItsOwnOpenings) {
   auto all = members({12});
   auto without = all;
-  const HostId gone = without.back().id;
+  const EndpointId gone = without.back().id;
   without.pop_back();
   for (Key opening = 1; opening < 500; ++opening) {
-    const auto before = homes(opening, opening, 0, {}, all, {}).front();
+    const auto before = affinity_nodes(opening, opening, 0, {}, all, {}).front();
     if (before != gone) {
-      EXPECT_EQ(homes(opening, opening, 0, {}, without, {}).front(), before);
+      EXPECT_EQ(affinity_nodes(opening, opening, 0, {}, without, {}).front(), before);
     }
   }
 }
 
 }  // namespace
-}  // namespace lemonroute::fleet
+}  // namespace lemonroute::estimation
--- a/tests/fleet/play/fleet.cpp
+++ b/tests/fleet/play/fleet.cpp
@@ -230,7 +230,7 @@
         c = static_cast<char>(random());
       if (step.forged)
         bytes[0] = 1;  // the version
-      stranger_->send(net::Endpoint(members_.at(name).places.peers), bytes);
+      stranger_->send(net::SocketAddress(members_.at(name).places.peers), bytes);
     }
 }
 
--- a/tests/fleet/relay/datagrams.cpp
+++ b/tests/fleet/relay/datagrams.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 Socket::Socket(const std::string& host) : fd_(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-  const net::Endpoint at(host + ":0");
+  const net::SocketAddress at(host + ":0");
   if (fd_ < 0 || bind(fd_, at.address(), static_cast<socklen_t>(at.length())) != 0) {
     const int why = errno;
     if (fd_ >= 0)
@@ -43,7 +43,7 @@
   return text_of(at);
 }
 
-void Socket::send(const net::Endpoint& to, std::string_view bytes) const {
+void Socket::send(const net::SocketAddress& to, std::string_view bytes) const {
   (void)sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, to.address(),
                static_cast<socklen_t>(to.length()));
 }
--- a/tests/fleet/relay/datagrams.h
+++ b/tests/fleet/relay/datagrams.h
@@ -22,7 +22,8 @@
   Socket& operator=(const Socket&) = delete;
   int fd() const { return fd_; }
   std::string address() const;
-  void send(const net::Endpoint& to, std::string_view bytes) const;  // what the kernel does not take is lost
+  void send(const net::SocketAddress& to,
+            std::string_view bytes) const;  // what the kernel does not take is lost
 
  private:
   int fd_;
@@ -51,7 +52,7 @@
   Links& links_;
   Counts& counts_;
   std::string from_, to_, to_address_;
-  net::Endpoint from_at_, to_at_;
+  net::SocketAddress from_at_, to_at_;
   Socket socket_;
   std::multimap<std::chrono::steady_clock::time_point, Waiting> waiting_;
   net::Timer due_;
--- a/tests/fleet/relay/streams.cpp
+++ b/tests/fleet/relay/streams.cpp
@@ -18,7 +18,9 @@
 class StreamRelay::Pipe {
  public:
   Pipe(StreamRelay& relay, evutil_socket_t fd)
-      : relay_(relay), near_(*this, relay.loop_, fd), far_(*this, relay.loop_, net::Endpoint(relay.to_)) {}
+      : relay_(relay),
+        near_(*this, relay.loop_, fd),
+        far_(*this, relay.loop_, net::SocketAddress(relay.to_)) {}
   void relinked() {
     near_.carry();
     far_.carry();
--- a/tests/fleet/watch/ledger.cpp
+++ b/tests/fleet/watch/ledger.cpp
@@ -10,9 +10,9 @@
 
 void Ledger::told(Micros now, const std::string& router, const std::string& device,
                   const std::string& lifecycle, Micros started) {
-  const Phase phase = lifecycle == "active"    ? Phase::ready
-                      : lifecycle == "leaving" ? Phase::draining
-                                               : Phase::gone;
+  const EndpointState phase = lifecycle == "active"    ? EndpointState::ready
+                              : lifecycle == "leaving" ? EndpointState::draining
+                                                       : EndpointState::removed;
   told_[router][device] = {phase, started};
   monitor_.listed(now, device + "@" + router, phase, started);
 }
@@ -102,7 +102,7 @@
 
 void Ledger::back(Micros now, const std::string& router) {
   for (const auto& [device, told] : told_[router]) {
-    monitor_.listed(now, device + "@" + router, Phase::ready, told.started);
+    monitor_.listed(now, device + "@" + router, EndpointState::ready, told.started);
     monitor_.listed(now, device + "@" + router, told.phase, told.started);
   }
   for (auto& [request, entry] : requests_)
--- a/tests/fleet/watch/ledger.h
+++ b/tests/fleet/watch/ledger.h
@@ -72,7 +72,7 @@
   std::map<std::string, std::size_t> answers_;
   std::map<std::string, std::set<std::string>> read_;  // opening: readers
   struct Told {
-    Phase phase;
+    EndpointState phase;
     Micros started;
   };
   std::map<std::string, std::map<std::string, Told>> told_;  // router, device
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -26,7 +26,7 @@
          std::vector<peers::seal::Key> keys, std::vector<Binding> bindings = {},
          std::string listen = "127.0.0.1:0", bool beside = false)
       : fleet(loop, clock, options(clock, name, std::move(seeds), std::move(keys), std::move(listen), beside),
-              std::move(bindings), [this](auto newer) { siblings = newer->siblings(); }) {}
+              std::move(bindings), [this](auto newer) { siblings = newer->router_count(); }) {}
   static Fleet::Options options(const Clock& clock, const std::string& name, std::vector<std::string> seeds,
                                 std::vector<peers::seal::Key> keys, std::string listen, bool beside) {
     Fleet::Options to;
@@ -127,7 +127,7 @@
 // An extension that hears of nodes and says of each that it is away once a loss was told of it.
 struct Talker : peers::Extension {
   struct Away {
-    Guide::Laid lay(const Node&) const { return {true, Micros(0), Micros::max()}; }
+    FleetView::NodeOverlay lay(const Node&) const { return {true, Micros(0), Micros::max()}; }
   };
   peers::Topic topic() const override { return peers::Topic::tiers; }
   void viewed(Micros, const peers::View& view) override {
@@ -159,18 +159,18 @@
     bindings.push_back(binding_of(std::make_unique<Talker>(), [](const Talker& at) { return at.guide; }));
     return bindings;
   };
-  std::shared_ptr<const Guide> newest;
+  std::shared_ptr<const FleetView> newest;
   Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), binding(),
             [](auto) {});
   Fleet two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false),
             binding(), [&](auto newer) { newest = std::move(newer); });
-  ASSERT_TRUE(comes([&] { return newest && newest->siblings() == 2; }));
+  ASSERT_TRUE(comes([&] { return newest && newest->router_count() == 2; }));
   Node node;
   node.id = 4;
-  EXPECT_FALSE(newest->lay(node).away);
-  one.observer().listed({node}, clock.now());
-  one.observer().lost(node, clock.now());
-  EXPECT_TRUE(comes([&] { return newest->lay(node).away; }));
+  EXPECT_FALSE(newest->overlay(node).drained);
+  one.observer().on_endpoints({node}, clock.now());
+  one.observer().on_cache_lost(node, clock.now());
+  EXPECT_TRUE(comes([&] { return newest->overlay(node).drained; }));
 }
 
 struct Broken : Talker {
@@ -184,11 +184,11 @@
       two(loop, clock, "two", {one.fleet.address()}, keys);
   ASSERT_TRUE(comes([&] { return one.siblings == 2 && two.there() == 2; }));
   Node node;
-  one.fleet.observer().listed({node}, clock.now());
-  one.fleet.observer().lost(node, clock.now());
+  one.fleet.observer().on_endpoints({node}, clock.now());
+  one.fleet.observer().on_cache_lost(node, clock.now());
   EXPECT_TRUE(comes([&] { return one.json().value("failed", false); }));
   for (std::size_t i = 0; i < 2 * Notes::room; ++i)
-    one.fleet.observer().kept(node, i, 0, 1, 0, clock.now());
+    one.fleet.observer().on_prefix_cached(node, i, 0, 1, 0, clock.now());
   EXPECT_EQ(one.siblings, 2u);  // what was known last
   EXPECT_TRUE(comes([&] { return two.there() == 1; }));
 }
--- a/tests/held/held_test.cpp
+++ b/tests/held/held_test.cpp
@@ -71,8 +71,9 @@
   for (std::size_t i = 0; i < steps.size(); ++i)
     text << (i ? "," : "") << steps[i];
   text << "\n"
-       << part.routers << " routers, release within " << part.settings.release_within.count() / 1000
-       << " ms, attempts may " << (part.settings.may_cancel ? "" : "not ") << "be called off\n";
+       << part.routers << " routers, release within "
+       << part.settings.reservation_release_timeout.count() / 1000 << " ms, attempts may "
+       << (part.settings.cancellation_allowed ? "" : "not ") << "be called off\n";
   for (const std::string& line : world.trace())
     text << "  " << line << "\n";
   return text.str();
--- a/tests/held/schedule.cpp
+++ b/tests/held/schedule.cpp
@@ -57,7 +57,7 @@
 Schedule draw_schedule(std::uint64_t seed) {
   property::Drawn draw(seed * 2654435761u + 17);
   Schedule schedule{.seed = seed, .settings = draw.settings(), .steps = {}};
-  schedule.settings.release_within = draw.any<Micros>({300ms, 500ms, 500ms, 1s, 2s});
+  schedule.settings.reservation_release_timeout = draw.any<Micros>({300ms, 500ms, 500ms, 1s, 2s});
   schedule.prefill_nodes = 2 + draw.below(4);
   schedule.decode_nodes = 2 + draw.below(4);
   schedule.routers = 1 + draw.below(5);
--- a/tests/held/world.cpp
+++ b/tests/held/world.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 World::World(const Schedule& schedule, Seen& seen)
-    : schedule_(schedule), seen_(seen), oracle_(schedule.settings.release_within + tolerance) {
+    : schedule_(schedule), seen_(seen), oracle_(schedule.settings.reservation_release_timeout + tolerance) {
   property::Drawn draw(schedule.seed * mixing);
   const auto add = [this, &draw](char letter, Role role, std::size_t number) {
     for (std::size_t i = 0; i < number; ++i) {
@@ -33,10 +33,10 @@
     }
   };
   // The spared ones come last, faults count from the first.
-  add('r', Role::read, schedule.prefill_nodes - spared);
-  add('w', Role::write, schedule.decode_nodes - spared);
-  add('R', Role::read, spared);
-  add('W', Role::write, spared);
+  add('r', Role::prefill, schedule.prefill_nodes - spared);
+  add('w', Role::decode, schedule.decode_nodes - spared);
+  add('R', Role::prefill, spared);
+  add('W', Role::decode, spared);
   routers_.reserve(schedule.routers + schedule.steps.size());
   for (std::size_t i = 0; i < schedule.routers; ++i)
     add_router();
@@ -52,12 +52,12 @@
   const std::uint64_t seed = schedule_.seed * mixing + routers_.size();
   state.core = std::make_unique<Router>(schedule_.settings, std::vector<std::string>{"z1", "z2"},
                                         std::vector<std::string>{"r", "w", "m"}, seed, clock_, *this);
-  std::vector<Router::Listed> all;
+  std::vector<Router::ListedNode> all;
   for (const auto& host : hosts_)
-    if (host->phase != Phase::gone)
-      all.push_back({host->name, "127.0.0.1:1", "z1", host->role == Role::read ? "r" : "w", 1, host->phase, 1,
-                     host->started});
-  state.core->update(ListKind::full, ++state.version, all);
+    if (host->phase != EndpointState::removed)
+      all.push_back({host->name, "127.0.0.1:1", "z1", host->role == Role::prefill ? "r" : "w", 1, host->phase,
+                     1, host->started});
+  state.core->update_endpoints(EndpointListKind::full, ++state.version, all);
 }
 
 std::string World::run() {
@@ -66,10 +66,10 @@
     at(start + step.at, [this, &step] { play(step); });
   const Micros end = start + 5s + settles_for;
   while (clock_.at <= end) {
-    std::optional<Micros> next = timers_.next();
+    std::optional<Micros> next = timers_.next_due();
     for (const RouterState& router : routers_)
-      if (router.core && router.core->next_due() && (!next || *router.core->next_due() < *next))
-        next = router.core->next_due();
+      if (router.core && router.core->next_timer() && (!next || *router.core->next_timer() < *next))
+        next = router.core->next_timer();
     if (!next)
       return "";
     clock_.at = std::max(clock_.at, *next);
@@ -77,14 +77,14 @@
       std::ostringstream text;
       text << "state of " << pinned->request << " is held at " << pinned->node << " since "
            << (pinned->since - start).count() / 1000 << " ms, allowed for "
-           << (schedule_.settings.release_within + tolerance).count() / 1000 << " ms, still there at "
-           << (pinned->noticed - start).count() / 1000 << " ms";
+           << (schedule_.settings.reservation_release_timeout + tolerance).count() / 1000
+           << " ms, still there at " << (pinned->noticed - start).count() / 1000 << " ms";
       return text.str();
     }
-    timers_.run(clock_.at);
+    timers_.run_due(clock_.at);
     for (std::size_t i = 0; i < routers_.size(); ++i)
       if (routers_[i].core)
-        routers_[i].core->run_due();
+        routers_[i].core->run_timers();
   }
   return "";
 }
@@ -110,18 +110,18 @@
   asker.tokens = step.tokens;
   ClientRequest request;
   request.prompt = {name, "/", std::make_shared<std::string>("{}")};
-  request.kind = kind.name;
-  request.budget = step.budget > Micros(0) ? step.budget : kind.deadline;
+  request.request_class = kind.name;
+  request.time_budget = step.budget > Micros(0) ? step.budget : kind.deadline;
   request.prompt_tokens = step.tokens;
-  request.max_output = 100;
+  request.max_output_tokens = 100;
   note(name + " asks router " + std::to_string(index));
-  routers_[index].core->take(request, asker, asker.id);
+  routers_[index].core->submit(request, asker, asker.id);
   if (step.span < Micros::max())
     at(clock_.at + step.span, [this, &asker] {
       if (!std::exchange(asker.open, false) || !routers_[asker.router].core)
         return;
       note(asker.name + "'s client goes");
-      routers_[asker.router].core->gone(asker.id);
+      routers_[asker.router].core->client_disconnected(asker.id);
     });
 }
 
@@ -206,8 +206,8 @@
 void World::start_process(Host& host) {
   host.alive = true;
   host.started = clock_.at + host.clock_error;
-  if (host.phase != Phase::gone)
-    host.phase = Phase::ready;
+  if (host.phase != EndpointState::removed)
+    host.phase = EndpointState::ready;
   list(host);
 }
 
@@ -220,12 +220,12 @@
 }
 
 void World::drain(Host& host, Micros span) {
-  if (host.phase != Phase::ready)
+  if (host.phase != EndpointState::ready)
     return;
-  host.phase = Phase::draining;
+  host.phase = EndpointState::draining;
   list(host);
   at(clock_.at + span, [this, &host] {
-    host.phase = Phase::gone;
+    host.phase = EndpointState::removed;
     list(host);
   });
   at(clock_.at + span + lingers, [this, &host] {
@@ -241,7 +241,7 @@
   add_router();
   routers_[index].taken_over_by = routers_.size() - 1;
   const Micros waits_end = clock_.at + 600ms;
-  routers_[index].core->end_waits(waits_end);
+  routers_[index].core->set_shutdown_deadline(waits_end);
   at(waits_end + kill_after, [this, index] {
     note("router " + std::to_string(index) + " ends");
     routers_[index].core.reset();
@@ -263,9 +263,9 @@
   RouterState& state = routers_[index];
   if (!state.core)
     return;
-  state.core->update(ListKind::delta, ++state.version,
-                     {{host.name, "127.0.0.1:1", "z1", host.role == Role::read ? "r" : "w", 1, host.phase, 1,
-                       host.started}});
+  state.core->update_endpoints(EndpointListKind::incremental, ++state.version,
+                               {{host.name, "127.0.0.1:1", "z1", host.role == Role::prefill ? "r" : "w", 1,
+                                 host.phase, 1, host.started}});
 }
 
 }  // namespace lemonroute::held
--- a/tests/held/world.h
+++ b/tests/held/world.h
@@ -25,7 +25,7 @@
       released_waiting = 0, released = 0, lost_state = 0, refused = 0, failed = 0;
 };
 
-class World : public Nodes {
+class World : public NodeTransport {
  public:
   World(const Schedule& schedule, Seen& seen);
   ~World() override;
@@ -38,8 +38,8 @@
   struct Asker;
   struct Host {
     std::string name;
-    Role role = Role::read;
-    Phase phase = Phase::ready;
+    Role role = Role::prefill;
+    EndpointState phase = EndpointState::ready;
     Micros started{};
     Micros clock_error{};  // of what it states of its start
     int process = 0;
@@ -61,13 +61,15 @@
     Micros now() const override { return at; }
   };
 
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
-                              Attempt& attempt) override;
-  std::unique_ptr<Call> release(const Node& node, const std::string& id,
-                                std::function<void(bool)> done) override;
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override;
+  std::unique_ptr<Call> release_reservation(const Node& node, const std::string& id,
+                                            std::function<void(bool)> done) override;
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
 
   void play(const Step& step);
   void ask(const Step& step);
@@ -92,9 +94,9 @@
   void grant(Host& host, const std::string& request);
   void free(const std::string& request);
   bool decodes(const std::string& request) const;  // one has arrived and is out
-  void end(Sending& sending, Result result);
+  void end(Sending& sending, AttemptResult result);
   void let_go(Sending& sending);
-  void answer(Sending& sending, Result result);
+  void answer(Sending& sending, AttemptResult result);
   void when_it_runs(Sending& sending, std::function<void()> job);
   void later(Sending& sending, Micros after, std::function<void()> job);
   void at(Micros when, std::function<void()> job) { timers_.add(when, std::move(job)); }
--- a/tests/held/world_nodes.cpp
+++ b/tests/held/world_nodes.cpp
@@ -18,7 +18,7 @@
 
 // What is drawn for one call depends on nothing but it, so that a schedule with fewer steps is much the same.
 property::Drawn World::drawing(const std::string& request) {
-  return property::Drawn(hash_of(request) ^ ((++askers_.at(request)->calls + schedule_.seed) * mixing));
+  return property::Drawn(hash_text(request) ^ ((++askers_.at(request)->calls + schedule_.seed) * mixing));
 }
 
 // From the beginning until the connection takes what is to be sent; nothing: it never does.
@@ -30,7 +30,8 @@
   return comes_up(host) ? std::optional(draw.up_to(20ms)) : std::nullopt;
 }
 
-std::unique_ptr<Call> World::begin(const Node& node, const Prompt& prompt, Micros, Attempt& attempt) {
+std::unique_ptr<Call> World::start_attempt(const Node& node, const Prompt& prompt, Micros,
+                                           AttemptHandler& attempt) {
   Asker& asker = *askers_.at(prompt.id);
   Host& host = *by_name_.at(node.name);
   auto call = std::make_unique<Sending>(*this, host, asker, attempt, drawing(prompt.id));
@@ -44,7 +45,7 @@
   }
   const auto goes = [this, &sending] {
     sending.sent = true;
-    sending.attempt.written();
+    sending.attempt.on_request_written();
     carry(
         sending.host, [open = sending.open] { return *open; }, [this, &sending] { arrive(sending); });
   };
@@ -79,19 +80,19 @@
   sending.arrived = true;
   oracle_.arrived(sending.asker.name);
   note(sending.asker.name + " arrives at " + sending.host.name);
-  sending.host.role == Role::write ? write(sending) : read(sending);
+  sending.host.role == Role::decode ? write(sending) : read(sending);
 }
 
 void World::read(Sending& sending) {
   const Micros alone(static_cast<Micros::rep>(sending.asker.tokens / tokens_per_second * 1e6));
   const Micros span = alone + sending.draw.up_to(sending.draw.one_in(4) ? 800ms : 50ms);
-  const auto outcome =
-      sending.draw.any({Outcome::read, Outcome::read, Outcome::read, Outcome::read, Outcome::read,
-                        Outcome::read, Outcome::full, Outcome::error, Outcome::reset});
+  const auto outcome = sending.draw.any({Outcome::prefill_done, Outcome::prefill_done, Outcome::prefill_done,
+                                         Outcome::prefill_done, Outcome::prefill_done, Outcome::prefill_done,
+                                         Outcome::rejected_over_capacity, Outcome::error, Outcome::reset});
   later(sending, span, [this, &sending, outcome] {
     when_it_runs(sending, [this, &sending, outcome] {
       const bool ended_well =
-          outcome == Outcome::read || (outcome == Outcome::reset && sending.draw.one_in(2));
+          outcome == Outcome::prefill_done || (outcome == Outcome::reset && sending.draw.one_in(2));
       if (ended_well && !sending.released)
         grant(sending.host, sending.asker.name);
       answer(sending, {outcome, 0, {}, {}});
@@ -101,8 +102,9 @@
 
 void World::write(Sending& sending) {
   const Micros queued = hop + sending.draw.up_to(sending.draw.one_in(4) ? 1500ms : 80ms);
-  const auto outcome = sending.draw.any({Outcome::ok, Outcome::ok, Outcome::ok, Outcome::ok, Outcome::ok,
-                                         Outcome::full, Outcome::error, Outcome::reset, Outcome::timeout});
+  const auto outcome =
+      sending.draw.any({Outcome::ok, Outcome::ok, Outcome::ok, Outcome::ok, Outcome::ok,
+                        Outcome::rejected_over_capacity, Outcome::error, Outcome::reset, Outcome::timeout});
   if (outcome == Outcome::timeout)
     return;  // it never says a word
   later(sending, queued, [this, &sending, outcome] {
@@ -112,7 +114,7 @@
       if (!oracle_.holds(sending.asker.name)) {
         ++seen_.lost_state;
         note(sending.asker.name + " finds no state");
-        return answer(sending, {Outcome::full, 1, {}, {}});
+        return answer(sending, {Outcome::rejected_over_capacity, 1, {}, {}});
       }
       ++seen_.taken;
       note(sending.asker.name + "'s state is taken");
@@ -127,7 +129,7 @@
     return answer(sending, {Outcome::ok, 0, {}, {}});
   const auto open = sending.open;
   if (clock_.at >= sending.host.lost_from_until)
-    sending.attempt.event("x");
+    sending.attempt.on_data("x");
   if (*open)
     later(sending, hop + sending.draw.up_to(100ms), [this, &sending, left] { stream(sending, left - 1); });
 }
@@ -143,7 +145,7 @@
 }
 
 // What the node says goes back to the router, late or never where the network is cut.
-void World::answer(Sending& sending, Result result) {
+void World::answer(Sending& sending, AttemptResult result) {
   const Host& host = sending.host;
   if (clock_.at < host.lost_from_until)
     return note(sending.asker.name + "'s answer from " + host.name + " is lost");
@@ -151,23 +153,23 @@
   later(sending, back, [this, &sending, result = std::move(result)] { end(sending, result); });
 }
 
-void World::end(Sending& sending, Result result) {
+void World::end(Sending& sending, AttemptResult result) {
   sending.over = true;
   if (sending.timer)
-    timers_.drop(*sending.timer);
+    timers_.cancel(*sending.timer);
   sending.timer.reset();
   note(sending.asker.name + " at " + sending.host.name + " ends with " +
        std::to_string(static_cast<int>(result.outcome)) + (sending.arrived ? "" : ", had not arrived"));
   if (std::exchange(sending.arrived, false))
     oracle_.ended(clock_.at, sending.asker.name);
-  sending.attempt.done(std::move(result));  // the call is gone now
+  sending.attempt.on_done(std::move(result));  // the call is gone now
 }
 
 // The router has closed it. A read may have ended well in that very moment, or does so when its node goes on.
 void World::let_go(Sending& sending) {
   *sending.open = false;
   if (sending.timer)
-    timers_.drop(*sending.timer);
+    timers_.cancel(*sending.timer);
   Host& host = sending.host;
   host.attempts.erase(&sending);
   if (sending.over)
@@ -178,7 +180,7 @@
   if (!sending.arrived)
     return;
   oracle_.ended(clock_.at, request);
-  if (host.role != Role::read || !host.alive || sending.process != host.process || !sending.draw.one_in(3))
+  if (host.role != Role::prefill || !host.alive || sending.process != host.process || !sending.draw.one_in(3))
     return;
   const auto ends_well = [this, &host, request, process = host.process] {
     if (!host.alive || host.process != process || !routers_[askers_.at(request)->router].core)
@@ -207,15 +209,15 @@
 
 bool World::decodes(const std::string& request) const {
   return std::any_of(hosts_.begin(), hosts_.end(), [&](const auto& host) {
-    return host->role == Role::write &&
+    return host->role == Role::decode &&
            std::any_of(host->attempts.begin(), host->attempts.end(),
                        [&](const Sending* one) { return one->arrived && one->asker.name == request; });
   });
 }
 
 // Frees what no decode that has arrived waits for. It counts once it has arrived, answered or not.
-std::unique_ptr<Call> World::release(const Node& node, const std::string& id,
-                                     std::function<void(bool)> done) {
+std::unique_ptr<Call> World::release_reservation(const Node& node, const std::string& id,
+                                                 std::function<void(bool)> done) {
   auto call = std::make_unique<Releasing>(*this);
   Host& host = *by_name_.at(node.name);
   property::Drawn draw = drawing(id);
@@ -254,7 +256,7 @@
 
 void World::later(Sending& sending, Micros after, std::function<void()> job) {
   if (sending.timer)
-    timers_.drop(*sending.timer);
+    timers_.cancel(*sending.timer);
   sending.timer = timers_.add(clock_.at + after, [&sending, job = std::move(job)] {
     sending.timer.reset();
     const auto kept = job;  // the call may be let go of, and this with it
--- a/tests/held/world_parts.h
+++ b/tests/held/world_parts.h
@@ -8,7 +8,7 @@
 constexpr Micros hop = Micros(1000);  // one way
 
 struct World::Sending : Call {
-  Sending(World& world, Host& host, Asker& asker, Attempt& attempt, property::Drawn draw)
+  Sending(World& world, Host& host, Asker& asker, AttemptHandler& attempt, property::Drawn draw)
       : world(world),
         host(host),
         process(host.process),
@@ -18,12 +18,12 @@
     host.attempts.insert(this);
   }
   ~Sending() override { world.let_go(*this); }
-  bool unsent() const override { return !sent; }
+  bool not_sent() const override { return !sent; }
   World& world;
   Host& host;
   int process;
   Asker& asker;
-  Attempt& attempt;
+  AttemptHandler& attempt;
   property::Drawn draw;
   bool sent = false, arrived = false, over = false;
   bool released = false;  // while it ran
@@ -41,11 +41,11 @@
 struct World::Asker : Client {
   Asker(World& world, std::string name, std::size_t router)
       : world(world), name(std::move(name)), router(router) {}
-  bool event(std::string_view) override { return true; }
+  bool on_data(std::string_view) override { return true; }
   void finish() override { ++world.seen_.served, open = false; }
-  void refuse(Micros) override { ++world.seen_.refused, open = false; }
-  void fail(Failure) override { ++world.seen_.failed, open = false; }
-  void cut() override { ++world.seen_.failed, open = false; }
+  void reject(Micros) override { ++world.seen_.refused, open = false; }
+  void fail(FailureReason) override { ++world.seen_.failed, open = false; }
+  void abort_stream() override { ++world.seen_.failed, open = false; }
   World& world;
   std::string name;
   std::size_t router;
--- a/tests/module/failure_test.cpp
+++ b/tests/module/failure_test.cpp
@@ -12,7 +12,7 @@
   for (int i = 0; i < 6; ++i)
     bed.serve(bed.request(4000, 0, 77), 20ms, 4000);
   bed.feed(bed.request(4010, 0, 77));  // ten tokens to read
-  EXPECT_EQ(Bed::find<Cancel>(bed.pass(bed.now + 200ms)), nullptr);
+  EXPECT_EQ(Bed::find<CancelAttempt>(bed.pass(bed.now + 200ms)), nullptr);
 }
 
 TEST(Overdue, StuckReadIsCalledOffWhenAnotherReaderIsSooner) {
@@ -21,10 +21,10 @@
   for (int i = 0; i < 20; ++i)
     bed.serve(bed.request(4000));
   const Request r = bed.request(4000);
-  const HostId stuck = bed.sent(bed.feed(r));
+  const EndpointId stuck = bed.sent(bed.feed(r));
   const auto actions = bed.pass(bed.now + 2s);
-  ASSERT_NE(Bed::find<Cancel>(actions), nullptr);
-  const HostId next = bed.sent(bed.complete(r.id, 0, stuck, Outcome::cancelled, 2s));
+  ASSERT_NE(Bed::find<CancelAttempt>(actions), nullptr);
+  const EndpointId next = bed.sent(bed.complete(r.id, 0, stuck, Outcome::cancelled, 2s));
   EXPECT_EQ(next, 3 - stuck);
 }
 
@@ -39,8 +39,8 @@
   bed.pass(bed.now + 100ms);
   bed.feed(bed.request(40010, 0, 0, 5, 40000));
   const Micros sent = bed.now;
-  EXPECT_EQ(Bed::find<Cancel>(bed.pass(sent + 1400ms)), nullptr);  // a third of its aim is 0.87 s
-  EXPECT_NE(Bed::find<Cancel>(bed.pass(sent + 4s)), nullptr);      // it is not waited for without end
+  EXPECT_EQ(Bed::find<CancelAttempt>(bed.pass(sent + 1400ms)), nullptr);  // a third of its aim is 0.87 s
+  EXPECT_NE(Bed::find<CancelAttempt>(bed.pass(sent + 4s)), nullptr);      // it is not waited for without end
 }
 
 TEST(Overdue, UnsafeAtAWriterIsNeverCalledOff) {
@@ -50,8 +50,8 @@
     bed.serve(bed.request(4000));
   const Request r = bed.request(4000, 2);
   bed.feed(r);
-  ASSERT_NE(bed.sent(bed.complete(r.id, 0, 1, Outcome::read)), 0u);
-  EXPECT_EQ(Bed::find<Cancel>(bed.pass(bed.now + 5s)), nullptr);
+  ASSERT_NE(bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done)), 0u);
+  EXPECT_EQ(Bed::find<CancelAttempt>(bed.pass(bed.now + 5s)), nullptr);
 }
 
 TEST(QuickFailures, HostThatFailsFastIsAvoidedThenTriedAgain) {
@@ -62,10 +62,10 @@
   int failures = 0;
   const auto once = [&] {
     const Request r = bed.request(4000);
-    HostId reader = bed.sent(bed.feed(r));
+    EndpointId reader = bed.sent(bed.feed(r));
     bed.now += 20ms;
     if (reader != 2) {
-      bed.complete(r.id, 0, reader, Outcome::read, 100ms);
+      bed.complete(r.id, 0, reader, Outcome::prefill_done, 100ms);
       bed.first(r.id, 1, 9);
       bed.complete(r.id, 1, 9, Outcome::ok, 500ms, 0, true);
       return;
@@ -73,7 +73,7 @@
     ++failures;
     reader = bed.sent(bed.complete(r.id, 0, 2, Outcome::error, 5ms));
     EXPECT_NE(reader, 2u);
-    bed.feed(Abandoned{r.id});
+    bed.feed(ClientDisconnected{r.id});
   };
   for (int i = 0; i < 60; ++i)
     once();
@@ -91,7 +91,7 @@
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   for (int i = 0; i < 40; ++i) {
     const Request r = bed.request(4000);
-    HostId reader = bed.sent(bed.feed(r));
+    EndpointId reader = bed.sent(bed.feed(r));
     ASSERT_NE(reader, 0u) << i;
     for (std::uint16_t attempt = 0; reader; ++attempt)
       reader = bed.sent(bed.complete(r.id, attempt, reader, Outcome::error, 5ms));
@@ -105,10 +105,10 @@
   Bed bed(s);
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   const Request r = bed.request();
-  const HostId reader = bed.sent(bed.feed(r));
+  const EndpointId reader = bed.sent(bed.feed(r));
   const auto actions = bed.complete(r.id, 0, reader, Outcome::error);
   EXPECT_EQ(bed.sent(actions), 0u) << "a second read would leave no attempt for the write";
-  EXPECT_NE(Bed::find<Refuse>(actions), nullptr);
+  EXPECT_NE(Bed::find<RejectRequest>(actions), nullptr);
 }
 
 TEST(ForgottenTexts, KeptFarBelowCreditVoidsTheTable) {
@@ -128,10 +128,10 @@
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   const Request r = bed.request();
-  const HostId reader = bed.sent(bed.feed(r));
-  bed.complete(r.id, 0, reader, Outcome::read);
-  const auto actions = bed.complete(r.id, 1, 9, Outcome::full, 5ms, 1);
-  const HostId again = bed.sent(actions);
+  const EndpointId reader = bed.sent(bed.feed(r));
+  bed.complete(r.id, 0, reader, Outcome::prefill_done);
+  const auto actions = bed.complete(r.id, 1, 9, Outcome::rejected_over_capacity, 5ms, 1);
+  const EndpointId again = bed.sent(actions);
   EXPECT_TRUE(again == 1 || again == 2) << "read anew, not offered to a writer";
 }
 
@@ -139,8 +139,8 @@
   // A reader reports whole prompts, kept parts too; most of what waits there is kept and read in no time.
   Settings s = settings();
   s.report_columns = {"x1"};
-  s.report_x1_is_unread = true;
-  s.siblings = 2;
+  s.report_x1_is_queued_tokens = true;
+  s.router_count = 2;
   Bed bed(s);
   bed.list({host(1, reader_kind), host(9, writer_kind)});
   const auto serve = [&](float reported) {
@@ -149,7 +149,7 @@
     if (!bed.sent(actions))
       return false;
     bed.now += 30ms;
-    bed.complete(r.id, 0, 1, Outcome::read, 30ms, 7800, false, {reported});
+    bed.complete(r.id, 0, 1, Outcome::prefill_done, 30ms, 7800, false, {reported});
     bed.first(r.id, 1, 9);
     bed.complete(r.id, 1, 9, Outcome::ok, 300ms, 0, true);
     return true;
@@ -168,7 +168,7 @@
   int refused_connections = 0;
   for (int i = 0; i < 60; ++i) {  // the others have queues: their reads do not end
     const Request r = bed.request(1000);
-    const HostId reader = bed.sent(bed.feed(r));
+    const EndpointId reader = bed.sent(bed.feed(r));
     bed.now += 5ms;
     if (reader != 3)
       continue;
@@ -182,7 +182,7 @@
   Bed bed;
   bed.list({host(1, reader_kind), host(5, mixed_kind), host(9, writer_kind)});
   bed.serve(bed.request(4000), 300ms);
-  std::vector<HostId> used;
+  std::vector<EndpointId> used;
   for (int i = 0; i < 6; ++i)
     used.push_back(bed.sent(bed.feed(bed.request(4000))));
   EXPECT_NE(std::count(used.begin(), used.end(), 5u), 0);
@@ -191,13 +191,13 @@
 TEST(MixedHosts, DoNotReadAllTheTime) {
   // Reads that end at once leave no queue at the mixed host; its answers would still never get a turn.
   Settings s = settings();
-  s.siblings = 3;
+  s.router_count = 3;
   Bed bed(s);
   bed.list({host(5, mixed_kind), host(6, mixed_kind)});
   int sent = 0;
   for (int i = 0; i < 40; ++i) {
     const Request r = bed.request(4000);
-    const HostId reader = bed.sent(bed.feed(r));
+    const EndpointId reader = bed.sent(bed.feed(r));
     bed.now += 50ms;
     if (!reader)
       continue;
@@ -212,27 +212,27 @@
 TEST(WriterReports, WaitingPromptsCountAsHeld) {
   Settings s = settings();
   s.report_columns = {"x0", "x1"};
-  s.report_x0_is_memory = s.report_x1_is_unread = true;
+  s.report_x0_is_memory = s.report_x1_is_queued_tokens = true;
   Bed bed(s);
   bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
   bed.feed(HealthResult{8, Outcome::ok, 1ms, {0.5f, 90.f}});
   bed.feed(HealthResult{9, Outcome::ok, 1ms, {0.7f, 0.f}});
   const Request r = bed.request(4000);
   bed.feed(r);
-  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::read)), 9u) << "8 holds less but has a queue";
+  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done)), 9u) << "8 holds less but has a queue";
 }
 
 TEST(HotBeginning, SpreadOverAsManyHomesAsItFills) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(4, reader_kind),
             host(9, writer_kind)});
-  std::vector<HostId> rare, hot;
+  std::vector<EndpointId> rare, hot;
   for (Key session = 1; session <= 40; ++session) {  // one of forty beginnings each
     rare.push_back(bed.serve(bed.request(3500, 0, 1000 + session, 100 + session % 40, 3000), 50ms, 0));
   }
   for (Key session = 1; session <= 40; ++session)
     hot.push_back(bed.serve(bed.request(3500, 0, session, 7, 3000), 20ms, 2900));
-  std::vector<HostId> late(hot.end() - 20, hot.end());
+  std::vector<EndpointId> late(hot.end() - 20, hot.end());
   std::sort(late.begin(), late.end());
   late.erase(std::unique(late.begin(), late.end()), late.end());
   EXPECT_EQ(late.size(), 4u) << "half of all arrivals would half fill all four readers";
@@ -248,16 +248,16 @@
     bed.now += 100ms;
   }
   auto cold = host(2, reader_kind);
-  cold.started = bed.now - 1s;
-  bed.list({cold}, ListKind::delta);
+  cold.started_at = bed.now - 1s;
+  bed.list({cold}, EndpointListKind::incremental);
   int at_warm = 0;
   for (int i = 0; i < 24; ++i) {  // some of them have their home at the cold one
     const Request r = bed.request(500);
-    const HostId reader = bed.sent(bed.feed(r));
+    const EndpointId reader = bed.sent(bed.feed(r));
     ASSERT_NE(reader, 0u) << "request " << i << " was refused";
     at_warm += reader == 1;
     bed.now += 20ms;
-    const HostId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::read, 20ms));
+    const EndpointId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::prefill_done, 20ms));
     bed.first(r.id, 1, writer);
     bed.complete(r.id, 1, writer, Outcome::ok, 60ms, 0, true);
     bed.now += 5ms;
@@ -271,7 +271,7 @@
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   Request past = bed.request(4000, 0, 77);
-  HostId holder = 0;
+  EndpointId holder = 0;
   for (int i = 0; i < 3; ++i) {
     past.id = bed.next_id++;
     holder = bed.serve(past, 160ms);
@@ -280,7 +280,7 @@
   const Request r = bed.request(4400, 0, 77);
   ASSERT_EQ(bed.sent(bed.feed(r)), holder);
   const auto overdue = bed.pass(bed.now + 2s);
-  ASSERT_NE(Bed::find<Cancel>(overdue), nullptr);
+  ASSERT_NE(Bed::find<CancelAttempt>(overdue), nullptr);
   EXPECT_EQ(bed.sent(bed.complete(r.id, 0, holder, Outcome::cancelled, 2s)), 3 - holder);
 }
 TEST(FailureStuck, TheOnlyReaderIsAskedAgain) {
--- a/tests/module/mechanism_test.cpp
+++ b/tests/module/mechanism_test.cpp
@@ -10,7 +10,7 @@
 TEST(ReaderChoice, PrefersTheReaderThatHoldsTheSession) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(9, writer_kind)});
-  const HostId first = bed.serve(bed.request(4000, 0, 77));
+  const EndpointId first = bed.serve(bed.request(4000, 0, 77));
   for (int turn = 0; turn < 5; ++turn)
     EXPECT_EQ(bed.serve(bed.request(4500, 0, 77), 20ms, 4000), first);
 }
@@ -19,7 +19,7 @@
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(4, reader_kind),
             host(9, writer_kind)});
-  std::set<HostId> used;
+  std::set<EndpointId> used;
   for (Key session = 100; session < 112; ++session) {
     for (Key other = 0; other < 4; ++other)
       bed.serve(bed.request(3500, 0, 1000 + 10 * session + other, 50 + other, 3000), 60ms, 0);
@@ -40,7 +40,7 @@
 }
 
 // Sessions that all live at one reader, and one more than its queue can bear.
-std::vector<Key> sessions_at(Bed& bed, HostId home) {
+std::vector<Key> sessions_at(Bed& bed, EndpointId home) {
   std::vector<Key> found;
   for (Key session = 1; session <= 60; ++session)
     if (bed.serve(bed.request(1000, 0, session), 50ms) == home)
@@ -51,8 +51,8 @@
 TEST(ReaderChoice, LongWaitSendsEvenAMatchElsewhere) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  const HostId home = bed.serve(bed.request(1000), 50ms);
-  std::vector<HostId> used;
+  const EndpointId home = bed.serve(bed.request(1000), 50ms);
+  std::vector<EndpointId> used;
   for (const Key session : sessions_at(bed, home))
     used.push_back(bed.sent(bed.feed(bed.request(2500, 0, session))));
   ASSERT_GT(used.size(), 8u);
@@ -64,13 +64,13 @@
 TEST(ReaderChoice, BalancingBranchMakesANewHome) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  const HostId home = bed.serve(bed.request(1000), 50ms);
+  const EndpointId home = bed.serve(bed.request(1000), 50ms);
   for (const Key session : sessions_at(bed, home)) {
     const Request r = bed.request(2500, 0, session);
     if (bed.sent(bed.feed(r)) == home)
       continue;
     // The one that took the overflow now holds the session too: its next turn goes there, past the queue.
-    bed.complete(r.id, 0, 3 - home, Outcome::read, 100ms);
+    bed.complete(r.id, 0, 3 - home, Outcome::prefill_done, 100ms);
     EXPECT_EQ(bed.sent(bed.feed(bed.request(2600, 0, session))), 3 - home);
     return;
   }
@@ -82,10 +82,10 @@
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   for (int i = 0; i < 30; ++i) {
     const Request r = bed.request(4000);
-    const HostId reader = bed.sent(bed.feed(r));
+    const EndpointId reader = bed.sent(bed.feed(r));
     bed.now += 100ms;
     const auto elapsed = reader == 1 ? 900ms : 100ms;
-    const HostId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::read, elapsed));
+    const EndpointId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::prefill_done, elapsed));
     bed.first(r.id, 1, writer);
     bed.complete(r.id, 1, writer, Outcome::ok, 500ms, 0, true);
   }
@@ -101,7 +101,8 @@
             host(12, writer_kind, 4, 1)});
   const Request r = bed.request();
   ASSERT_EQ(bed.sent(bed.feed(r)), 1u);
-  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::read)), 12u) << "the reader's cell comes first";
+  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done)), 12u)
+      << "the reader's cell comes first";
 }
 
 TEST(WriterChoice, ZoneComesAfterCell) {
@@ -109,7 +110,7 @@
   bed.list({host(1, reader_kind, 4, 1), host(10, writer_kind, 5, 0), host(11, writer_kind, 6, 1)});
   const Request r = bed.request();
   bed.feed(r);
-  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::read)), 11u);
+  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done)), 11u);
 }
 
 TEST(WriterChoice, LoadedNearWriterYieldsToAFarOne) {
@@ -120,38 +121,38 @@
   bed.list({host(1, reader_kind, 4), host(10, writer_kind, 4), host(11, writer_kind, 5)});
   Request r = bed.request();
   bed.feed(r);
-  ASSERT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::read)), 10u);
+  ASSERT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done)), 10u);
   bed.first(r.id, 1, 10);
   bed.complete(r.id, 1, 10, Outcome::ok, 500ms, 0, true, {0.8f});
   r = bed.request();
   bed.feed(r);
   bed.feed(HealthResult{11, Outcome::ok, 1ms, {0.1f}});
-  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::read)), 11u);
+  EXPECT_EQ(bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done)), 11u);
 }
 
 TEST(WriterChoice, ChosenOnlyAfterTheRead) {
   Settings s = settings();
-  s.place_ahead = true;
+  s.reservation_allowed = true;
   Bed bed(s);
   bed.list({host(1, reader_kind), host(9, writer_kind)});
   const auto actions = bed.feed(bed.request());
   EXPECT_EQ(bed.sent(actions), 1u);
-  EXPECT_EQ(Bed::find<SetAside>(actions), nullptr);
+  EXPECT_EQ(Bed::find<ReserveCapacity>(actions), nullptr);
 }
 
 TEST(EarlyRefusal, WaitBeyondTheAimIsRefusedWithAHint) {
   Bed bed;
   bed.list({host(1, reader_kind), host(9, writer_kind)});
   bed.serve(bed.request(), 400ms);
-  const Refuse* refused = nullptr;
+  const RejectRequest* refused = nullptr;
   std::vector<Action> actions;
   for (int i = 0; i < 30 && !refused; ++i) {
     actions = bed.feed(bed.request());
-    refused = Bed::find<Refuse>(actions);
+    refused = Bed::find<RejectRequest>(actions);
   }
   ASSERT_NE(refused, nullptr);
-  EXPECT_GT(refused->stay_away, 0us);
-  EXPECT_LE(refused->stay_away, 1s);
+  EXPECT_GT(refused->retry_after, 0us);
+  EXPECT_LE(refused->retry_after, 1s);
   EXPECT_EQ(Bed::find<Send>(actions), nullptr) << "refused before any read";
 }
 
@@ -164,7 +165,7 @@
 
 TEST(EarlyRefusal, NothingBeforeARateIsKnown) {
   Bed bed;
-  bed.list({host(1, reader_kind), host(9, writer_kind)}, ListKind::cached);
+  bed.list({host(1, reader_kind), host(9, writer_kind)}, EndpointListKind::from_cache);
   for (int i = 0; i < 25; ++i)
     EXPECT_EQ(bed.sent(bed.feed(bed.request())), 1u) << i;
 }
@@ -177,16 +178,16 @@
   bed.list({host(1, reader_kind), host(9, writer_kind)});
   const Request r = bed.request();
   bed.feed(r);
-  bed.complete(r.id, 0, 1, Outcome::read);
+  bed.complete(r.id, 0, 1, Outcome::prefill_done);
   bed.first(r.id, 1, 9);
   bed.complete(r.id, 1, 9, Outcome::ok, 500ms, 0, true, {1.0f});
-  EXPECT_NE(Bed::find<Refuse>(bed.feed(bed.request())), nullptr);
+  EXPECT_NE(Bed::find<RejectRequest>(bed.feed(bed.request())), nullptr);
 }
 
 TEST(EarlyRefusal, TrafficBeyondAShareYieldsFirst) {
   Settings s = settings();
   s.tenants = {{"a", 4, 0.5}, {"b", 1000, 0.5}};
-  s.over_share_worth = 0.1;
+  s.over_quota_priority_weight = 0.1;
   Bed bed(s);
   bed.list({host(1, reader_kind), host(9, writer_kind)});
   bed.serve(bed.request(4000), 40ms);
@@ -194,15 +195,15 @@
   int refused_flood = 0, refused_other = 0;
   for (int i = 0; i < 60; ++i) {
     Request flood = bed.request(4000), other = bed.request(4000);
-    flood.tenant = 0;
-    other.tenant = 1;
+    flood.tenant_index = 0;
+    other.tenant_index = 1;
     for (const auto* r : {&flood, &other}) {
       const auto actions = bed.feed(*r);
-      const bool refused = Bed::find<Refuse>(actions) != nullptr;
+      const bool refused = Bed::find<RejectRequest>(actions) != nullptr;
       (r == &flood ? refused_flood : refused_other) += refused;
       bed.now += 200ms;
-      if (const HostId reader = bed.sent(actions)) {
-        const HostId writer = bed.sent(bed.complete(r->id, 0, reader, Outcome::read, 40ms));
+      if (const EndpointId reader = bed.sent(actions)) {
+        const EndpointId writer = bed.sent(bed.complete(r->id, 0, reader, Outcome::prefill_done, 40ms));
         bed.first(r->id, 1, writer);
         bed.complete(r->id, 1, writer, Outcome::ok, 400ms, 0, true);
       }
@@ -212,8 +213,8 @@
   std::vector<Request> waiting;  // now a queue
   for (int i = 0; i < 200; ++i) {
     Request r = bed.request(4000);
-    r.tenant = i % 2;
-    (i % 2 ? refused_other : refused_flood) += Bed::find<Refuse>(bed.feed(r)) != nullptr;
+    r.tenant_index = i % 2;
+    (i % 2 ? refused_other : refused_flood) += Bed::find<RejectRequest>(bed.feed(r)) != nullptr;
   }
   EXPECT_GT(refused_flood, refused_other);
 }
