--- a/tests/module/rules_test.cpp
+++ b/tests/module/rules_test.cpp
@@ -15,8 +15,8 @@
 TEST(RuleAnswer, NoUsableHostIsAnsweredAtOnce) {
   Bed bed;
   bed.list({});
-  EXPECT_NE(Bed::find<Refuse>(bed.feed(bed.request(4000, 0))), nullptr);
-  EXPECT_NE(Bed::find<Refuse>(bed.feed(bed.request(4000, 2))), nullptr)
+  EXPECT_NE(Bed::find<RejectRequest>(bed.feed(bed.request(4000, 0))), nullptr);
+  EXPECT_NE(Bed::find<RejectRequest>(bed.feed(bed.request(4000, 2))), nullptr)
       << "nothing has run: an unsafe one too";
 }
 
@@ -27,20 +27,20 @@
   bed.feed(r);
   bed.now += 6s;
   const auto actions = bed.complete(r.id, 0, 1, Outcome::timeout, 6s);
-  EXPECT_NE(Bed::find<Fail>(actions), nullptr);
+  EXPECT_NE(Bed::find<FailRequest>(actions), nullptr);
   EXPECT_EQ(bed.sent(actions), 0u);
-  EXPECT_EQ(Bed::find<Fail>(bed.feed(Abandoned{r.id})), nullptr);
+  EXPECT_EQ(Bed::find<FailRequest>(bed.feed(ClientDisconnected{r.id})), nullptr);
 }
 
 TEST(RuleAnswer, NothingIsSentAfterTheEnd) {
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   const Request r = bed.request();
-  const HostId reader = bed.sent(bed.feed(r));
-  bed.feed(Abandoned{r.id});
-  const auto actions = bed.complete(r.id, 0, reader, Outcome::read);
+  const EndpointId reader = bed.sent(bed.feed(r));
+  bed.feed(ClientDisconnected{r.id});
+  const auto actions = bed.complete(r.id, 0, reader, Outcome::prefill_done);
   EXPECT_EQ(bed.sent(actions), 0u);
-  EXPECT_NE(Bed::find<Release>(actions), nullptr) << "and the state is let go";
+  EXPECT_NE(Bed::find<ReleaseReservation>(actions), nullptr) << "and the state is let go";
 }
 
 TEST(RuleEffect, UnsafeThatMayHaveRunFails) {
@@ -49,23 +49,23 @@
     bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
     const Request r = bed.request(4000, 2);
     bed.feed(r);
-    const HostId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::read));
+    const EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
     const auto actions = bed.complete(r.id, 1, writer, outcome);
     EXPECT_EQ(bed.sent(actions), 0u);
-    EXPECT_EQ(Bed::find<Refuse>(actions), nullptr);
-    EXPECT_NE(Bed::find<Fail>(actions), nullptr);
-    EXPECT_NE(Bed::find<Release>(actions), nullptr);
+    EXPECT_EQ(Bed::find<RejectRequest>(actions), nullptr);
+    EXPECT_NE(Bed::find<FailRequest>(actions), nullptr);
+    EXPECT_NE(Bed::find<ReleaseReservation>(actions), nullptr);
   }
 }
 
 TEST(RuleEffect, UnsafeThatNeverRanGoesElsewhere) {
-  for (const Outcome outcome : {Outcome::full, Outcome::connect_failed}) {
+  for (const Outcome outcome : {Outcome::rejected_over_capacity, Outcome::connect_failed}) {
     Bed bed;
     bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
     const Request r = bed.request(4000, 2);
     bed.feed(r);
-    const HostId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::read));
-    const HostId next = bed.sent(bed.complete(r.id, 1, writer, outcome));
+    const EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
+    const EndpointId next = bed.sent(bed.complete(r.id, 1, writer, outcome));
     EXPECT_NE(next, 0u);
     EXPECT_NE(next, writer);
   }
@@ -75,8 +75,8 @@
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   const Request r = bed.request(4000, 2);
-  const HostId reader = bed.sent(bed.feed(r));
-  const HostId next = bed.sent(bed.complete(r.id, 0, reader, Outcome::reset));
+  const EndpointId reader = bed.sent(bed.feed(r));
+  const EndpointId next = bed.sent(bed.complete(r.id, 0, reader, Outcome::reset));
   EXPECT_NE(next, 0u);
   EXPECT_NE(next, reader);
 }
@@ -88,7 +88,7 @@
         {host(1, reader_kind, 1), host(7, writer_kind, 1), host(8, writer_kind, 1), host(9, writer_kind, 2)});
     const Request r = bed.request(4000, 1);
     bed.feed(r);
-    const HostId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::read));
+    const EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
     ASSERT_TRUE(writer == 7 || writer == 8);
     bed.now += in_time ? 1s : 3s;
     const auto actions = bed.complete(r.id, 1, writer, Outcome::error);
@@ -96,7 +96,7 @@
       EXPECT_EQ(bed.sent(actions), 15 - writer) << "the other of its cell";
     } else {
       EXPECT_EQ(bed.sent(actions), 0u) << "they no longer remember it";
-      EXPECT_NE(Bed::find<Fail>(actions), nullptr);
+      EXPECT_NE(Bed::find<FailRequest>(actions), nullptr);
     }
   }
 }
@@ -105,8 +105,8 @@
   Bed bed;
   bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
   auto draining = host(1, reader_kind);
-  draining.phase = Phase::draining;
-  bed.list({draining}, ListKind::delta);
+  draining.state = EndpointState::draining;
+  bed.list({draining}, EndpointListKind::incremental);
   for (int i = 0; i < 10; ++i)
     EXPECT_EQ(bed.serve(bed.request()), 2u);
   bed.list({host(1, reader_kind), host(9, writer_kind)});  // 2 is missing from a whole list: gone
@@ -116,16 +116,16 @@
 
 TEST(RuleCold, AFreshHostGetsItsPartOfTheBudget) {
   Settings s = settings();
-  s.siblings = 3;
+  s.router_count = 3;
   Bed bed(s);
   const auto run = [&](int count) {
     int cold = 0;
     for (int i = 0; i < count; ++i) {
       const Request r = bed.request();
-      const HostId reader = bed.sent(bed.feed(r));
+      const EndpointId reader = bed.sent(bed.feed(r));
       bed.now += 60ms;
       cold += reader == 2;
-      const HostId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::read, 50ms));
+      const EndpointId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::prefill_done, 50ms));
       bed.first(r.id, 1, writer);
       bed.complete(r.id, 1, writer, Outcome::ok, 200ms, 0, true);
     }
@@ -134,8 +134,8 @@
   bed.list({host(1, reader_kind), host(3, reader_kind), host(9, writer_kind)});
   run(200);
   auto fresh = host(2, reader_kind);
-  fresh.started = bed.now;
-  bed.list({fresh}, ListKind::delta);
+  fresh.started_at = bed.now;
+  bed.list({fresh}, EndpointListKind::incremental);
   const int first_window = run(50);  // three seconds, 25 sent to each warm reader
   EXPECT_GE(first_window, 1) << "it must be let warm up";
   EXPECT_LE(first_window, 25 * 2.5 * 0.25) << "the whole allowance, were all instances to send alike";
@@ -149,12 +149,12 @@
   const Request r = bed.request();
   bed.feed(r);
   auto draining = host(9, writer_kind);
-  draining.phase = Phase::draining;
-  bed.list({draining}, ListKind::delta);
-  const auto actions = bed.complete(r.id, 0, 1, Outcome::read);
+  draining.state = EndpointState::draining;
+  bed.list({draining}, EndpointListKind::incremental);
+  const auto actions = bed.complete(r.id, 0, 1, Outcome::prefill_done);
   EXPECT_EQ(bed.sent(actions), 0u);
-  EXPECT_NE(Bed::find<Refuse>(actions), nullptr);
-  EXPECT_NE(Bed::find<Release>(actions), nullptr);
+  EXPECT_NE(Bed::find<RejectRequest>(actions), nullptr);
+  EXPECT_NE(Bed::find<ReleaseReservation>(actions), nullptr);
 }
 
 TEST(RulePinned, AWriterThatFailsLeavesTheStateForAnother) {
@@ -162,10 +162,10 @@
   bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
   const Request r = bed.request();
   bed.feed(r);
-  HostId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::read));
+  EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
   const auto actions = bed.complete(r.id, 1, writer, Outcome::connect_failed);
   EXPECT_EQ(bed.sent(actions), 17 - writer);
-  EXPECT_EQ(Bed::find<Release>(actions), nullptr);
+  EXPECT_EQ(Bed::find<ReleaseReservation>(actions), nullptr);
 }
 
 // ---- Under random sequences ----
@@ -173,7 +173,7 @@
 struct Checker {
   const Settings& s;
   struct Try {
-    HostId host;
+    EndpointId host;
     Micros sent;
     bool out = true, may_have_run = false;
     Role role;
@@ -186,54 +186,56 @@
     std::vector<Try> tries;
   };
   std::map<RequestId, Req> reqs;
-  std::map<HostId, ListEntry> listed;
+  std::map<EndpointId, Endpoint> listed;
   std::vector<std::pair<RequestId, std::uint16_t>> cancelled;
 
   bool out(const Req& q) const {
     return std::any_of(q.tries.begin(), q.tries.end(), [](auto& t) { return t.out; });
   }
   bool may_run(const Req& q, const Try& t) const {
-    return t.role != Role::read && (t.may_have_run || t.out) && s.classes[q.r.cls].effect != Effect::safe;
+    return t.role != Role::prefill && (t.may_have_run || t.out) &&
+           s.classes[q.r.class_index].idempotency != Idempotency::idempotent;
   }
 
   void check(Micros now, const std::vector<Action>& actions) {
     for (const auto& action : actions) {
       if (const auto* a = std::get_if<Send>(&action))
         send(now, *a);
-      if (const auto* a = std::get_if<Refuse>(&action))
+      if (const auto* a = std::get_if<RejectRequest>(&action))
         answer(a->id, true);
-      if (const auto* a = std::get_if<Fail>(&action))
+      if (const auto* a = std::get_if<FailRequest>(&action))
         answer(a->id, false);
-      if (const auto* a = std::get_if<Release>(&action))
+      if (const auto* a = std::get_if<ReleaseReservation>(&action))
         reqs.at(a->id).held = false;
-      if (const auto* a = std::get_if<Cancel>(&action)) {
+      if (const auto* a = std::get_if<CancelAttempt>(&action)) {
         ASSERT_LT(a->attempt, reqs.at(a->id).tries.size());
         cancelled.emplace_back(a->id, a->attempt);
       }
     }
     for (const auto& [id, q] : reqs) {
-      EXPECT_FALSE(q.held && !out(q) && now - q.free_since > s.release_within) << "pinned: request " << id;
+      EXPECT_FALSE(q.held && !out(q) && now - q.free_since > s.reservation_release_timeout)
+          << "pinned: request " << id;
       EXPECT_FALSE(q.live && !q.answered && !out(q) && now > q.deadline) << "unanswered: request " << id;
     }
   }
   void send(Micros now, const Send& a) {
     auto& q = reqs.at(a.id);
     EXPECT_TRUE(q.live && !q.answered) << "sent after its end: request " << a.id;
-    ASSERT_TRUE(listed.count(a.host)) << "never listed";
-    EXPECT_EQ(listed.at(a.host).phase, Phase::ready);
-    const Role role = s.kind_role[listed.at(a.host).kind];
+    ASSERT_TRUE(listed.count(a.endpoint)) << "never listed";
+    EXPECT_EQ(listed.at(a.endpoint).state, EndpointState::ready);
+    const Role role = s.kind_role[listed.at(a.endpoint).kind];
     EXPECT_LT(q.tries.size(), s.max_attempts);
-    const auto effect = s.classes[q.r.cls].effect;
+    const auto effect = s.classes[q.r.class_index].idempotency;
     if (out(q)) {
-      EXPECT_TRUE(s.second_copies && effect == Effect::safe);
+      EXPECT_TRUE(s.hedging_allowed && effect == Idempotency::idempotent);
     }
     for (const auto& t : q.tries)
-      if (role != Role::read && may_run(q, t)) {
-        EXPECT_NE(effect, Effect::unsafe) << "an unsafe request sent twice";
-        EXPECT_EQ(listed.at(t.host).cell, listed.at(a.host).cell);
-        EXPECT_LT(now - t.sent, s.classes[q.r.cls].window);
+      if (role != Role::prefill && may_run(q, t)) {
+        EXPECT_NE(effect, Idempotency::not_idempotent) << "an unsafe request sent twice";
+        EXPECT_EQ(listed.at(t.host).cell, listed.at(a.endpoint).cell);
+        EXPECT_LT(now - t.sent, s.classes[q.r.class_index].retry_window);
       }
-    q.tries.push_back({a.host, now, true, false, role});
+    q.tries.push_back({a.endpoint, now, true, false, role});
   }
   void answer(RequestId id, bool refused) {
     auto& q = reqs.at(id);
@@ -242,7 +244,7 @@
     if (refused)
       for (const auto& t : q.tries) {
         EXPECT_FALSE(may_run(q, t)) << "refused though it may have run";
-        EXPECT_FALSE(s.classes[q.r.cls].effect == Effect::unsafe && t.out);
+        EXPECT_FALSE(s.classes[q.r.class_index].idempotency == Idempotency::not_idempotent && t.out);
       }
   }
 };
@@ -253,25 +255,25 @@
   const auto chance = [&](double p) { return std::uniform_real_distribution<>(0, 1)(random) < p; };
   const auto below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
   Settings s = settings();
-  s.second_copies = chance(0.3);
-  s.may_cancel = chance(0.8);
-  s.writers_read = chance(0.5);
+  s.hedging_allowed = chance(0.3);
+  s.cancellation_allowed = chance(0.8);
+  s.decode_nodes_prefill = chance(0.5);
   s.max_attempts = 1 + static_cast<std::uint32_t>(below(5));
-  s.siblings = 1 + static_cast<std::uint32_t>(below(4));
+  s.router_count = 1 + static_cast<std::uint32_t>(below(4));
   s.report_columns = {"x0", "x1"};
-  s.report_x0_is_memory = s.report_x1_is_unread = chance(0.7);
+  s.report_x0_is_memory = s.report_x1_is_queued_tokens = chance(0.7);
   Bed bed(s, seed);
   Checker checker{s, {}, {}, {}};
-  std::vector<ListEntry> hosts;
-  for (HostId id = 1; id <= 9; ++id)
+  std::vector<Endpoint> hosts;
+  for (EndpointId id = 1; id <= 9; ++id)
     hosts.push_back(host(id, static_cast<std::uint8_t>(below(3)), static_cast<std::uint16_t>(below(2)), 0));
   const auto deliver = [&](const Event& event) { checker.check(bed.now, bed.feed(event)); };
-  const auto tell = [&](ListKind kind) {
+  const auto tell = [&](EndpointListKind kind) {
     for (auto& h : hosts)
-      checker.listed[h.host] = h;
-    deliver(HostList{kind, 1, hosts});
+      checker.listed[h.id] = h;
+    deliver(EndpointListUpdate{kind, 1, hosts});
   };
-  tell(ListKind::cached);
+  tell(EndpointListKind::from_cache);
   const float odd[] = {0.f, -5.f, 1e30f, std::numeric_limits<float>::quiet_NaN(),
                        std::numeric_limits<float>::infinity()};
   struct Pending {
@@ -282,22 +284,22 @@
     bed.now += Micros(below(20000));
     if (chance(0.02)) {  // the list changes
       auto& h = hosts[below(hosts.size())];
-      h.phase = chance(0.5) ? Phase::ready : Phase::draining;
+      h.state = chance(0.5) ? EndpointState::ready : EndpointState::draining;
       if (chance(0.3))
-        h.started = bed.now;
-      tell(chance(0.5) ? ListKind::full : ListKind::delta);
+        h.started_at = bed.now;
+      tell(chance(0.5) ? EndpointListKind::full : EndpointListKind::incremental);
     }
     if (chance(0.02))
-      deliver(HostList{ListKind::failed, 0, {}});
+      deliver(EndpointListUpdate{EndpointListKind::fetch_failed, 0, {}});
     if (chance(0.3)) {
       Request r = bed.request(static_cast<float>(below(9000)), static_cast<std::uint16_t>(below(3)),
                               1 + below(20), below(4), 1000);
-      r.budget = Micros(chance(0.05) ? 0 : 500000 + below(5000000));
+      r.time_budget = Micros(chance(0.05) ? 0 : 500000 + below(5000000));
       if (chance(0.05))
-        r.prompt = odd[below(5)];
+        r.prompt_tokens = odd[below(5)];
       if (chance(0.05))
-        r.shared_prefix = odd[below(5)];
-      checker.reqs[r.id] = {r, bed.now + r.budget, true, false, false, {}, {}};
+        r.shared_prefix_tokens = odd[below(5)];
+      checker.reqs[r.id] = {r, bed.now + r.time_budget, true, false, false, {}, {}};
       deliver(r);
     }
     std::vector<Pending> pending;
@@ -313,12 +315,12 @@
           std::find(checker.cancelled.begin(), checker.cancelled.end(), std::pair(p.id, p.attempt));
       if (!due && cancel == checker.cancelled.end() && !chance(0.05))
         continue;
-      static const Outcome any[] = {Outcome::error, Outcome::full, Outcome::timeout, Outcome::connect_failed,
-                                    Outcome::reset};
+      static const Outcome any[] = {Outcome::error, Outcome::rejected_over_capacity, Outcome::timeout,
+                                    Outcome::connect_failed, Outcome::reset};
       Outcome outcome = any[below(5)];
-      if (t.role == Role::read ? chance(0.7) : false)
-        outcome = Outcome::read;
-      if (t.role != Role::read && chance(0.6))
+      if (t.role == Role::prefill ? chance(0.7) : false)
+        outcome = Outcome::prefill_done;
+      if (t.role != Role::prefill && chance(0.6))
         outcome = Outcome::ok;
       if (due)
         outcome = Outcome::timeout;
@@ -327,7 +329,7 @@
       const bool started = outcome == Outcome::ok && q.live && !q.answered && chance(0.5);
       if (started) {
         q.deadline = Micros::max();
-        deliver(First{p.id, t.host, p.attempt, bed.now - t.sent});
+        deliver(FirstTokenReceived{p.id, t.host, p.attempt, bed.now - t.sent});
       }
       auto& again = checker.reqs.at(p.id).tries[p.attempt];
       again.out = false;
@@ -335,34 +337,34 @@
                            outcome == Outcome::reset || outcome == Outcome::cancelled;
       if (outcome == Outcome::ok)
         q.live = false;
-      if (outcome == Outcome::read) {
+      if (outcome == Outcome::prefill_done) {
         q.held = true;
         q.free_since = bed.now;
       }
-      if (again.role != Role::read && outcome == Outcome::ok)
+      if (again.role != Role::prefill && outcome == Outcome::ok)
         q.held = false;
       if (q.held)
         q.free_since = bed.now;
-      deliver(Completed{p.id, outcome, !q.live || q.answered, bed.now - again.sent, again.host,
-                        static_cast<std::uint32_t>(below(3)), p.attempt,
-                        chance(0.2) ? std::vector<float>{} : std::vector<float>{odd[below(5)], 0.4f}});
+      deliver(AttemptCompleted{p.id, outcome, !q.live || q.answered, bed.now - again.sent, again.host,
+                               static_cast<std::uint32_t>(below(3)), p.attempt,
+                               chance(0.2) ? std::vector<float>{} : std::vector<float>{odd[below(5)], 0.4f}});
     }
     if (chance(0.01) && !checker.reqs.empty()) {
       auto& q = std::next(checker.reqs.begin(), static_cast<long>(below(checker.reqs.size())))->second;
       if (q.live && !q.answered) {
         q.live = false;
-        deliver(Abandoned{q.r.id});
+        deliver(ClientDisconnected{q.r.id});
       }
     }
     if (chance(0.05))
-      deliver(Completed{1000000 + below(50), Outcome::ok, true, 1s, 1, 0, 0, {}});  // never held
+      deliver(AttemptCompleted{1000000 + below(50), Outcome::ok, true, 1s, 1, 0, 0, {}});  // never held
     if (chance(0.05))
-      deliver(Alarm{static_cast<std::uint32_t>(random())});
+      deliver(TimerFired{static_cast<std::uint32_t>(random())});
     auto due = bed.alarms;
     bed.alarms.clear();
     for (const auto& alarm : due) {
       if (alarm.first <= bed.now)
-        deliver(Alarm{alarm.second});
+        deliver(TimerFired{alarm.second});
       else
         bed.alarms.push_back(alarm);
     }
--- a/tests/module/scale_test.cpp
+++ b/tests/module/scale_test.cpp
@@ -9,8 +9,8 @@
 
 TEST(ManyInstances, TogetherKeepAColdHostsBudget) {
   constexpr std::uint32_t instances = 150;
-  std::vector<ListEntry> hosts = {host(90, writer_kind), host(91, writer_kind)};
-  for (HostId id = 1; id <= 11; ++id)
+  std::vector<Endpoint> hosts = {host(90, writer_kind), host(91, writer_kind)};
+  for (EndpointId id = 1; id <= 11; ++id)
     hosts.push_back(host(id, reader_kind));
   Key key = 1;  // a session that belongs at the host which will be cold
   for (;; ++key) {
@@ -22,8 +22,8 @@
   int at_cold = 0;
   for (std::uint32_t me = 0; me < instances; ++me) {
     Settings s = settings();
-    s.siblings = instances;
-    s.me = me;
+    s.router_count = instances;
+    s.router_index = me;
     Bed bed(s);
     bed.list(hosts);
     for (int i = 0; i < 20; ++i) {  // about one request a second, over all readers
@@ -31,9 +31,9 @@
       bed.now += 350ms;
     }
     auto fresh = host(11, reader_kind);
-    fresh.started = Micros(1020s);
+    fresh.started_at = Micros(1020s);
     bed.now = std::max(bed.now, Micros(1020s) + 20ms * me);  // all within one window of three seconds
-    bed.list({fresh}, ListKind::delta);
+    bed.list({fresh}, EndpointListKind::incremental);
     at_cold += bed.sent(bed.feed(bed.request(4000, 0, key))) == 11;
   }
   // A warm reader bears 150 / 11 requests a second; a cold one may be sent 2.5 times a quarter of that.
@@ -44,24 +44,24 @@
 // Seen on days that lose a zone: two of three requests were read and written in another zone than their
 // router's, so a stream broke when either zone went, and each zone read every beginning anew.
 TEST(ManyInstances, StayInTheirZoneAndReadABeginningOnceInIt) {
-  std::vector<ListEntry> hosts;
-  for (HostId id = 0; id < 24; ++id)
+  std::vector<Endpoint> hosts;
+  for (EndpointId id = 0; id < 24; ++id)
     hosts.push_back(host(1 + id, reader_kind, id % 6, id % 3));
-  for (HostId id = 0; id < 15; ++id)
+  for (EndpointId id = 0; id < 15; ++id)
     hosts.push_back(host(101 + id, writer_kind, id % 6, id % 3));
   int inside = 0, all = 0;
-  std::set<std::pair<Key, HostId>> kept;  // beginnings at readers
+  std::set<std::pair<Key, EndpointId>> kept;  // beginnings at readers
   for (std::uint32_t me = 0; me < 90; ++me) {
     Settings s = settings();
-    s.siblings = 90;
-    s.me = me;
-    s.zone = me % 3;
+    s.router_count = 90;
+    s.router_index = me;
+    s.router_zone = me % 3;
     Bed bed(s);
     bed.list(hosts);
     for (Key i = 0; i < 10; ++i) {  // thin: each beginning once at most
       const Key opening = 1 + (me + 7 * i) % 40;
-      const HostId reader = bed.serve(bed.request(4000, 0, 1000 * (me + 1) + i, opening, 3000));
-      inside += (reader - 1) % 3 == s.zone;
+      const EndpointId reader = bed.serve(bed.request(4000, 0, 1000 * (me + 1) + i, opening, 3000));
+      inside += (reader - 1) % 3 == s.router_zone;
       ++all;
       kept.emplace(opening, reader);
     }
@@ -71,12 +71,12 @@
 }
 
 TEST(ManyInstances, DecideAsFewDoOnTheSameEvidence) {
-  std::vector<ListEntry> hosts = {host(90, writer_kind), host(91, writer_kind)};
-  for (HostId id = 1; id <= 6; ++id)
+  std::vector<Endpoint> hosts = {host(90, writer_kind), host(91, writer_kind)};
+  for (EndpointId id = 1; id <= 6; ++id)
     hosts.push_back(host(id, reader_kind));
   Settings few = settings(), many = settings();
-  few.siblings = 2;
-  many.siblings = 200;
+  few.router_count = 2;
+  many.router_count = 200;
   Bed one(few), two(many);
   one.list(hosts);
   two.list(hosts);
@@ -87,15 +87,15 @@
 
 TEST(ThinEvidence, OneUnluckyFirstReadDoesNotRefuseForLong) {
   Settings s = settings();
-  s.siblings = 100;
+  s.router_count = 100;
   s.report_columns = {"x1"};
-  s.report_x1_is_unread = true;
+  s.report_x1_is_queued_tokens = true;
   Bed bed(s);
   bed.list({host(1, reader_kind), host(9, writer_kind)});
   const Request r = bed.request(2000);
   bed.feed(r);
   bed.now += 3s;
-  bed.complete(r.id, 0, 1, Outcome::read, 3s, 0, false, {20.f});
+  bed.complete(r.id, 0, 1, Outcome::prefill_done, 3s, 0, false, {20.f});
   bed.first(r.id, 1, 9);
   bed.complete(r.id, 1, 9, Outcome::ok, 500ms, 0, true);
   bool accepted = false;
@@ -108,22 +108,22 @@
 
 TEST(ThinEvidence, UnheardWritersAreNotTakenToBeAsFullAsMixedHosts) {
   Settings s = settings();
-  s.siblings = 100;
+  s.router_count = 100;
   s.report_columns = {"x0"};
   s.report_x0_is_memory = true;
   Bed bed(s);
   bed.list({host(1, reader_kind), host(5, mixed_kind), host(6, mixed_kind), host(7, writer_kind),
             host(8, writer_kind), host(9, writer_kind), host(10, writer_kind)});
   for (int i = 0; i < 3; ++i) {
-    for (const HostId mixed : {5, 6})
+    for (const EndpointId mixed : {5, 6})
       bed.feed(HealthResult{mixed, Outcome::ok, 1ms, {0.6f}});
     bed.feed(HealthResult{7, Outcome::ok, 1ms, {0.2f}});
   }
-  std::set<HostId> writers;
+  std::set<EndpointId> writers;
   for (int i = 0; i < 12; ++i) {
     const Request r = bed.request(2000);
     bed.feed(r);
-    writers.insert(bed.sent(bed.complete(r.id, 0, 1, Outcome::read, 30ms)));
+    writers.insert(bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done, 30ms)));
   }
   EXPECT_GE(writers.size(), 3u);
   EXPECT_EQ(writers.count(5) + writers.count(6), 0u);
--- a/tests/module/slow_start_test.cpp
+++ b/tests/module/slow_start_test.cpp
@@ -23,7 +23,7 @@
 struct Case {
   std::uint32_t routers = 1;
   std::uint64_t seed = 1;
-  Role role = Role::read;  // of the cold node
+  Role role = Role::prefill;  // of the cold node
   Trouble trouble = Trouble::none;
   bool all_cold = false;  // every node of that role starts at once
 };
@@ -37,7 +37,7 @@
 };
 
 constexpr double mean_work = 2000;
-constexpr HostId first_of_role = 1, first_other = 50;
+constexpr EndpointId first_of_role = 1, first_other = 50;
 
 class Fleet {
  public:
@@ -46,20 +46,20 @@
       return std::uniform_real_distribution<double>(from, to)(dice_);
     };
     settings_ = settings();
-    settings_.siblings = c.routers;
+    settings_.router_count = c.routers;
     settings_.kind_memory = {1e9, 1e9, 1e9};
     for (auto& one : settings_.classes)
-      one.aim = 5s, one.deadline = 8s;
-    settings_.fall_multiple = draw(2, 4);
-    settings_.cold_from = draw(0.2, 0.35);
-    settings_.fall_window = Micros(static_cast<Micros::rep>(draw(1e6, 3e6)));
-    settings_.cold_for = 10s;
-    nodes_ = 2 + static_cast<HostId>(draw(0, 4));
+      one.latency_objective = 5s, one.deadline = 8s;
+    settings_.overload_factor = draw(2, 4);
+    settings_.slow_start_initial_capacity = draw(0.2, 0.35);
+    settings_.overload_window = Micros(static_cast<Micros::rep>(draw(1e6, 3e6)));
+    settings_.slow_start_duration = 10s;
+    nodes_ = 2 + static_cast<EndpointId>(draw(0, 4));
     load_ = draw(0.4, 2.0);  // of what the nodes bear that are there; from 1 on they turn requests away
-    window_ = std::chrono::duration<double>(settings_.fall_window).count();
+    window_ = std::chrono::duration<double>(settings_.overload_window).count();
     seen_.calls = std::exp(draw(std::log(1.0), std::log(40.0)));
-    capacity_ =
-        seen_.calls / (settings_.fall_multiple * settings_.cold_from * window_);  // a second, once warm
+    capacity_ = seen_.calls / (settings_.overload_factor * settings_.slow_start_initial_capacity *
+                               window_);  // a second, once warm
     restart_ = begin_ + Micros(static_cast<Micros::rep>(draw(0.1, 0.9) * 1e7));
     // Some get several times the mean.
     for (std::uint32_t me = 0; me < c.routers; ++me)
@@ -106,35 +106,35 @@
 
   void at_(Micros when, std::function<void()> what) { due_.emplace(when, std::move(what)); }
 
-  std::vector<ListEntry> list() const {
-    std::vector<ListEntry> all;
+  std::vector<Endpoint> list() const {
+    std::vector<Endpoint> all;
     const auto kind = static_cast<std::uint8_t>(case_.role);
-    for (HostId i = 0; i < nodes_; ++i) {
+    for (EndpointId i = 0; i < nodes_; ++i) {
       all.push_back(host(first_of_role + i, kind));
       if (now_ >= begin_ && is_new(first_of_role + i))
-        all.back().started = epoch_ + begin_;
+        all.back().started_at = epoch_ + begin_;
     }
     // Beside the last node, which isn't there before its start.
     if (!case_.all_cold && now_ < begin_)
       all.pop_back();
-    if (case_.role != Role::both)
-      for (HostId i = 0; i < 4; ++i)
-        all.push_back(host(first_other + i, case_.role == Role::read ? writer_kind : reader_kind));
+    if (case_.role != Role::mixed)
+      for (EndpointId i = 0; i < 4; ++i)
+        all.push_back(host(first_other + i, case_.role == Role::prefill ? writer_kind : reader_kind));
     return all;
   }
-  bool is_new(HostId id) const {
+  bool is_new(EndpointId id) const {
     return id < first_other && (case_.all_cold || id == first_of_role + nodes_ - 1);
   }
 
   void start(std::uint32_t me) {
     Settings s = settings_;
-    s.me = me;
+    s.router_index = me;
     ones_[me].scheduler = std::make_unique<Scheduler>(s, case_.seed + me);
-    feed(me, HostList{ListKind::full, 1, list()});
+    feed(me, EndpointListUpdate{EndpointListKind::full, 1, list()});
   }
   void replace() {
     for (std::uint32_t me = 0; me < case_.routers; ++me)
-      feed(me, HostList{ListKind::full, 2, list()});
+      feed(me, EndpointListUpdate{EndpointListKind::full, 2, list()});
     if (case_.all_cold)
       busy_.clear();
   }
@@ -143,18 +143,18 @@
     ++ones_[me].life;
     start(me);
     if (told)
-      ones_[me].scheduler->take_over(epoch_ + now_, learned);
+      ones_[me].scheduler->adopt_learned_rates(epoch_ + now_, learned);
   }
 
   void take(std::uint32_t me) {
     std::lognormal_distribution<double> work(-0.125, 0.5);
     Request r;
     r.id = next_++;
-    r.session = r.id * 104729;
-    r.budget = 8s;
-    r.prompt = static_cast<float>(mean_work * work(dice_));
-    r.max_output = 100;
-    prompts_[r.id] = r.prompt;
+    r.session_key = r.id * 104729;
+    r.time_budget = 8s;
+    r.prompt_tokens = static_cast<float>(mean_work * work(dice_));
+    r.max_output_tokens = 100;
+    prompts_[r.id] = r.prompt_tokens;
     feed(me, r);
   }
 
@@ -162,11 +162,11 @@
     std::vector<Action> actions;
     ones_[me].scheduler->handle(epoch_ + now_, event, actions);
     for (const auto& action : actions) {
-      if (const auto* sleep = std::get_if<Sleep>(&action)) {
-        later(me, sleep->after, [this, me, cookie = sleep->cookie] { feed(me, Alarm{cookie}); });
+      if (const auto* sleep = std::get_if<StartTimer>(&action)) {
+        later(me, sleep->delay, [this, me, cookie = sleep->timer_id] { feed(me, TimerFired{cookie}); });
       } else if (const auto* send = std::get_if<Send>(&action)) {
-        begin(me, send->id, send->host);
-      } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+        begin(me, send->id, send->endpoint);
+      } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         const Id id{cancel->id, cancel->attempt};
         if (out_.count(id))
           later(me, 0s, [this, me, id] { end(me, id, Outcome::cancelled); });
@@ -181,23 +181,25 @@
   }
 
   // A node works on one request after the other; one that comes when its queue is long is turned away.
-  void begin(std::uint32_t me, RequestId id, HostId node) {
+  void begin(std::uint32_t me, RequestId id, EndpointId node) {
     const std::uint16_t attempt = attempts_[id]++;
     const double work = prompts_[id] / mean_work;
     const bool fresh = now_ >= begin_ && is_new(node);
     const double age = std::chrono::duration<double>(now_ - begin_).count();
     if (fresh && age < 10)
       put_down(node, work);
-    const double able = fresh ? std::min(1.0, settings_.cold_from + 0.1 * age) : 1;
+    const double able = fresh ? std::min(1.0, settings_.slow_start_initial_capacity + 0.1 * age) : 1;
     const double speed = capacity_ * (node >= first_other ? nodes_ / 2.0 : able);
     auto& busy = busy_[node];
     busy = std::max(busy, now_);
     out_[{id, attempt}] = {node, now_};
     if (busy - now_ > 3s)
-      return later(me, 2ms, [this, me, id, attempt] { end(me, {id, attempt}, Outcome::full); });
+      return later(me, 2ms, [this, me, id, attempt] {
+        end(me, {id, attempt}, Outcome::rejected_over_capacity);
+      });
     busy += Micros(static_cast<Micros::rep>(work / speed * 1e6));
-    const bool reads = node >= first_other ? case_.role == Role::write : case_.role == Role::read;
-    const Outcome served = reads ? Outcome::read : Outcome::ok;
+    const bool reads = node >= first_other ? case_.role == Role::decode : case_.role == Role::prefill;
+    const Outcome served = reads ? Outcome::prefill_done : Outcome::ok;
     later(me, busy - now_, [this, me, id, attempt, served] { end(me, {id, attempt}, served); });
   }
   void end(std::uint32_t me, Id id, Outcome how) {
@@ -207,14 +209,14 @@
     const auto [node, since] = found->second;
     out_.erase(found);
     if (how == Outcome::ok)
-      feed(me, First{id.first, node, id.second, now_ - since});
-    feed(me, Completed{id.first, how, how == Outcome::ok, now_ - since, node, 0, id.second, {}});
+      feed(me, FirstTokenReceived{id.first, node, id.second, now_ - since});
+    feed(me, AttemptCompleted{id.first, how, how == Outcome::ok, now_ - since, node, 0, id.second, {}});
   }
 
-  void put_down(HostId node, double work) {
+  void put_down(EndpointId node, double work) {
     auto& sent = sent_[node];
     sent.emplace_back(now_, work);
-    while (now_ - sent.front().first >= settings_.fall_window)
+    while (now_ - sent.front().first >= settings_.overload_window)
       sent.pop_front();
     double sum = 0;
     for (const auto& one : sent)
@@ -227,7 +229,7 @@
   std::mt19937_64 dice_;
   Settings settings_;
   double capacity_ = 1, load_ = 1, window_ = 1;
-  HostId nodes_ = 2;
+  EndpointId nodes_ = 2;
   Micros now_{}, begin_ = 20s, restart_{};
   const Micros epoch_ = 1000s;
   std::vector<double> parts_;
@@ -235,9 +237,9 @@
   std::map<std::uint32_t, One> ones_;
   std::map<RequestId, double> prompts_;
   std::map<RequestId, std::uint16_t> attempts_;
-  std::map<Id, std::pair<HostId, Micros>> out_;
-  std::map<HostId, Micros> busy_;
-  std::map<HostId, std::deque<std::pair<Micros, double>>> sent_;
+  std::map<Id, std::pair<EndpointId, Micros>> out_;
+  std::map<EndpointId, Micros> busy_;
+  std::map<EndpointId, std::deque<std::pair<Micros, double>>> sent_;
   RequestId next_ = 1;
   Seen seen_;
 };
@@ -247,7 +249,7 @@
 void expect_bounds(std::uint32_t routers, bool all_cold, double least_use) {
   constexpr std::uint64_t seeds = 3;
   double used = 0, plays = 0;
-  for (const Role role : {Role::read, Role::write, Role::both})
+  for (const Role role : {Role::prefill, Role::decode, Role::mixed})
     for (const Trouble trouble : {Trouble::none, Trouble::rolling, Trouble::handed_over, Trouble::killed})
       for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const Seen seen = Fleet({routers, seed, role, trouble, all_cold}).play();
@@ -287,9 +289,9 @@
     int count = 0;
     for (int i = 0; i < requests; ++i) {
       const Request r = bed.request();
-      const HostId reader = bed.sent(bed.feed(r));
+      const EndpointId reader = bed.sent(bed.feed(r));
       bed.now += 40ms;
-      const HostId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::read, 40ms));
+      const EndpointId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::prefill_done, 40ms));
       bed.first(r.id, 1, writer);
       bed.complete(r.id, 1, writer, Outcome::ok, 60ms, 0, true);
       count += reader == 2;
@@ -302,9 +304,9 @@
   Bed fresh;
   fresh.now = old.now;
   auto cold = host(2, reader_kind);
-  cold.started = old.now - 1s;
+  cold.started_at = old.now - 1s;
   fresh.list({host(1, reader_kind), cold, host(9, writer_kind)});
-  fresh.scheduler.take_over(fresh.now, old.scheduler.learned_rates(old.now));
+  fresh.scheduler.adopt_learned_rates(fresh.now, old.scheduler.learned_rates(old.now));
   EXPECT_LE(at_cold(fresh, 70), 1);  // 2.8 s of the 3 s
   EXPECT_GE(at_cold(fresh, 80), 5) << "it has to warm up";
 }
--- a/tests/module/support.h
+++ b/tests/module/support.h
@@ -15,39 +15,39 @@
   Settings s;
   ClassSettings safe;
   safe.name = "safe";
-  safe.aim = 1s;
+  safe.latency_objective = 1s;
   safe.deadline = 6s;
-  safe.token_aim = 60ms;
-  safe.aim_per_1000_tokens = 40ms;
-  safe.worth = 2;
-  safe.stream = true;
+  safe.inter_token_objective = 60ms;
+  safe.latency_objective_per_1000_tokens = 40ms;
+  safe.priority_weight = 2;
+  safe.streaming = true;
   ClassSettings keyed = safe, unsafe = safe;
   keyed.name = "keyed";
-  keyed.effect = Effect::keyed;
-  keyed.group = Group::cell;
-  keyed.window = 2s;
+  keyed.idempotency = Idempotency::idempotent_with_key;
+  keyed.retry_scope = RetryScope::cell;
+  keyed.retry_window = 2s;
   unsafe.name = "unsafe";
-  unsafe.effect = Effect::unsafe;
+  unsafe.idempotency = Idempotency::not_idempotent;
   s.classes = {safe, keyed, unsafe};
-  s.kind_role = {Role::read, Role::write, Role::both};
+  s.kind_role = {Role::prefill, Role::decode, Role::mixed};
   s.kind_memory = {200000, 150000, 200000};
-  s.may_cancel = true;
-  s.retry_after = true;
+  s.cancellation_allowed = true;
+  s.retry_after_allowed = true;
   s.max_attempts = 5;
   s.max_retry_after = 1s;
-  s.release_within = 300ms;
-  s.cold_for = 12s;
-  s.cold_from = 0.25;
-  s.fall_multiple = 2.5;
-  s.fall_window = 3s;
+  s.reservation_release_timeout = 300ms;
+  s.slow_start_duration = 12s;
+  s.slow_start_initial_capacity = 0.25;
+  s.overload_factor = 2.5;
+  s.overload_window = 3s;
   s.drain_grace = 500ms;
-  s.tick = 4ms;
+  s.min_batch_interval = 4ms;
   return s;
 }
 
-inline ListEntry host(HostId id, std::uint8_t kind, std::uint16_t cell = 0, std::uint8_t zone = 0) {
-  ListEntry e;
-  e.host = id;
+inline Endpoint host(EndpointId id, std::uint8_t kind, std::uint16_t cell = 0, std::uint8_t zone = 0) {
+  Endpoint e;
+  e.id = id;
   e.kind = kind;
   e.cell = cell;
   e.zone = zone;
@@ -63,42 +63,42 @@
     std::vector<Action> actions;
     scheduler.handle(now, event, actions);
     for (const auto& action : actions) {
-      if (const auto* sleep = std::get_if<Sleep>(&action))
-        alarms.emplace_back(now + sleep->after, sleep->cookie);
+      if (const auto* sleep = std::get_if<StartTimer>(&action))
+        alarms.emplace_back(now + sleep->delay, sleep->timer_id);
       if (const auto* log = std::get_if<Log>(&action))
         log_lines.push_back(log->line);
     }
     return actions;
   }
-  std::vector<Action> list(std::vector<ListEntry> hosts, ListKind kind = ListKind::full) {
-    return feed(HostList{kind, 1, std::move(hosts)});
+  std::vector<Action> list(std::vector<Endpoint> hosts, EndpointListKind kind = EndpointListKind::full) {
+    return feed(EndpointListUpdate{kind, 1, std::move(hosts)});
   }
   Request request(float prompt = 4000, std::uint16_t cls = 0, Key session = 0, Key shared = 0,
                   float prefix = 0) {
     Request r;
     r.id = next_id++;
-    r.cls = cls;
-    r.session = session ? session : r.id * 7919;
-    r.budget = 6s;
-    r.shared = shared;
-    r.prompt = prompt;
-    r.shared_prefix = prefix;
-    r.max_output = 400;
+    r.class_index = cls;
+    r.session_key = session ? session : r.id * 7919;
+    r.time_budget = 6s;
+    r.shared_prefix_key = shared;
+    r.prompt_tokens = prompt;
+    r.shared_prefix_tokens = prefix;
+    r.max_output_tokens = 400;
     return r;
   }
-  std::vector<Action> complete(RequestId id, std::uint16_t attempt, HostId host, Outcome outcome,
+  std::vector<Action> complete(RequestId id, std::uint16_t attempt, EndpointId host, Outcome outcome,
                                Micros elapsed = 100ms, std::uint32_t note = 0, bool done = false,
                                std::vector<float> load = {}) {
-    return feed(Completed{id, outcome, done, elapsed, host, note, attempt, std::move(load)});
+    return feed(AttemptCompleted{id, outcome, done, elapsed, host, note, attempt, std::move(load)});
   }
-  std::vector<Action> first(RequestId id, std::uint16_t attempt, HostId host, Micros elapsed = 50ms) {
-    return feed(First{id, host, attempt, elapsed});
+  std::vector<Action> first(RequestId id, std::uint16_t attempt, EndpointId host, Micros elapsed = 50ms) {
+    return feed(FirstTokenReceived{id, host, attempt, elapsed});
   }
   // A whole request served in the usual way; returns the reader that was chosen.
-  HostId serve(const Request& r, Micros read_time = 100ms, std::uint32_t kept = 0) {
-    const HostId reader = sent(feed(r));
+  EndpointId serve(const Request& r, Micros read_time = 100ms, std::uint32_t kept = 0) {
+    const EndpointId reader = sent(feed(r));
     now += read_time;
-    const HostId writer = sent(complete(r.id, 0, reader, Outcome::read, read_time, kept));
+    const EndpointId writer = sent(complete(r.id, 0, reader, Outcome::prefill_done, read_time, kept));
     now += 50ms;
     first(r.id, 1, writer);
     now += 500ms;
@@ -118,7 +118,7 @@
       now = std::max(now, due->first);
       const auto cookie = due->second;
       alarms.erase(due);
-      for (auto& action : feed(Alarm{cookie}))
+      for (auto& action : feed(TimerFired{cookie}))
         all.push_back(std::move(action));
     }
     now = std::max(now, until);
@@ -132,9 +132,9 @@
         return found;
     return nullptr;
   }
-  static HostId sent(const std::vector<Action>& actions) {
+  static EndpointId sent(const std::vector<Action>& actions) {
     const auto* send = find<Send>(actions);
-    return send ? send->host : 0;
+    return send ? send->endpoint : 0;
   }
 
   Scheduler scheduler;
--- a/tests/net/core_bed.h
+++ b/tests/net/core_bed.h
@@ -22,63 +22,67 @@
   std::function<void()> over_;
 };
 
-struct TestNodes : Nodes {
+struct TestNodes : NodeTransport {
   struct Begun {
-    HostId host;
-    Attempt* attempt;
+    EndpointId host;
+    AttemptHandler* attempt;
     bool open;
   };
   std::vector<Begun> begun;
   bool many = false;  // several requests under way
-  std::vector<std::pair<HostId, std::function<void(bool)>>> released;
-  std::unique_ptr<Call> begin(const Node& node, const Prompt&, Micros, Attempt& attempt) override {
+  std::vector<std::pair<EndpointId, std::function<void(bool)>>> released;
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt&, Micros,
+                                      AttemptHandler& attempt) override {
     for (const auto& one : begun)
       assert(many || !one.open);  // never two attempts out at once
     begun.push_back({node.id, &attempt, true});
     return std::make_unique<NoteCall>([this, i = begun.size() - 1] { begun[i].open = false; });
   }
-  std::unique_ptr<Call> release(const Node& node, const std::string&,
-                                std::function<void(bool)> done) override {
+  std::unique_ptr<Call> release_reservation(const Node& node, const std::string&,
+                                            std::function<void(bool)> done) override {
     released.emplace_back(node.id, std::move(done));
     return std::make_unique<NoteCall>([] {});
   }
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  std::unique_ptr<Call> adopt(const Node& node, const PassedConnection&, Attempt& attempt) override {
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  std::unique_ptr<Call> adopt_stream(const Node& node, const TransferredConnection&,
+                                     AttemptHandler& attempt) override {
     begun.push_back({node.id, &attempt, true});
     return std::make_unique<NoteCall>([this, i = begun.size() - 1] { begun[i].open = false; });
   }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
 };
 
 struct TestClient : Client {
   std::string seen;
   int answers = 0;
   bool slow = false;
-  bool event(std::string_view data) override {
+  bool on_data(std::string_view data) override {
     seen += data;
     return !slow;
   }
   void finish() override { ++answers, seen += "|end"; }
-  void refuse(Micros) override { ++answers, seen += "|refused"; }
-  void fail(Failure) override { ++answers, seen += "|failed"; }
-  void cut() override { ++answers, seen += "|cut"; }
+  void reject(Micros) override { ++answers, seen += "|refused"; }
+  void fail(FailureReason) override { ++answers, seen += "|failed"; }
+  void abort_stream() override { ++answers, seen += "|cut"; }
 };
 
 inline Settings settings() {
   Settings s;
   ClassSettings c;
   c.name = "k";
-  c.aim = 1500ms;
+  c.latency_objective = 1500ms;
   c.deadline = 6s;
   s.classes = {c};
-  s.kind_role = {Role::read, Role::write};
+  s.kind_role = {Role::prefill, Role::decode};
   s.kind_memory = {200000, 150000};
   s.report_columns = {"active", "x0"};
   s.max_attempts = 6;
-  s.may_cancel = true;
-  s.cold_for = 13s;
-  s.fall_window = 1s;
+  s.cancellation_allowed = true;
+  s.slow_start_duration = 13s;
+  s.overload_window = 1s;
   return s;
 }
 
@@ -90,30 +94,30 @@
   RequestId id = 0;
   std::string next_id = "q";
 
-  static Router::Listed node(const std::string& name, Phase phase = Phase::ready) {
+  static Router::ListedNode node(const std::string& name, EndpointState phase = EndpointState::ready) {
     return {name, "127.0.0.1:1", "a", name.substr(0, 1), 0, phase, 1, Micros(0)};
   }
   explicit Bed(std::vector<std::string> names = {"r", "w"}, Settings limits = settings())
       : core(std::move(limits), {"a"}, {"r", "w"}, 1, clock, nodes) {
-    std::vector<Router::Listed> list;
+    std::vector<Router::ListedNode> list;
     for (const auto& name : names)
       list.push_back(node(name));
-    core.update(ListKind::full, 1, list);
+    core.update_endpoints(EndpointListKind::full, 1, list);
   }
-  std::size_t unhealthy() const { return core.figures().unhealthy; }
+  std::size_t unhealthy() const { return core.metrics().unhealthy_nodes; }
   void take() {
     ClientRequest client_request;
     client_request.prompt = {next_id, "/", std::make_shared<std::string>("{}")};
-    client_request.kind = "k";
+    client_request.request_class = "k";
     client_request.prompt_tokens = 100;
-    assert(core.take(client_request, client, id) == Router::Taken::yes);
+    assert(core.submit(client_request, client, id) == Router::SubmitResult::accepted);
   }
   void done(Outcome outcome, std::uint32_t kept = 0) {
-    nodes.begun.back().attempt->done({outcome, kept, {}, {}});
+    nodes.begun.back().attempt->on_done({outcome, kept, {}, {}});
   }
   void pass(Micros span) {
     clock.at += span;
-    core.run_due();
+    core.run_timers();
   }
 };
 
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -17,9 +17,9 @@
 void served() {
   Bed bed;
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   assert(bed.nodes.begun.size() == 2);
-  bed.nodes.begun[1].attempt->event("a");
+  bed.nodes.begun[1].attempt->on_data("a");
   bed.done(Outcome::ok);
   assert(bed.client.seen == "a|end" && bed.client.answers == 1);
   assert(bed.nodes.released.empty() && bed.core.idle());
@@ -29,8 +29,8 @@
 void release_again() {
   Bed bed({"r", "w", "w2"});
   bed.take();
-  bed.done(Outcome::read);
-  bed.core.gone(bed.id);
+  bed.done(Outcome::prefill_done);
+  bed.core.client_disconnected(bed.id);
   assert(!bed.nodes.begun.back().open);
   assert(bed.nodes.released.size() == 1 && bed.nodes.released[0].first == bed.nodes.begun[0].host);
   for (std::size_t tries = 1; tries < 5; ++tries) {
@@ -53,8 +53,8 @@
 void release_unheard() {
   Bed bed({"r", "w", "w2"});
   bed.take();
-  bed.done(Outcome::read);
-  bed.core.gone(bed.id);
+  bed.done(Outcome::prefill_done);
+  bed.core.client_disconnected(bed.id);
   assert(bed.nodes.released.size() == 1);
   bed.pass(400ms);
   bed.pass(100ms);
@@ -75,15 +75,15 @@
   const std::vector<std::string> names{"r", "r2", "w", "w2"};
   for (const auto& name : names) {
     Settings limits = settings();
-    limits.release_within = 500ms;
+    limits.reservation_release_timeout = 500ms;
     Bed bed(names, limits);
     bed.take();
-    const HostId holder = bed.nodes.begun[0].host;
-    bed.done(Outcome::read);
-    bed.core.gone(bed.id);
-    const auto lost = [&](HostId host) { return host == holder || bed.core.name_of(host) == name; };
+    const EndpointId holder = bed.nodes.begun[0].host;
+    bed.done(Outcome::prefill_done);
+    bed.core.client_disconnected(bed.id);
+    const auto lost = [&](EndpointId host) { return host == holder || bed.core.endpoint_name(host) == name; };
     for (Micros waited{}; lost(bed.nodes.released.back().first); waited += 5ms) {
-      assert(waited < limits.release_within);
+      assert(waited < limits.reservation_release_timeout);
       bed.pass(5ms);
     }
     const auto done = bed.nodes.released.back().second;
@@ -99,8 +99,8 @@
     Bed bed;
     bed.take();
     if (stage == 1)
-      bed.done(Outcome::read);
-    bed.core.end_waits(bed.clock.at + 3200ms);
+      bed.done(Outcome::prefill_done);
+    bed.core.set_shutdown_deadline(bed.clock.at + 3200ms);
     bed.pass(3199ms);
     assert(bed.client.answers == 0 && bed.nodes.begun.back().open);
     bed.pass(1ms);
@@ -111,10 +111,10 @@
     assert(bed.core.idle());
   }
   Bed bed;
-  bed.core.end_waits(bed.clock.at + 3200ms);
+  bed.core.set_shutdown_deadline(bed.clock.at + 3200ms);
   bed.take();
-  bed.done(Outcome::read);
-  bed.nodes.begun.back().attempt->event("a");
+  bed.done(Outcome::prefill_done);
+  bed.nodes.begun.back().attempt->on_data("a");
   bed.pass(4s);
   assert(bed.client.answers == 0 && bed.nodes.begun.back().open);
   bed.next_id = "late";
@@ -131,22 +131,22 @@
   TestClient other;
   told(bed, other);
   bed.take();
-  bed.done(Outcome::read);
-  return bed.core.name_of(bed.nodes.begun.back().host);
+  bed.done(Outcome::prefill_done);
+  return bed.core.endpoint_name(bed.nodes.begun.back().host);
 }
 
 // A new process hears of a writer's load by the ends of streams alone, and all that run were begun by the old
 // one: what those ends tell counts, and so does what the old process tells of its last reports.
 void learns_from_the_other_process() {
   const std::string usual = first_writer([](Bed&, TestClient&) {});
-  const auto adopted = [&](Result end) {
+  const auto adopted = [&](AttemptResult end) {
     return first_writer([&](Bed& bed, TestClient& other) {
       RequestId id = 0;
       TestClient light;
-      assert(bed.core.adopt({"light", "k", usual == "w" ? "w2" : "w", 1, {}, {}}, light, id));
-      bed.nodes.begun.back().attempt->done({Outcome::ok, 0, "active=10,x0=0.2", {}});
-      assert(bed.core.adopt({"old", "k", usual, 1, {}, {}}, other, id));
-      bed.nodes.begun.back().attempt->done(end);
+      assert(bed.core.adopt_stream({"light", "k", usual == "w" ? "w2" : "w", 1, {}, {}}, light, id));
+      bed.nodes.begun.back().attempt->on_done({Outcome::ok, 0, "active=10,x0=0.2", {}});
+      assert(bed.core.adopt_stream({"old", "k", usual, 1, {}, {}}, other, id));
+      bed.nodes.begun.back().attempt->on_done(end);
       assert(light.answers == 1 && other.answers == 1);
     });
   };
@@ -156,7 +156,7 @@
   assert(adopted({Outcome::reset, 0, {}, {}}) != usual);
   const auto told = [&](NodeReport heard) {
     const NodeReport light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
-    return first_writer([&](Bed& bed, TestClient&) { bed.core.take_over({{light, heard}, {}}); });
+    return first_writer([&](Bed& bed, TestClient&) { bed.core.apply_handover_state({{light, heard}, {}}); });
   };
   assert(told({usual, "active=40,x0=0.8", 400ms, false}) != usual);
   assert(told({usual, {}, 0ms, true}) != usual);
@@ -168,12 +168,12 @@
 
 void tells_the_other_process() {
   Bed bed;
-  assert(bed.core.handover_state().nodes.empty() && bed.core.handover_state().read_rates.empty());
+  assert(bed.core.handover_state().nodes.empty() && bed.core.handover_state().prefill_rates.empty());
   bed.take();
   bed.pass(20ms);
-  bed.done(Outcome::read);
-  bed.nodes.begun.back().attempt->event("a");
-  bed.nodes.begun.back().attempt->done({Outcome::ok, 0, "active=2,x0=0.3", {}});
+  bed.done(Outcome::prefill_done);
+  bed.nodes.begun.back().attempt->on_data("a");
+  bed.nodes.begun.back().attempt->on_done({Outcome::ok, 0, "active=2,x0=0.3", {}});
   bed.pass(1s);
   const auto of = [&](const std::string& name) {
     for (const auto& one : bed.core.handover_state().nodes)
@@ -181,22 +181,22 @@
         return one;
     return NodeReport{};
   };
-  assert(of("w").load == "active=2,x0=0.3" && of("w").age == 1s && of("w").sent > 0);
-  assert(of("r").load.empty() && of("r").sent > 0);
-  const auto rates = bed.core.handover_state().read_rates;
-  assert(rates.size() == 1 && rates[0].first == Role::read && rates[0].second > 0);
+  assert(of("w").load_report == "active=2,x0=0.3" && of("w").age == 1s && of("w").work_rate > 0);
+  assert(of("r").load_report.empty() && of("r").work_rate > 0);
+  const auto rates = bed.core.handover_state().prefill_rates;
+  assert(rates.size() == 1 && rates[0].first == Role::prefill && rates[0].second > 0);
   // Neither an old report nor one of a node that is out, or has started anew since.
-  bed.core.update(ListKind::delta, 2, {Bed::node("w", Phase::draining)});
+  bed.core.update_endpoints(EndpointListKind::incremental, 2, {Bed::node("w", EndpointState::draining)});
   assert(of("w").node.empty());
-  bed.core.update(ListKind::delta, 3, {Bed::node("w")});
-  assert(!of("w").load.empty());
+  bed.core.update_endpoints(EndpointListKind::incremental, 3, {Bed::node("w")});
+  assert(!of("w").load_report.empty());
   auto anew = Bed::node("w");
-  anew.started = bed.clock.at;
-  bed.core.update(ListKind::delta, 4, {anew});
-  assert(of("w").load.empty());
-  bed.core.update(ListKind::delta, 5, {Bed::node("w")});
+  anew.started_at = bed.clock.at;
+  bed.core.update_endpoints(EndpointListKind::incremental, 4, {anew});
+  assert(of("w").load_report.empty());
+  bed.core.update_endpoints(EndpointListKind::incremental, 5, {Bed::node("w")});
   bed.pass(3s);
-  assert(of("w").load.empty());
+  assert(of("w").load_report.empty());
 }
 
 // The first read of a process that takes over in a jam waits behind what the process knows nothing of. It
@@ -206,14 +206,14 @@
   const auto refused = [](bool told) {
     Settings s = settings();
     s.report_columns = {"active", "x0", "x1"};
-    s.report_x1_is_unread = true;
+    s.report_x1_is_queued_tokens = true;
     Bed bed({"r", "w", "w2"}, s);
     if (told)
-      bed.core.take_over({{}, {{Role::read, 50}}});
+      bed.core.apply_handover_state({{}, {{Role::prefill, 50}}});
     bed.take();
     bed.pass(2s);
-    bed.nodes.begun.back().attempt->done({Outcome::read, 0, "active=1,x0=0.1,x1=0", {}});
-    bed.nodes.begun.back().attempt->event("a");
+    bed.nodes.begun.back().attempt->on_done({Outcome::prefill_done, 0, "active=1,x0=0.1,x1=0", {}});
+    bed.nodes.begun.back().attempt->on_data("a");
     bed.done(Outcome::ok);
     bed.nodes.many = true;
     TestClient clients[3];
@@ -222,9 +222,9 @@
       RequestId id = 0;
       ClientRequest client_request;
       client_request.prompt = {"q" + std::to_string(i), "/", std::make_shared<std::string>("{}")};
-      client_request.kind = "k";
+      client_request.request_class = "k";
       client_request.prompt_tokens = 1000;
-      assert(bed.core.take(client_request, clients[i], id) == Router::Taken::yes);
+      assert(bed.core.submit(client_request, clients[i], id) == Router::SubmitResult::accepted);
       count += clients[i].seen == "|refused";
     }
     return count;
@@ -233,23 +233,25 @@
   assert(refused(true) == 0);
   // What has been learned here counts more, and what is no rate counts for nothing.
   Bed bed;
-  bed.core.take_over({{}, {{Role::read, 0}, {Role::read, -1}, {Role::read, std::nan("")}}});
-  assert(bed.core.handover_state().read_rates.empty());
+  bed.core.apply_handover_state(
+      {{}, {{Role::prefill, 0}, {Role::prefill, -1}, {Role::prefill, std::nan("")}}});
+  assert(bed.core.handover_state().prefill_rates.empty());
 }
 
 // Nodes that have gone are forgotten, though an attempt is still out at one of them.
 void nodes_come_and_go() {
   Bed bed;
   bed.take();
-  bed.done(Outcome::read);
-  bed.nodes.begun[1].attempt->event("a");
+  bed.done(Outcome::prefill_done);
+  bed.nodes.begun[1].attempt->on_data("a");
   for (std::uint32_t i = 0; i < 100; ++i) {
     const auto name = "r" + std::to_string(i);
-    bed.core.update(ListKind::delta, 2 + 2 * i, {Bed::node(name)});
-    bed.core.update(ListKind::delta, 3 + 2 * i, {Bed::node(name, Phase::gone)});
+    bed.core.update_endpoints(EndpointListKind::incremental, 2 + 2 * i, {Bed::node(name)});
+    bed.core.update_endpoints(EndpointListKind::incremental, 3 + 2 * i,
+                              {Bed::node(name, EndpointState::removed)});
   }
-  bed.core.update(ListKind::full, 300, {Bed::node("r")});
-  assert(bed.core.known() == 1);
+  bed.core.update_endpoints(EndpointListKind::full, 300, {Bed::node("r")});
+  assert(bed.core.known_nodes() == 1);
   bed.done(Outcome::ok);
   assert(bed.client.seen == "a|end" && bed.core.idle());
 }
@@ -266,7 +268,7 @@
   }
   Bed bed;
   bed.take();
-  bed.done(Outcome::full);  // proves that nothing ran
+  bed.done(Outcome::rejected_over_capacity);  // proves that nothing ran
   assert(bed.nodes.released.empty());
 }
 
@@ -282,11 +284,11 @@
 
 void drained_node_gets_nothing() {
   Bed bed;
-  bed.core.update(ListKind::delta, 2, {Bed::node("r", Phase::draining)});
+  bed.core.update_endpoints(EndpointListKind::incremental, 2, {Bed::node("r", EndpointState::draining)});
   bed.take();
   assert(bed.nodes.begun.empty() && bed.client.seen == "|refused");
   // A whole list that does not name a node any more tells that it is gone.
-  bed.core.update(ListKind::full, 3, {Bed::node("w")});
+  bed.core.update_endpoints(EndpointListKind::full, 3, {Bed::node("w")});
   assert(bed.core.ready_nodes() == 1);
 }
 
@@ -295,40 +297,41 @@
 void bans_are_shared() {
   const std::string path = "core_test.bans";
   std::remove(path.c_str());
-  using Ordered = Router::Ordered;
+  using Ordered = Router::OverrideResult;
   {
     LockFile old_lock("core_test.lock"), new_lock("core_test.lock");
     Bed old_one({"r", "w", "w2"}), new_one({"r", "w", "w2"});
-    old_one.core.keep_bans(path, old_lock);
-    assert(old_one.core.take_out("w2") == Ordered::done);
-    new_one.core.keep_bans(path, new_lock);
+    old_one.core.load_overrides(path, old_lock);
+    assert(old_one.core.drain_node("w2") == Ordered::applied);
+    new_one.core.load_overrides(path, new_lock);
     assert(new_one.unhealthy() == 1);
-    assert(new_one.core.take_out("r") == Ordered::done && old_one.core.take_out("w") == Ordered::done);
-    new_one.core.refresh_bans();
-    old_one.core.refresh_bans();
+    assert(new_one.core.drain_node("r") == Ordered::applied &&
+           old_one.core.drain_node("w") == Ordered::applied);
+    new_one.core.reload_overrides();
+    old_one.core.reload_overrides();
     assert(old_one.unhealthy() == 3 && new_one.unhealthy() == 3);
-    assert(new_one.core.put_back("w") == Ordered::done &&
-           new_one.core.take_out("x") == Ordered::never_listed);
-    old_one.core.refresh_bans();
+    assert(new_one.core.undrain_node("w") == Ordered::applied &&
+           new_one.core.drain_node("x") == Ordered::unknown_node);
+    old_one.core.reload_overrides();
     assert(old_one.unhealthy() == 2 && old_one.core.ready_nodes() == 1);
     // Not while the other writes; and without effect then.
-    assert(old_lock.take(Bans::lock_byte));
-    assert(new_one.core.put_back("r") == Ordered::not_stored && new_one.unhealthy() == 2);
+    assert(old_lock.take(AdminOverrides::lock_byte));
+    assert(new_one.core.undrain_node("r") == Ordered::not_stored && new_one.unhealthy() == 2);
   }
   for (const char* torn : {"{\"out\":[\"r\",", "", "[]", "{\"out\":7,\"back\":{}}", "{\"out\":[]}"}) {
     LockFile lock("core_test.lock");
     Bed bed({"r", "w", "w2"});
-    bed.core.keep_bans(path, lock);
+    bed.core.load_overrides(path, lock);
     assert(bed.unhealthy() == 2);
     std::ofstream(path) << torn;
-    bed.core.refresh_bans();
+    bed.core.reload_overrides();
     assert(bed.unhealthy() == 2);
-    assert(bed.core.take_out("w2") == Ordered::done);  // writes it whole again
+    assert(bed.core.drain_node("w2") == Ordered::applied);  // writes it whole again
   }
   LockFile lock("core_test.lock"), none("no/such/folder/lock");
   Bed bed;
-  bed.core.keep_bans("core_test.bans", none);
-  assert(bed.core.take_out("w") == Ordered::not_stored && bed.core.ready_nodes() == 1);
+  bed.core.load_overrides("core_test.bans", none);
+  assert(bed.core.drain_node("w") == Ordered::not_stored && bed.core.ready_nodes() == 1);
   std::remove(path.c_str());
   std::remove("core_test.lock");
 }
@@ -336,15 +339,15 @@
 // What is put back is as cold as a node that has just started, whatever discovery has heard of it.
 void put_back_cold() {
   Bed bed;
-  bed.core.take_out("r");
+  bed.core.drain_node("r");
   bed.pass(1min);
-  bed.core.put_back("r");
+  bed.core.undrain_node("r");
   int sent = 0;
   for (int i = 0; i < 20; ++i) {
     bed.next_id = "q" + std::to_string(i);
     bed.take();
     sent += static_cast<int>(bed.nodes.begun.size());
-    bed.core.gone(bed.id);
+    bed.core.client_disconnected(bed.id);
     bed.nodes.begun.clear();
   }
   assert(sent <= 1);
@@ -352,14 +355,14 @@
 
 // Counts stay with the class that a request was taken with, and those of vanished classes are bounded.
 void counts_are_bounded() {
-  CountsByClass counts;
+  RequestMetrics counts;
   std::vector<ClassSettings> classes(1);
   classes[0].name = "first";
-  counts.keep(classes);
-  const auto first = counts.of("first");
+  counts.set_classes(classes);
+  const auto first = counts.counts_of("first");
   for (int i = 0; i < 500; ++i) {
     classes[0].name = "k" + std::to_string(i);
-    counts.keep(classes);
+    counts.set_classes(classes);
   }
   ++first->answered;
   assert(counts.all().size() == 65 && counts.all().count("k499") && !counts.all().count("first"));
@@ -369,9 +372,9 @@
 void gone_in_stream() {
   Bed bed;
   bed.take();
-  bed.done(Outcome::read);
-  bed.nodes.begun[1].attempt->event("a");
-  bed.core.gone(bed.id);
+  bed.done(Outcome::prefill_done);
+  bed.nodes.begun[1].attempt->on_data("a");
+  bed.core.client_disconnected(bed.id);
   assert(!bed.nodes.begun[1].open && bed.client.answers == 0 && bed.core.idle());
 }
 
@@ -379,12 +382,12 @@
 void slow_client() {
   Bed bed;
   bed.take();
-  bed.done(Outcome::read);
+  bed.done(Outcome::prefill_done);
   bed.client.slow = true;
-  bed.nodes.begun[1].attempt->event("a");
+  bed.nodes.begun[1].attempt->on_data("a");
   bed.pass(6s);
   assert(bed.nodes.begun[1].open && bed.client.answers == 0);
-  bed.core.drained(bed.id);
+  bed.core.resume_stream(bed.id);
   bed.pass(4499ms);
   assert(bed.client.answers == 0);
   bed.pass(1ms);
@@ -396,12 +399,12 @@
   bed.take();
   ClientRequest client_request;
   client_request.prompt.id = "q";
-  client_request.kind = "k";
+  client_request.request_class = "k";
   RequestId id = 0;
-  assert(bed.core.take(client_request, bed.client, id) == Router::Taken::duplicate);
-  client_request.kind = "other";
-  assert(bed.core.take(client_request, bed.client, id) == Router::Taken::unknown_kind);
-  assert(bed.core.open() == 1);
+  assert(bed.core.submit(client_request, bed.client, id) == Router::SubmitResult::duplicate_id);
+  client_request.request_class = "other";
+  assert(bed.core.submit(client_request, bed.client, id) == Router::SubmitResult::unknown_class);
+  assert(bed.core.open_requests() == 1);
 }
 
 void load_reports() {
--- a/tests/net/cutting_relay.h
+++ b/tests/net/cutting_relay.h
@@ -51,7 +51,7 @@
         : relay(relay),
           left(relay.left_),
           router(*this, relay.loop_, fd),
-          node(*this, relay.loop_, net::Endpoint(relay.node_)) {}
+          node(*this, relay.loop_, net::SocketAddress(relay.node_)) {}
     void carry() {
       if (over)
         return;
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -161,12 +161,12 @@
 };
 
 // The node client, with the monitor at its edge: what counts is when the router begins and lets go.
-class Watched : public Nodes {
+class Watched : public NodeTransport {
  public:
-  Watched(World& world, Nodes& to) : world_(world), to_(to) {}
-  struct Out : Call, Attempt {
+  Watched(World& world, NodeTransport& to) : world_(world), to_(to) {}
+  struct Out : Call, AttemptHandler {
     World* world;
-    Attempt* to;
+    AttemptHandler* to;
     string id, node;
     bool over = false;
     std::unique_ptr<Call> call;
@@ -175,54 +175,55 @@
       if (!std::exchange(over, true))
         world->monitor.over(world->now(), id, node);
     }
-    void written() override { to->written(); }
-    void event(std::string_view data) override { to->event(data); }
-    void done(Result result) override {
+    void on_request_written() override { to->on_request_written(); }
+    void on_data(std::string_view data) override { to->on_data(data); }
+    void on_done(AttemptResult result) override {
       end();
-      to->done(std::move(result));
+      to->on_done(std::move(result));
     }
-    void hold_back(bool on) override { call->hold_back(on); }
+    void pause_reading(bool on) override { call->pause_reading(on); }
   };
-  std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros within,
-                              Attempt& attempt) override {
+  std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
+                                      AttemptHandler& attempt) override {
     auto out = std::make_unique<Out>();
     out->world = &world_;
     out->to = &attempt;
     out->id = prompt.id;
     out->node = node.name;
     world_.monitor.sent(world_.now(), prompt.id, node.name, 0);
-    out->call = to_.begin(node, prompt, within, *out);
+    out->call = to_.start_attempt(node, prompt, within, *out);
     return out;
   }
-  std::unique_ptr<Call> release(const Node& node, const string& id, std::function<void(bool)> done) override {
-    return to_.release(node, id, std::move(done));
+  std::unique_ptr<Call> release_reservation(const Node& node, const string& id,
+                                            std::function<void(bool)> done) override {
+    return to_.release_reservation(node, id, std::move(done));
   }
-  std::unique_ptr<Call> probe(const Node& node, std::function<void(const Result&)> done) override {
+  std::unique_ptr<Call> probe(const Node& node, std::function<void(const AttemptResult&)> done) override {
     return to_.probe(node, std::move(done));
   }
-  void hang_up(const Node& node) override { to_.hang_up(node); }
-  void limit(const Limits& limits) override { to_.limit(limits); }
+  void close_idle_connections(const Node& node) override { to_.close_idle_connections(node); }
+  void set_limits(const Limits& limits) override { to_.set_limits(limits); }
 
  private:
   World& world_;
-  Nodes& to_;
+  NodeTransport& to_;
 };
 
 Settings settings() {
   Settings s;
   ClassSettings c;
   c.name = "k";
-  c.aim = 4s;
+  c.latency_objective = 4s;
   c.deadline = 5s;
   s.classes = {c};
-  s.kind_role = {Role::read, Role::write};
+  s.kind_role = {Role::prefill, Role::decode};
   s.kind_memory = {1e9, 1e9};
   s.max_attempts = 6;
-  s.may_cancel = s.retry_after = true;
+  s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = 1s;
-  s.cold_for = 1us;
-  s.fall_window = 1s;
-  s.tick = 4ms;
+  s.slow_start_duration = 1us;
+  s.overload_window = 1s;
+  s.min_batch_interval = 4ms;
   return s;
 }
 
@@ -348,14 +349,14 @@
   grpc::NodeClient client(world.loop, grpc::Session::Limits{});
   Watched watched(world, client);
   Router core(settings(), {"a"}, {"r", "w"}, 1, world.clock, watched);
-  std::vector<Router::Listed> list;
+  std::vector<Router::ListedNode> list;
   for (const auto& node : nodes)
-    list.push_back(
-        {node->name(), node->address(), "a", node->name().substr(0, 1), 0, Phase::ready, 1, Micros(0)});
-  core.update(ListKind::full, 1, list);
-  net::Timer due(world.loop, [&] { core.run_due(); });
+    list.push_back({node->name(), node->address(), "a", node->name().substr(0, 1), 0, EndpointState::ready, 1,
+                    Micros(0)});
+  core.update_endpoints(EndpointListKind::full, 1, list);
+  net::Timer due(world.loop, [&] { core.run_timers(); });
   core.on_change = [&] {
-    if (const auto next = core.next_due())
+    if (const auto next = core.next_timer())
       due.start(*next - world.clock.now());
     else
       due.stop();
@@ -374,7 +375,7 @@
       node.leave();
     else
       node.die(std::chrono::milliseconds(50 + world.random() % 300));
-    most_open = std::max(most_open, core.open());
+    most_open = std::max(most_open, core.open_requests());
     most_descriptors = std::max(most_descriptors, descriptors());
     most_memory = std::max(most_memory, memory_kib());
     plan.start(std::chrono::milliseconds(150 + world.random() % 200));
@@ -410,7 +411,7 @@
             << " KiB, all parts in one process\nrules broken: " << world.monitor.breaches().size()
             << std::endl;
   assert(load.asked == calls && load.open.empty());
-  assert(core.idle() && core.open() == 0 && world.held.empty());
+  assert(core.idle() && core.open_requests() == 0 && world.held.empty());
   assert(descriptors() <=
          descriptors_before + 2 * 4 * nodes.size());  // both ends of the connections that a pool keeps
   core.on_change = nullptr;
--- a/tests/net/parser_test.cpp
+++ b/tests/net/parser_test.cpp
@@ -208,7 +208,7 @@
     return R"({"generation":1,"reset":true,"instances":[)" + node + "]}";
   };
   const auto list = discovery::parse_list_text(whole(good));
-  assert(list.version == 1 && list.whole && list.nodes.at(0).started == std::chrono::milliseconds(5));
+  assert(list.version == 1 && list.whole && list.nodes.at(0).started_at == std::chrono::milliseconds(5));
   assert(discovery::parse_list_text(whole(R"({"instanceId":"s","lifecycle":"left"})")).nodes.size() == 1);
   for (const string& bad :
        {string(""), string("[]"), string("{"), string("{}"), whole("{}"), whole("7"),
--- a/tests/net/scenario.cpp
+++ b/tests/net/scenario.cpp
@@ -76,7 +76,7 @@
   HttpClient(net::Loop& loop, string address) : loop_(loop), address_(std::move(address)) {}
   void send(const Words& words) override {
     if (!connection_)
-      connection_.reset(new net::Connection(loop_, net::Endpoint(address_), *this));
+      connection_.reset(new net::Connection(loop_, net::SocketAddress(address_), *this));
     for (int more = words[0] == "nothing" && words.size() > 1 ? std::stoi(words[1]) - 1 : 0; more > 0;
          --more) {
       more_.push_back(std::make_unique<HttpClient>(loop_, address_));
@@ -409,19 +409,19 @@
   Settings s;
   ClassSettings c;
   c.name = "estratto";
-  c.aim = std::chrono::milliseconds(1500);
+  c.latency_objective = std::chrono::milliseconds(1500);
   c.deadline = std::chrono::milliseconds(7500);
-  c.token_aim = std::chrono::milliseconds(70);
-  c.stream = true;
+  c.inter_token_objective = std::chrono::milliseconds(70);
+  c.streaming = true;
   s.classes = {c};
-  s.kind_role = {Role::read, Role::write};
+  s.kind_role = {Role::prefill, Role::decode};
   s.kind_memory = {200000, 150000};
   s.max_attempts = 6;
-  s.may_cancel = s.retry_after = true;
+  s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = std::chrono::milliseconds(500);
-  s.cold_for = std::chrono::seconds(13);
-  s.fall_window = std::chrono::seconds(1);
-  s.tick = std::chrono::milliseconds(2);
+  s.slow_start_duration = std::chrono::seconds(13);
+  s.overload_window = std::chrono::seconds(1);
+  s.min_batch_interval = std::chrono::milliseconds(2);
   s.connect_timeout = std::chrono::milliseconds(250);
   return s;
 }
@@ -485,7 +485,7 @@
   static Micros span(const string& text) { return Micros(std::llround(std::stod(text) * 1e6)); }
 
   void declare(const Words& names) {
-    std::vector<Router::Listed> list;
+    std::vector<Router::ListedNode> list;
     for (string name : names) {
       const bool relayed = name.back() == '~';
       if (relayed)
@@ -510,7 +510,7 @@
         relays_[name] = std::make_unique<test::CuttingRelay>(loop_, local(port));
         port = relays_[name]->port();
       }
-      Router::Listed listed;
+      Router::ListedNode listed;
       listed.name = name;
       listed.address = addresses_[name] = local(port);
       listed.zone = "a";
@@ -519,14 +519,16 @@
       list.push_back(listed);
     }
     if (!watch_)
-      core_->update(ListKind::full, 1, list);
+      core_->update_endpoints(EndpointListKind::full, 1, list);
   }
   static string local(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
   void change(const Words& words) {
     auto& listed = listed_.at(words.at(1));
-    listed.phase = words[0] == "ready" ? Phase::ready : words[0] == "leaving" ? Phase::draining : Phase::gone;
-    core_->update(ListKind::delta, ++version_, {listed});
+    listed.state = words[0] == "ready"     ? EndpointState::ready
+                   : words[0] == "leaving" ? EndpointState::draining
+                                           : EndpointState::removed;
+    core_->update_endpoints(EndpointListKind::incremental, ++version_, {listed});
   }
   void relay(const string& how, std::size_t bytes, const string& node) {
     using Then = test::CuttingRelay::Then;
@@ -540,15 +542,15 @@
   }
   void release_within(const string& time) {
     Settings now = settings();
-    now.release_within = span(time);
-    core_->retune(now, {"a"}, {"lettura", "scrittura"});
+    now.reservation_release_timeout = span(time);
+    core_->update_settings(now, {"a"}, {"lettura", "scrittura"});
   }
   void retune(const string& kind, std::size_t attempts) {
     Settings now = settings();
     now.classes[0].name = kind;
     now.max_attempts = static_cast<std::uint32_t>(attempts);
     std::swap(now.kind_role[0], now.kind_role[1]);
-    core_->retune(now, {"a"}, {"scrittura", "lettura"});  // the kinds trade places
+    core_->update_settings(now, {"a"}, {"scrittura", "lettura"});  // the kinds trade places
   }
   void drain(const string& verb) {
     if (verb == "close") {
@@ -556,8 +558,8 @@
       grpc_server_->stop_accepting();
     } else if (verb == "pass") {
       settle();
-      core_->pass_streams(
-          [](const PassedStream& stream) { return ops::Handover::send(handover_path(), stream); });
+      core_->transfer_streams(
+          [](const TransferredStream& stream) { return ops::Handover::send(handover_path(), stream); });
     } else if (verb == "handover") {
       settle();
       front_->hand_over();
@@ -571,9 +573,9 @@
   void wait(const string& text) {
     settle();
     const Micros until = clock_.at + span(text);
-    for (auto due = core_->next_due(); due && *due <= until; due = core_->next_due()) {
+    for (auto due = core_->next_timer(); due && *due <= until; due = core_->next_timer()) {
       clock_.at = std::max(clock_.at, *due);
-      core_->run_due();
+      core_->run_timers();
       settle();
     }
     clock_.at = until;
@@ -663,28 +665,28 @@
   std::uint32_t version_ = 1;
   net::Loop loop_;
   ManualClock clock_;
-  std::unique_ptr<Nodes> make_nodes() {
+  std::unique_ptr<NodeTransport> make_nodes() {
     if (grpc_nodes_)
       return std::make_unique<grpc::NodeClient>(loop_, grpc::Session::Limits{});
     return std::make_unique<http::NodeClient>(loop_, http::ClientLimits{});
   }
-  std::unique_ptr<Nodes> nodes_ = make_nodes();
+  std::unique_ptr<NodeTransport> nodes_ = make_nodes();
   std::unique_ptr<Router> core_ =
       std::make_unique<Router>(settings(), Words{"a"}, Words{"lettura", "scrittura"}, 1, clock_, *nodes_);
   ops::Status status_{*core_};
   ops::Management management_{loop_, "127.0.0.1:0", *core_, status_, [] { return ops::Reloads{}; }};
   static string handover_path() { return "scenario." + std::to_string(getpid()) + ".streams"; }
   std::unique_ptr<http::Front> front_;
-  ops::Handover handover_{loop_, handover_path(),
-                          [this](const PassedStream& stream) { front_->adopt(stream); },
-                          [this](const HandoverState& handover_state) { core_->take_over(handover_state); }};
+  ops::Handover handover_{
+      loop_, handover_path(), [this](const TransferredStream& stream) { front_->adopt(stream); },
+      [this](const HandoverState& handover_state) { core_->apply_handover_state(handover_state); }};
   std::unique_ptr<grpc::Front> grpc_front_;
   std::unique_ptr<grpc::Server> grpc_server_;
   std::unique_ptr<discovery::Watch> watch_;
   std::map<string, std::unique_ptr<test::CuttingRelay>> relays_;  // by the node behind
   std::map<string, std::unique_ptr<Peer>> peers_;
   std::map<string, string> addresses_;
-  std::map<string, Router::Listed> listed_;
+  std::map<string, Router::ListedNode> listed_;
 };
 
 }  // namespace
--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -409,7 +409,7 @@
 
 // What a caller at `address` is told, all of it; nothing if nobody is there.
 string call(const string& address, const string& line) {
-  const net::Endpoint to(address);
+  const net::SocketAddress to(address);
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   string answer;
   if (connect(fd, to.address(), static_cast<socklen_t>(to.length())) == 0) {
@@ -510,11 +510,11 @@
   close(node);
 }
 
-struct Note : Attempt {
-  void written() override {}
-  void event(std::string_view) override {}
-  void done(Result ended) override { result = ended, over = true; }
-  Result result;
+struct Note : AttemptHandler {
+  void on_request_written() override {}
+  void on_data(std::string_view) override {}
+  void on_done(AttemptResult ended) override { result = ended, over = true; }
+  AttemptResult result;
   bool over = false;
 };
 
@@ -569,20 +569,24 @@
   node.address = "127.0.0.1:" + std::to_string(streamer.listener.port());
   Note note;
   const auto call =
-      client.begin(node, {"q", "/", std::make_shared<string>("{}")}, std::chrono::seconds(5), note);
+      client.start_attempt(node, {"q", "/", std::make_shared<string>("{}")}, std::chrono::seconds(5), note);
   while (!note.over)
     loop.run_once();
-  assert(note.result.outcome == Outcome::ok && note.result.load.empty());
+  assert(note.result.outcome == Outcome::ok && note.result.load_report.empty());
 }
 
-struct NoNodes : Nodes {
-  std::unique_ptr<Call> begin(const Node&, const Prompt&, Micros, Attempt&) override { return nullptr; }
-  std::unique_ptr<Call> release(const Node&, const string&, std::function<void(bool)>) override {
+struct NoNodes : NodeTransport {
+  std::unique_ptr<Call> start_attempt(const Node&, const Prompt&, Micros, AttemptHandler&) override {
     return nullptr;
   }
-  std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
-  void hang_up(const Node&) override {}
-  void limit(const Limits&) override {}
+  std::unique_ptr<Call> release_reservation(const Node&, const string&, std::function<void(bool)>) override {
+    return nullptr;
+  }
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
 };
 
 struct Bed {
@@ -591,7 +595,7 @@
   NoNodes nodes;
   Router core{[] {
                 Settings s;
-                s.kind_role = {Role::read};
+                s.kind_role = {Role::prefill};
                 return s;
               }(),
               {"a"},
@@ -603,14 +607,15 @@
   Bed() {
     core.on_change = [this] { status.check(); };
   }
-  void list(Phase phase) {
-    core.update(ListKind::full, 1, {{"r", "127.0.0.1:1", "a", "r", 0, phase, 1, Micros(0)}});
+  void list(EndpointState phase) {
+    core.update_endpoints(EndpointListKind::full, 1,
+                          {{"r", "127.0.0.1:1", "a", "r", 0, phase, 1, Micros(0)}});
   }
 };
 
 struct Visit : net::Connection::Handler {
   Visit(net::Loop& loop, std::uint16_t port)
-      : connection(loop, net::Endpoint("127.0.0.1:" + std::to_string(port)), *this) {}
+      : connection(loop, net::SocketAddress("127.0.0.1:" + std::to_string(port)), *this) {}
   void on_readable() override {
     const auto size = evbuffer_get_length(connection.input());
     text.append(reinterpret_cast<const char*>(evbuffer_pullup(connection.input(), -1)), size);
@@ -632,9 +637,9 @@
     return visit.text;
   };
   assert(line() == "ready down #no node is ready\n");
-  bed.list(Phase::ready);
+  bed.list(EndpointState::ready);
   assert(line() == "ready up 100%\n");
-  bed.list(Phase::draining);
+  bed.list(EndpointState::draining);
   assert(line().find("down") != string::npos);
   bed.status.drain();
   assert(line() == "drain\n");
@@ -680,7 +685,7 @@
     return call.seen + "/" + call.code;
   };
   assert(check("Check", "") == "2/0");
-  bed.list(Phase::ready);
+  bed.list(EndpointState::ready);
   assert(check("Check", "") == "1/0" && check("Check", "lemonroute.v1.Drafting") == "1/0");
   assert(check("Check", "other") == "/5" && check("Chekc", "") == "/12");
 
@@ -690,9 +695,9 @@
       bed.loop.run_once();
   };
   until("1");
-  bed.list(Phase::draining);
+  bed.list(EndpointState::draining);
   until("12");
-  bed.list(Phase::ready);
+  bed.list(EndpointState::ready);
   until("121");
   bed.status.drain();
   while (!watch.over || !unknown.over)
@@ -708,12 +713,12 @@
   net::Loop loop;
   std::vector<NodeReport> got;
   std::size_t messages = 0, streams = 0;
-  const std::vector<std::pair<Role, double>> rates{{Role::read, 51.25}, {Role::both, 80}};
+  const std::vector<std::pair<Role, double>> rates{{Role::prefill, 51.25}, {Role::mixed, 80}};
   ops::Handover end(
-      loop, path, [&](const PassedStream&) { ++streams; },
+      loop, path, [&](const TransferredStream&) { ++streams; },
       [&](const HandoverState& handover_state) {
         ++messages;
-        assert(handover_state.read_rates == rates);
+        assert(handover_state.prefill_rates == rates);
         got.insert(got.end(), handover_state.nodes.begin(), handover_state.nodes.end());
       });
   std::vector<NodeReport> sent;
@@ -724,8 +729,9 @@
   while (got.size() < sent.size())
     loop.run_once();
   for (std::size_t i = 0; i < sent.size(); ++i)
-    assert(got[i].node == sent[i].node && got[i].load == sent[i].load && got[i].age == sent[i].age &&
-           got[i].avoided == sent[i].avoided && got[i].sent == sent[i].sent);
+    assert(got[i].node == sent[i].node && got[i].load_report == sent[i].load_report &&
+           got[i].age == sent[i].age && got[i].ejected == sent[i].ejected &&
+           got[i].work_rate == sent[i].work_rate);
   assert(messages > 1 && messages <= 6 && streams == 0);
   ops::Handover::tell(path + "-nobody", {sent, rates});  // is lost, and that is all
   ops::Handover::tell(path, {{{string(8000, 'x'), {}, {}, true}, {"after", {}, {}, true}}, rates});
--- a/tests/pools/config_test.cpp
+++ b/tests/pools/config_test.cpp
@@ -90,9 +90,9 @@
   Installation in;
   in.fixed = true;
   in.platform.kinds = {"reader", "writer"};
-  in.platform.settings.kind_role = {Role::read, Role::write};
+  in.platform.settings.kind_role = {Role::prefill, Role::decode};
   for (const auto& [kind, cell] : {std::pair("writer", 1), std::pair("reader", 2)}) {
-    Router::Listed node;
+    Router::ListedNode node;
     node.name = kind;
     node.zone = "a";
     node.kind = kind;
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -17,13 +17,13 @@
 using namespace std::chrono_literals;
 
 inline Node node(const std::string& site, int cell, int n, const std::string& kind = "writer",
-                 Phase phase = Phase::ready) {
+                 EndpointState phase = EndpointState::ready) {
   Node one;
   one.name = site + "-" + std::to_string(cell) + "-" + kind + std::to_string(n);
   one.zone = site;
   one.kind = kind;
-  one.entry.cell = static_cast<std::uint16_t>(cell);
-  one.entry.phase = one.listed = phase;
+  one.endpoint.cell = static_cast<std::uint16_t>(cell);
+  one.endpoint.state = one.listed_state = phase;
   return one;
 }
 
@@ -129,7 +129,7 @@
       if (!one->pools)
         continue;
       const auto laid = one->pools->rights()->lay(node(name.site, static_cast<int>(name.cell), 0));
-      if (!laid.away && laid.until > one->local())
+      if (!laid.drained && laid.expires_at > one->local())
         ++by[*settings.region_of(one->site)];
     }
     return by;
--- a/tests/rules/monitor_test.cpp
+++ b/tests/rules/monitor_test.cpp
@@ -20,7 +20,7 @@
   Monitor m{limits()};
   void SetUp() override {
     for (const char* node : {"r", "r2", "w"})
-      m.listed(0s, node, Phase::ready, 0s, 10000);
+      m.listed(0s, node, EndpointState::ready, 0s, 10000);
     m.taken(100s, "q", 106s, 3);
   }
   // Every rule broken so far, as its numbers.
@@ -148,9 +148,9 @@
 }
 
 TEST_F(Watch, WorkToANodeThatDrains) {
-  for (const Phase phase : {Phase::draining, Phase::gone}) {
+  for (const EndpointState phase : {EndpointState::draining, EndpointState::removed}) {
     Monitor one(limits());
-    one.listed(0s, "r", Phase::ready, 0s);
+    one.listed(0s, "r", EndpointState::ready, 0s);
     one.taken(100s, "q", 106s, 3);
     one.listed(100s, "r", phase, 0s);
     one.sent(100s + 500ms, "q", "r", 100);
@@ -168,14 +168,14 @@
   }
 }
 TEST_F(Watch, WorkToANodeThatIsReadyAgain) {
-  m.listed(100s, "r", Phase::draining, 0s);
-  m.listed(102s, "r", Phase::ready, 0s);
+  m.listed(100s, "r", EndpointState::draining, 0s);
+  m.listed(102s, "r", EndpointState::ready, 0s);
   m.sent(103s, "q", "r", 100);
   EXPECT_EQ(broken(), "");
 }
 TEST_F(Watch, WorkToANodeOutByHand) {
   m.banned(100s, "r");
-  m.listed(100s + 100ms, "r", Phase::ready, 0s);  // whatever is listed
+  m.listed(100s + 100ms, "r", EndpointState::ready, 0s);  // whatever is listed
   m.sent(100s + 501ms, "q", "r", 100);
   EXPECT_EQ(broken(), "3");
   m.over(101s, "q", "r");
@@ -185,7 +185,7 @@
 }
 
 TEST_F(Watch, AColdNodeBeyondItsBudget) {  // 2 x 0.25 x 10,000 tokens/s x 1 s = 5,000
-  m.listed(99s, "r", Phase::ready, 99s, 10000);
+  m.listed(99s, "r", EndpointState::ready, 99s, 10000);
   const auto send = [&](const char* id, Micros at, double tokens) {
     m.taken(at, id, at + 6s, 3);
     m.sent(at, id, "r", tokens);
@@ -207,7 +207,7 @@
   Limits l = limits();
   l.siblings = 2;
   m.limit(l);
-  m.listed(99s, "r", Phase::ready, 99s, 10000);
+  m.listed(99s, "r", EndpointState::ready, 99s, 10000);
   m.taken(100s, "a", 106s, 3);
   m.sent(100s, "a", "r", 1500);
   m.sent(100s, "q", "r", 1500);
@@ -216,12 +216,12 @@
 TEST_F(Watch, ANewProcessStartsItsWindowAnew) {
   m.sent(100s, "q", "r", 9000);
   m.over(100s, "q", "r");
-  m.listed(100s, "r", Phase::ready, 100s, 10000);
+  m.listed(100s, "r", EndpointState::ready, 100s, 10000);
   m.sent(100s, "q", "r", 9000);
   EXPECT_EQ(broken(), "");
 }
 TEST_F(Watch, NoBudgetWithoutACapacity) {
-  m.listed(99s, "r", Phase::ready, 99s);
+  m.listed(99s, "r", EndpointState::ready, 99s);
   m.sent(100s, "q", "r", 1e6);
   m.over(100s, "q", "r");
   m.sent(100s, "q", "r", 1e6);
@@ -337,8 +337,10 @@
   }
 };
 TEST_F(Repeats, AsTheClassAllows) {
-  const Terms once{Effect::unsafe, Group::all, 0s}, all{Effect::keyed, Group::all, 2s},
-      zone{Effect::keyed, Group::zone, 2s}, cell{Effect::keyed, Group::cell, 2s};
+  const Terms once{Idempotency::not_idempotent, RetryScope::all, 0s},
+      all{Idempotency::idempotent_with_key, RetryScope::all, 2s},
+      zone{Idempotency::idempotent_with_key, RetryScope::zone, 2s},
+      cell{Idempotency::idempotent_with_key, RetryScope::cell, 2s};
   EXPECT_EQ(after({}, "w3", 4s), "");
   EXPECT_NE(after(once, "w", 1s), "");
   EXPECT_EQ(after(once, "w", 1s, false), "");
@@ -360,10 +362,10 @@
     return fresh.breaches().size();
   };
   EXPECT_EQ(refused({}, true), 0u);
-  EXPECT_EQ(refused({Effect::unsafe, Group::all, 0s}, false), 0u);
-  EXPECT_EQ(refused({Effect::unsafe, Group::all, 0s}, true), 1u);
-  EXPECT_EQ(refused({Effect::keyed, Group::all, 2s}, true), 0u);
-  EXPECT_EQ(refused({Effect::keyed, Group::cell, 2s}, true), 1u);
+  EXPECT_EQ(refused({Idempotency::not_idempotent, RetryScope::all, 0s}, false), 0u);
+  EXPECT_EQ(refused({Idempotency::not_idempotent, RetryScope::all, 0s}, true), 1u);
+  EXPECT_EQ(refused({Idempotency::idempotent_with_key, RetryScope::all, 2s}, true), 0u);
+  EXPECT_EQ(refused({Idempotency::idempotent_with_key, RetryScope::cell, 2s}, true), 1u);
 }
 
 TEST_F(Watch, TimeNeverGoesBack) {
--- a/tests/tiers/map_test.cpp
+++ b/tests/tiers/map_test.cpp
@@ -14,7 +14,7 @@
 constexpr Key session = 77, opening = 99;
 
 bool hints(Net& net, std::size_t i, const Node& device, Key key = session) {
-  for (const auto& hint : net.at(i).map()->kept(key, 0))
+  for (const auto& hint : net.at(i).map()->cache_locations(key, 0))
     if (hint.node == device.name)
       return true;
   return false;
@@ -26,7 +26,7 @@
   return true;
 }
 void see(Net& net, std::size_t i, std::size_t device, Key key = session, double tokens = 8000) {
-  net.at(i).kept(net.device(device), key, 0, tokens, 0, net.now());
+  net.at(i).on_prefix_cached(net.device(device), key, 0, tokens, 0, net.now());
 }
 
 class OnNets : public testing::TestWithParam<int> {
@@ -67,12 +67,12 @@
     see(net, i, 3), see(net, i, 4, session + 1);
   ASSERT_LT(net.until([&] { return all_hint(net, net.device(3), true); }, seconds(60)), seconds(40));
   const auto since = net.now();
-  net.at(5).lost(net.device(3), net.now());
+  net.at(5).on_cache_lost(net.device(3), net.now());
   net.run(seconds(1));
   EXPECT_TRUE(all_hint(net, net.device(3), false));
   for (std::size_t i = 0; i < net.size(); ++i) {
-    EXPECT_EQ(net.at(i).map()->lost(net.device(3)) >= since, i != 5) << i;
-    EXPECT_EQ(net.at(i).map()->lost(net.device(4)), Micros{});
+    EXPECT_EQ(net.at(i).map()->cache_lost_at(net.device(3)) >= since, i != 5) << i;
+    EXPECT_EQ(net.at(i).map()->cache_lost_at(net.device(4)), Micros{});
   }
   net.run(seconds(12));  // nor is it credited again by repeats of what was seen before
   EXPECT_TRUE(all_hint(net, net.device(3), false));
@@ -97,7 +97,7 @@
     if (listed)
       net.restart_device(3, [](std::size_t i) { return i % 2 == 0; });
     else
-      net.at(0).lost(net.device(3), net.now()), net.at(1).lost(net.device(3), net.now());
+      net.at(0).on_cache_lost(net.device(3), net.now()), net.at(1).on_cache_lost(net.device(3), net.now());
     net.run(seconds(3));
     if (!listed)
       for (const std::size_t i : {0, 1, 2, 3})
@@ -123,7 +123,7 @@
   const auto known = [&](std::size_t i) {
     std::size_t all = 0;
     for (Key key = 1; key <= 200; ++key)
-      all += !net.at(i).map()->kept(1000 + key, 0).empty();
+      all += !net.at(i).map()->cache_locations(1000 + key, 0).empty();
     return all;
   };
   ASSERT_GE(known(4), 195u);
@@ -153,14 +153,14 @@
   Net net(with);
   for (int step = 0; step < 50; ++step) {
     for (std::size_t i = 0; i < net.size(); ++i)
-      net.at(i).kept(net.device((i + static_cast<std::size_t>(step) * (i % 3)) % 40), 0, opening, 2000, 800,
-                     net.now());
+      net.at(i).on_prefix_cached(net.device((i + static_cast<std::size_t>(step) * (i % 3)) % 40), 0, opening,
+                                 2000, 800, net.now());
     net.run(milliseconds(400));
   }
   net.run(seconds(15));
   std::set<std::string> first;
   for (std::size_t i = 0; i < net.size(); ++i) {
-    const auto kept = net.at(i).map()->kept(0, opening);
+    const auto kept = net.at(i).map()->cache_locations(0, opening);
     ASSERT_FALSE(kept.empty());
     EXPECT_LE(kept.size(), holders_bound);
     for (const auto& one : kept) {
@@ -184,11 +184,11 @@
   for (std::size_t i = 4; i < 12; i += 2) {
     std::size_t misled = 0;
     for (Key key = 1; key <= 40; ++key) {
-      const auto kept = net.at(i).map()->kept(key, 0);
+      const auto kept = net.at(i).map()->cache_locations(key, 0);
       if (kept.empty() || kept.front().confidence < 0.05)
         continue;
       ++misled;
-      net.at(i).found(net.device(9), key, 0, 0, net.now());
+      net.at(i).on_cache_hit(net.device(9), key, 0, 0, net.now());
       net.run(milliseconds(450));
       EXPECT_FALSE(hints(net, i, net.device(9), key));
     }
@@ -217,12 +217,12 @@
       packer.add(names.of(net.device(d).name), {10'000'000, std::uint64_t{count} << 32});
     net.say(2, 8, packer.bytes());
     net.run(milliseconds(100));
-    const auto lost = net.at(8).map()->lost(net.device(0));
+    const auto lost = net.at(8).map()->cache_lost_at(net.device(0));
     if (lost != last)
       ++voids, last = lost;
     if (count == 30) {  // nodes' counts disprove two of them
-      net.at(8).found(net.device(0), 500, 0, 8000, net.now());
-      net.at(8).found(net.device(1), 501, 0, 8000, net.now());
+      net.at(8).on_cache_hit(net.device(0), 500, 0, 8000, net.now());
+      net.at(8).on_cache_hit(net.device(1), 501, 0, 8000, net.now());
     }
   }
   EXPECT_EQ(voids, 1u);
--- a/tests/tiers/model.cpp
+++ b/tests/tiers/model.cpp
@@ -38,7 +38,8 @@
         const auto router = random() % routers;
         std::size_t device = session * 7919 % options.devices;
         const double tokens = 1000 + static_cast<double>(session % 7) * 1000;
-        net.at(router).kept(net.device(device), session + 100000, 1 + session % 20, tokens, 800, net.now());
+        net.at(router).on_prefix_cached(net.device(device), session + 100000, 1 + session % 20, tokens, 800,
+                                        net.now());
       }
       net.run(milliseconds(100));
     }
@@ -60,11 +61,11 @@
   for (int k = 0; k < 5; ++k) {
     const Key fresh = 1u << 30 | static_cast<unsigned>(k);
     const auto from = random() % routers;
-    net.at(from).kept(net.device(0), fresh, 0, 8000, 0, net.now());
+    net.at(from).on_prefix_cached(net.device(0), fresh, 0, 8000, 0, net.now());
     times.push_back(net.until(
         [&] {
           for (std::size_t i = from % sites; i < routers; i += sites)
-            if (net.at(i).map()->kept(fresh, 0).empty())
+            if (net.at(i).map()->cache_locations(fresh, 0).empty())
               return false;
           return true;
         },
@@ -74,11 +75,11 @@
   // A loss of kept text, until no router's map credits the device and each has told its core.
   const auto lossy = net.now();
   const std::size_t noticing = 1 % routers;
-  net.at(noticing).lost(net.device(0), net.now());
+  net.at(noticing).on_cache_lost(net.device(0), net.now());
   const auto voided = net.until(
       [&] {
         for (std::size_t i = 0; i < routers; ++i)
-          if (i != noticing && net.at(i).map()->lost(net.device(0)) < lossy)
+          if (i != noticing && net.at(i).map()->cache_lost_at(net.device(0)) < lossy)
             return false;
         return true;
       },
@@ -116,7 +117,8 @@
     for (int liar = 0; liar < liars; ++liar)
       for (int k = 0; step % 20 == 0 && k < 50; ++k)
         net.at(static_cast<std::size_t>(liar))
-            .kept(net.device(39), 0, k == 0 ? opening : 1000 + static_cast<Key>(k), 1e6, 1e6, net.now());
+            .on_prefix_cached(net.device(39), 0, k == 0 ? opening : 1000 + static_cast<Key>(k), 1e6, 1e6,
+                              net.now());
     const auto c = static_cast<std::size_t>(liars) + random() % (24 - static_cast<std::size_t>(liars));
     ++arrivals;
     std::vector<std::size_t> order;
@@ -126,7 +128,7 @@
     std::sort(order.begin(), order.end(), [&](auto a, auto b) { return own[c][a] > own[c][b]; });
     std::size_t hinted = 40;
     if (with_map)
-      for (const auto& hint : net.at(c).map()->kept(0, opening)) {
+      for (const auto& hint : net.at(c).map()->cache_locations(0, opening)) {
         if (hint.confidence < 0.1)
           continue;
         const auto device = std::stoul(hint.node.substr(1));
@@ -147,10 +149,10 @@
       ++whole, own[c].erase(chosen);
     if (!there && chosen == 39 && liars)
       ++lied;
-    net.at(c).found(net.device(chosen), 0, opening, there ? 800 : 0, net.now());
+    net.at(c).on_cache_hit(net.device(chosen), 0, opening, there ? 800 : 0, net.now());
     kept[chosen] = own[c][chosen] = net.now();
     devices.insert(chosen);
-    net.at(c).kept(net.device(chosen), 0, opening, 2000, 800, net.now());
+    net.at(c).on_prefix_cached(net.device(chosen), 0, opening, 2000, 800, net.now());
   }
   std::printf("%-36s seed %2llu  arrivals %d  whole reads %4d  devices %2zu  misled by a liar %d\n", what,
               static_cast<unsigned long long>(seed), arrivals, whole, devices.size(), lied);
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -14,7 +14,7 @@
   bytes_in_.assign(count, 0);
   for (std::size_t j = 0; j < options_.devices; ++j) {
     Node node;
-    node.id = static_cast<HostId>(j + 1);
+    node.id = static_cast<EndpointId>(j + 1);
     node.name = numbered("d", j);
     node.zone = site(j);
     node.listed_start = std::chrono::seconds(10);
@@ -31,7 +31,7 @@
   for (std::size_t s = 0; s < options_.sites; ++s)
     options.regions[numbered("r", s % options_.regions)].push_back(numbered("s", s));
   auto extension = std::make_unique<Tiers>(options, options_.seed + i);
-  extension->listed(lists_[i], now_);
+  extension->on_endpoints(lists_[i], now_);
   begins_[i] = now_ + Micros(static_cast<long>(random_() % static_cast<std::uint64_t>(tick.count())));
   return extension;
 }
@@ -122,7 +122,7 @@
       continue;
     lists_[i][j] = devices_[j];
     if (!dead_[i])
-      extensions_[i]->listed(lists_[i], now_);
+      extensions_[i]->on_endpoints(lists_[i], now_);
   }
 }
 
--- a/tests/wire/adapter_test.cpp
+++ b/tests/wire/adapter_test.cpp
@@ -43,8 +43,8 @@
 Request request(RequestId id) {
   Request r;
   r.id = id;
-  r.budget = Micros(6000000);
-  r.prompt = 1000;
+  r.time_budget = Micros(6000000);
+  r.prompt_tokens = 1000;
   return r;
 }
 
@@ -55,7 +55,7 @@
 }
 
 TEST(Adapter, CutFrameEndsItWithOneLineAndNoReply) {
-  const std::string whole = encode_batch({Micros(1), {{1, Alarm{1}}}});
+  const std::string whole = encode_batch({Micros(1), {{1, TimerFired{1}}}});
   for (const std::string& input :
        {whole.substr(0, 3), whole.substr(0, 10), whole.substr(0, whole.size() - 1)}) {
     const Ran result = run(input);
@@ -66,8 +66,10 @@
 }
 
 TEST(Adapter, InstancesDecideApartAndRestartInOneBatch) {
-  const HostList list{
-      ListKind::cached, 1, {{5, 0, 0, 0, Phase::ready, 1, {}}, {6, 0, 1, 0, Phase::ready, 1, {}}}};
+  const EndpointListUpdate list{
+      EndpointListKind::from_cache,
+      1,
+      {{5, 0, 0, 0, EndpointState::ready, 1, {}}, {6, 0, 1, 0, EndpointState::ready, 1, {}}}};
   const Batch batch{Micros(1000),
                     {{1, Create{1, settings_text}},
                      {1, list},
@@ -84,9 +86,9 @@
     if (const auto* send = std::get_if<Send>(&record.body)) {
       sent = true;
       EXPECT_EQ(record.dispatcher, 1u);
-      EXPECT_EQ(send->host, 5u);
+      EXPECT_EQ(send->endpoint, 5u);
     }
-    if (std::holds_alternative<Refuse>(record.body)) {
+    if (std::holds_alternative<RejectRequest>(record.body)) {
       refused = true;
       EXPECT_EQ(record.dispatcher, 2u) << "it has no list";
     }
--- a/tests/wire/settings_test.cpp
+++ b/tests/wire/settings_test.cpp
@@ -24,18 +24,18 @@
                      "accounts.0.quota-rps=20.0\nreport.columns=active,x0\nlimits.cancel=true\n"
                      "extra.report-x0=share_of_memory_that_is_held\ndiscovery=on_request\nnew.key=anything");
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].effect, Effect::keyed);
-  EXPECT_EQ(s.classes[0].group, Group::zone);
-  EXPECT_EQ(s.classes[0].window, Micros(5000000));
-  EXPECT_EQ(s.classes[0].aim_per_1000_tokens, Micros(40000));
-  EXPECT_EQ(s.kind_role, (std::vector<Role>{Role::read, Role::write, Role::both}));
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::idempotent_with_key);
+  EXPECT_EQ(s.classes[0].retry_scope, RetryScope::zone);
+  EXPECT_EQ(s.classes[0].retry_window, Micros(5000000));
+  EXPECT_EQ(s.classes[0].latency_objective_per_1000_tokens, Micros(40000));
+  EXPECT_EQ(s.kind_role, (std::vector<Role>{Role::prefill, Role::decode, Role::mixed}));
   EXPECT_EQ(s.tenants.at(0).quota_rps, 20);
   EXPECT_EQ(s.report_columns, (std::vector<std::string>{"active", "x0"}));
   EXPECT_TRUE(s.report_x0_is_memory);
-  EXPECT_TRUE(s.may_cancel);
-  EXPECT_FALSE(s.second_copies);
+  EXPECT_TRUE(s.cancellation_allowed);
+  EXPECT_FALSE(s.hedging_allowed);
   EXPECT_TRUE(s.discovery_on_request);
-  EXPECT_EQ(s.fall_multiple, 4.0);
+  EXPECT_EQ(s.overload_factor, 4.0);
 }
 
 TEST(Settings, MissingWithoutASafeDefaultIsNamed) {
--- a/tests/wire/wire_test.cpp
+++ b/tests/wire/wire_test.cpp
@@ -29,18 +29,18 @@
   ASSERT_EQ(batch.records.size(), 3u);
   const auto& query = std::get<Request>(batch.records[0].body);
   EXPECT_EQ(batch.records[0].dispatcher, 3u);
-  EXPECT_EQ(query.budget, Micros(240000));
-  EXPECT_EQ(query.prompt, 1800.f);
-  EXPECT_EQ(query.shared_prefix, 1200.f);
-  EXPECT_EQ(query.max_output, 256.f);
+  EXPECT_EQ(query.time_budget, Micros(240000));
+  EXPECT_EQ(query.prompt_tokens, 1800.f);
+  EXPECT_EQ(query.shared_prefix_tokens, 1200.f);
+  EXPECT_EQ(query.max_output_tokens, 256.f);
   EXPECT_EQ(query.flags, 1);
-  EXPECT_EQ(std::get<Alarm>(batch.records[1].body).cookie, 77u);
+  EXPECT_EQ(std::get<TimerFired>(batch.records[1].body).timer_id, 77u);
   EXPECT_EQ(batch.records[2].dispatcher, 5u);
 }
 
 TEST(Wire, EncodesAWorkedReply) {
   const Reply reply{{3, Send{0x000bfebb5d3a91c4, Micros(80000), 0x03124a07}},
-                    {3, Sleep{77, Micros(500000)}},
+                    {3, StartTimer{77, Micros(500000)}},
                     {3, Log{"two servers known"}}};
   EXPECT_EQ(encode_reply(reply), bytes("03000000 4e000000"
                                        "0a 14000000 03000000 c4913a5dbbfe0b00 80380100 074a1203"
@@ -57,13 +57,15 @@
   Batch batch{Micros(123456789012), {}};
   batch.records = {{1, Create{42, "a=b\n"}},
                    {1, Shutdown{}},
-                   {1, HostList{ListKind::delta, 7, {{5, 1, 2, 3, Phase::draining, 1.5f, Micros(99)}}}},
+                   {1, EndpointListUpdate{EndpointListKind::incremental,
+                                          7,
+                                          {{5, 1, 2, 3, EndpointState::draining, 1.5f, Micros(99)}}}},
                    {1, Request{9, 1, 2, 3, Micros(4), Micros(5), 6, 7.f, 8.f, 9.f, 16}},
-                   {1, First{9, 5, 1, Micros(77)}},
-                   {1, PlaceNote{9, 5, 1, 0.f, 2}},
-                   {1, Completed{9, Outcome::read, false, Micros(8), 5, 100, 1, {1.f, 0.5f}}},
-                   {1, Abandoned{9}},
-                   {1, Alarm{3}},
+                   {1, FirstTokenReceived{9, 5, 1, Micros(77)}},
+                   {1, ReservationUpdate{9, 5, 1, 0.f, 2}},
+                   {1, AttemptCompleted{9, Outcome::prefill_done, false, Micros(8), 5, 100, 1, {1.f, 0.5f}}},
+                   {1, ClientDisconnected{9}},
+                   {1, TimerFired{3}},
                    {1, HealthResult{5, Outcome::ok, Micros(6), {2.f}}},
                    {1, PeerMessage{2, "hi"}}};
   const std::string frame = encode_batch(batch);
@@ -72,26 +74,26 @@
   for (std::size_t i = 0; i < batch.records.size(); ++i)
     EXPECT_EQ(again.records[i].body.index(), batch.records[i].body.index());
   EXPECT_EQ(encode_batch(again), frame);
-  EXPECT_EQ(std::get<HostList>(again.records[2].body).hosts.at(0).started, Micros(99));
-  EXPECT_EQ(std::get<Completed>(again.records[6].body).load, (std::vector<float>{1.f, 0.5f}));
+  EXPECT_EQ(std::get<EndpointListUpdate>(again.records[2].body).endpoints.at(0).started_at, Micros(99));
+  EXPECT_EQ(std::get<AttemptCompleted>(again.records[6].body).load_report, (std::vector<float>{1.f, 0.5f}));
 }
 
 TEST(Wire, EveryActionGoesThereAndBack) {
   const Reply reply{{1, Broken{"b"}},
                     {1, Send{1, Micros(2), 3}},
-                    {1, Refuse{1, Micros(2)}},
-                    {1, Fail{1}},
-                    {1, Cancel{1, 2}},
-                    {1, Sleep{1, Micros(2)}},
+                    {1, RejectRequest{1, Micros(2)}},
+                    {1, FailRequest{1}},
+                    {1, CancelAttempt{1, 2}},
+                    {1, StartTimer{1, Micros(2)}},
                     {1, Probe{1}},
-                    {1, HangUp{1}},
-                    {1, Tell{1, "x"}},
+                    {1, CloseIdleConnections{1}},
+                    {1, SendPeerMessage{1, "x"}},
                     {1, Log{"y"}},
                     {1, Subscribe{true}},
                     {1, Snapshot{}},
-                    {1, Evict{1}},
-                    {1, SetAside{1, 2}},
-                    {1, Release{1}}};
+                    {1, EvictReservation{1}},
+                    {1, ReserveCapacity{1, 2}},
+                    {1, ReleaseReservation{1}}};
   const std::string frame = encode_reply(reply);
   const Reply again = decode_reply(frame);
   ASSERT_EQ(again.size(), reply.size());
@@ -106,7 +108,7 @@
                          "c8 01000000 ff"
                          "5a 0a000000 03000000 4d000000 ffff"));
   ASSERT_EQ(batch.records.size(), 1u);
-  EXPECT_EQ(std::get<Alarm>(batch.records[0].body).cookie, 77u);
+  EXPECT_EQ(std::get<TimerFired>(batch.records[0].body).timer_id, 77u);
 }
 
 TEST(Wire, DamagedFramesAreNamed) {
