--- /dev/null
+++ b/tests/core/class_test_support.h
@@ -0,0 +1,71 @@
+// What the unit tests of the classes behind Router share: a clock that stands still, a transport that does
+// nothing, and a registry of prefill nodes (their names begin with r) and decode nodes (with w).
+#pragma once
+
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "base/log.h"
+#include "core/router/node_registry.h"
+#include "core/router/router_context.h"
+
+namespace lemonroute::test {
+
+using namespace std::chrono_literals;
+
+struct ManualClock : Clock {
+  Micros at = 1h;
+  Micros now() const override { return at; }
+};
+
+struct IdleTransport : NodeTransport {
+  std::unique_ptr<Call> start_attempt(const Node&, const Prompt&, Micros, AttemptHandler&) override {
+    return nullptr;
+  }
+  std::unique_ptr<Call> release_reservation(const Node&, const std::string&,
+                                            std::function<void(bool)>) override {
+    return nullptr;
+  }
+  std::unique_ptr<Call> probe(const Node&, std::function<void(const AttemptResult&)>) override {
+    return nullptr;
+  }
+  void close_idle_connections(const Node&) override {}
+  void set_limits(const Limits&) override {}
+};
+
+inline ListedNode listed_node(const std::string& name, EndpointState state = EndpointState::ready) {
+  ListedNode node;
+  node.name = name;
+  node.address = "127.0.0.1:1";
+  node.zone = "a";
+  node.kind = name.substr(0, 1);
+  node.state = state;
+  return node;
+}
+
+struct ClassFixture {
+  ClassFixture() {
+    logging::set_level(logging::Level::error);
+    settings.kind_role = {Role::prefill, Role::decode};
+    settings.reservation_release_timeout = 800ms;
+  }
+  EndpointListUpdate list(const std::vector<std::string>& names) {
+    std::vector<ListedNode> listed;
+    for (const std::string& name : names)
+      listed.push_back(listed_node(name));
+    return nodes.update(EndpointListKind::full, ++version, listed);
+  }
+  EndpointId id(const std::string& name) const { return nodes.id_of(name); }
+
+  Settings settings;
+  ManualClock clock;
+  Timers timers;
+  IdleTransport transport;
+  std::uint32_t version = 0;
+  RouterContext context{settings, clock, timers, transport, [] {}};
+  NodeRegistry nodes{settings, {"a"}, {"r", "w"}, clock};
+};
+
+}  // namespace lemonroute::test
