--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -1,73 +1,87 @@
-// What a process tells its successor of the nodes, and what the successor makes of it.
+// StreamHandoff: what a process tells its successor of the nodes, and what the successor makes of it.
 #include <algorithm>
+#include <map>
+#include <string>
+#include <utility>
 
 #include "base/log.h"
 #include "core/load_report.h"
-#include "core/router.h"
+#include "core/router/stream_handoff.h"
 
 namespace lemonroute {
+
 namespace {
 
-// Loads change with the streams that begin and end; one told of later says less than knowing nothing.
-constexpr Micros report_counts = std::chrono::seconds(3);
+// Loads change with the streams that begin and end: an older report misleads more than none.
+constexpr Micros max_report_age = std::chrono::seconds(3);
 
 }  // namespace
 
-HandoverState Router::handover_state() const {
+NodeReport StreamHandoff::report_of(const Node& node) const {
+  NodeReport report;
+  report.node = node.name;
+  // A report from before the node's start is one of another process.
+  const Micros age = context_.now() - node.load_reported_at;
+  const bool of_this_process = node.load_reported_at > node.endpoint.started_at;
+  if (!node.load_report.empty() && of_this_process && age <= max_report_age) {
+    report.load_report = node.load_report;
+    report.age = age;
+  }
+  return report;
+}
+
+HandoverState StreamHandoff::handover_state() const {
   HandoverState handover_state;
-  const Micros now = clock_.now();
-  const auto avoided = scheduler_.ejected_endpoints(now);
-  auto learned_rates = scheduler_.learned_rates(now);
+  const Micros now = context_.now();
+  const std::vector<EndpointId> ejected = scheduler_.ejected_endpoints(now);
+  LearnedRates learned_rates = scheduler_.learned_rates(now);
   handover_state.prefill_rates = std::move(learned_rates.prefill_rates);
-  const std::map<EndpointId, double> sent(learned_rates.work_rates.begin(), learned_rates.work_rates.end());
-  for (const auto& [id, node] : known_nodes_) {
+  const std::map<EndpointId, double> work_rates(learned_rates.work_rates.begin(),
+                                                learned_rates.work_rates.end());
+  for (const auto& [id, node] : nodes_.all()) {
     if (!node.ready())
       continue;
-    NodeReport one{node.name, {}, {}, std::find(avoided.begin(), avoided.end(), id) != avoided.end()};
-    // A report from before the node's start is another process's.
-    if (!node.load_report.empty() && node.load_reported_at > node.endpoint.started_at &&
-        now - node.load_reported_at <= report_counts) {
-      one.load_report = node.load_report;
-      one.age = now - node.load_reported_at;
-    }
-    if (const auto found = sent.find(id); found != sent.end())
-      one.work_rate = found->second;
-    if (one.ejected || !one.load_report.empty() || one.work_rate > 0)
-      handover_state.nodes.push_back(std::move(one));
+    NodeReport report = report_of(node);
+    report.ejected = std::find(ejected.begin(), ejected.end(), id) != ejected.end();
+    if (const auto work_rate = work_rates.find(id); work_rate != work_rates.end())
+      report.work_rate = work_rate->second;
+    if (report.ejected || !report.load_report.empty() || report.work_rate > 0)
+      handover_state.nodes.push_back(std::move(report));
   }
   return handover_state;
 }
 
-// It may be a little old, or of a node that is no longer listed as it was. Reports are told to the module
-// like the outcome of one probe: what the nodes themselves say next outweighs them.
-void Router::apply_handover_state(const HandoverState& handover_state) {
+bool StreamHandoff::is_current(const NodeReport& report, const Node& node, Micros reported_at) {
+  const bool fresh = report.age >= Micros(0) && report.age <= max_report_age;
+  const bool newest = reported_at > std::max(node.endpoint.started_at, node.load_reported_at);
+  const bool tells = report.ejected || !report.load_report.empty();
+  return fresh && newest && tells;
+}
+
+// The Scheduler hears of a report as of one health check, so that what the nodes themselves say next
+// outweighs it.
+void StreamHandoff::apply_handover_state(const HandoverState& handover_state) {
   LearnedRates learned_rates{handover_state.prefill_rates, {}};
-  std::size_t reports = 0;
-  for (const auto& one : handover_state.nodes) {
-    const auto known = endpoint_ids_.find(one.node);
-    if (known == endpoint_ids_.end())
-      continue;
-    Node& node = known_nodes_[known->second];
-    if (!node.ready())
+  std::size_t applied = 0;
+  for (const NodeReport& report : handover_state.nodes) {
+    const Node* node = nodes_.find(report.node);
+    if (!node || !node->ready())
       continue;
-    if (one.work_rate > 0)
-      learned_rates.work_rates.emplace_back(node.id, one.work_rate);
-    const Micros at = clock_.now() - one.age;
-    const bool counts = one.age >= Micros(0) && one.age <= report_counts &&
-                        at > std::max(node.endpoint.started_at, node.load_reported_at);
-    if (!counts || (one.load_report.empty() && !one.ejected))
+    const EndpointId id = node->id;
+    if (report.work_rate > 0)
+      learned_rates.work_rates.emplace_back(id, report.work_rate);
+    const Micros reported_at = context_.now() - report.age;
+    if (!is_current(report, *node, reported_at))
       continue;
-    if (!one.load_report.empty()) {
-      node.load_report = one.load_report;
-      node.load_reported_at = at;
-    }
-    ++reports;
-    enqueue(HealthResult{node.id, one.ejected ? Outcome::error : Outcome::ok, Micros(0),
-                         parse_load(one.load_report, settings_.report_columns)});
+    if (!report.load_report.empty())
+      nodes_.record_load_report(id, report.load_report, reported_at);
+    ++applied;
+    events_.enqueue(HealthResult{id, report.ejected ? Outcome::error : Outcome::ok, Micros(0),
+                                 parse_load(report.load_report, context_.settings.report_columns)});
   }
-  scheduler_.adopt_learned_rates(clock_.now(), learned_rates);
-  logging::info() << "the other process told of " << handover_state.nodes.size() << " nodes, " << reports
-                  << " counted";
+  scheduler_.adopt_learned_rates(context_.now(), learned_rates);
+  logging::info() << "handover state applied: nodes=" << handover_state.nodes.size()
+                  << " reports=" << applied;
 }
 
 }  // namespace lemonroute
--- /dev/null
+++ b/src/core/router/release_targets.h
@@ -0,0 +1,34 @@
+/// \file
+/// Which node gets the next release call. Used on the serving thread only.
+#pragma once
+
+#include "core/router/node_registry.h"
+#include "core/router/pending_release.h"
+#include "core/router/release_schedule.h"
+#include "core/router/router_context.h"
+
+namespace lemonroute {
+
+/// Chooses the targets of release calls: the holders, and in between other nodes, each of which accepts the
+/// call as well. Stateless.
+class ReleaseTargets {
+ public:
+  /// All arguments outlive this object.
+  ReleaseTargets(const RouterContext& context, const NodeRegistry& nodes, const ReleaseSchedule& schedule);
+
+  /// Returns the node to call next, or null if none can be called. Valid until the endpoint list changes.
+  [[nodiscard]] const Node* next_target(const PendingRelease& pending) const;
+  /// Returns the best ready node that is no holder, or null without one.
+  [[nodiscard]] const Node* other_target(const PendingRelease& pending) const;
+
+ private:
+  /// Returns the listed holder with the fewest calls, or null if none is listed.
+  [[nodiscard]] const Node* holder_target(const PendingRelease& pending) const;
+  [[nodiscard]] int contact_rank(EndpointId endpoint) const;
+
+  const RouterContext& context_;
+  const NodeRegistry& nodes_;
+  const ReleaseSchedule& schedule_;
+};
+
+}  // namespace lemonroute
--- /dev/null
+++ b/src/core/router/reservation_releaser.cpp
@@ -0,0 +1,191 @@
+#include "core/router/reservation_releaser.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "base/log.h"
+
+namespace lemonroute {
+
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr Micros stream_check_interval = milliseconds(250);  // while a stream has to end first
+constexpr Micros release_lifetime = seconds(30);             // a network partition may last so long
+constexpr Micros clock_error = milliseconds(500);  // between the clocks of a node and of this process
+
+}  // namespace
+
+ReservationReleaser::ReservationReleaser(const RouterContext& context, RequestTable& requests,
+                                         NodeRegistry& nodes)
+    : context_(context),
+      requests_(requests),
+      nodes_(nodes),
+      schedule_(context, nodes),
+      targets_(context, nodes, schedule_) {}
+
+Micros ReservationReleaser::release_due_at(Micros idle_since) const {
+  return schedule_.release_due_at(idle_since);
+}
+
+void ReservationReleaser::set_shutdown_deadline(Micros at) {
+  schedule_.set_shutdown_deadline(at);
+  for (PendingRelease& pending : releases_)
+    schedule_.limit_to_shutdown(pending);
+}
+
+void ReservationReleaser::release_reservation(RequestState& request) {
+  std::vector<ReservationHolder> holders{request.reservation};
+  for (const ReservationHolder& orphaned : std::exchange(request.orphaned_reservations, {}))
+    if (orphaned.endpoint != request.reservation.endpoint)
+      holders.push_back(orphaned);
+  start_release(request, holders);
+  request.reservation_idle_since.reset();
+  request.has_reservation = false;
+}
+
+void ReservationReleaser::release_orphaned(RequestState& request) {
+  start_release(request, std::exchange(request.orphaned_reservations, {}));
+  request.reservation_idle_since.reset();
+}
+
+void ReservationReleaser::release_untaken(RequestState& request) {
+  std::vector<ReservationHolder> holders = std::exchange(request.orphaned_reservations, {});
+  if (request.has_reservation)
+    holders.push_back(request.reservation);
+  if (!holders.empty())
+    start_release(request, holders);
+}
+
+void ReservationReleaser::release_cancelled_prefill(RequestState& request, AttemptState& attempt) {
+  if (attempt.role == Role::decode || request.has_reservation)
+    return;
+  attempt.release_ordered = true;
+  request.forget_orphaned_reservation(attempt.endpoint);
+  request.orphaned_reservations.push_back(
+      {attempt.endpoint, attempt.process_started_at, context_.now(), true});
+  release_orphaned(request);
+  const auto pending = std::find_if(releases_.begin(), releases_.end(),
+                                    [&](const auto& one) { return one.request == request.id; });
+  if (pending == releases_.end())
+    return;
+  // The prefill node is late, so another node is called beside it.
+  const Node* other = targets_.other_target(*pending);
+  if (other && make_room_for_release(*pending))
+    send_release(*pending, *other);
+}
+
+void ReservationReleaser::start_release(const RequestState& request,
+                                        const std::vector<ReservationHolder>& holders) {
+  const auto found = std::find_if(releases_.begin(), releases_.end(),
+                                  [&](const auto& one) { return one.id == request.prompt.id; });
+  PendingRelease& pending = found == releases_.end() ? releases_.emplace_back() : *found;
+  pending.timer.cancel();
+  pending.request = request.id;
+  pending.id = request.prompt.id;
+  for (const ReservationHolder& holder : holders) {
+    std::erase_if(pending.holders, [&](const auto& one) { return one.endpoint == holder.endpoint; });
+    pending.holders.push_back(holder);
+  }
+  // The holders of an earlier release come last.
+  std::rotate(pending.holders.begin(), pending.holders.end() - static_cast<std::ptrdiff_t>(holders.size()),
+              pending.holders.end());
+  pending.since = context_.now();
+  pending.expires_at = pending.since + release_lifetime;
+  pending.due_at = request.reservation_idle_since.value_or(pending.since) + schedule_.release_timeout();
+  schedule_.limit_to_shutdown(pending);
+  pending.tries = 0;
+  pending.calls_by_endpoint.clear();
+  pending.arrived = false;
+  try_release(pending);
+}
+
+void ReservationReleaser::try_release(PendingRelease& pending) {
+  expire_release_calls(pending);
+  drop_restarted_holders(pending);
+  if (pending.holders.empty())
+    return drop_release(pending);
+  const Micros now = context_.now();
+  if (waits_for_attempt(pending))
+    return postpone_release(pending, *requests_.find(pending.request));
+  if (now >= pending.expires_at) {
+    logging::warn() << "reservation release abandoned: request=" << pending.id << " calls=" << pending.tries;
+    return drop_release(pending);
+  }
+  const Node* node = targets_.next_target(pending);
+  if (!node || waits_for_holder(pending, node->id) || !make_room_for_release(pending))
+    return schedule_release(pending, now + retry_pause);
+  send_release(pending, *node);
+  schedule_release(pending, now + schedule_.retry_interval(pending));
+}
+
+void ReservationReleaser::schedule_release(PendingRelease& pending, Micros at) {
+  pending.timer.set(context_.timers, at, [this, &pending] { try_release(pending); });
+}
+
+void ReservationReleaser::drop_release(PendingRelease& pending) {
+  releases_.remove_if([&](const PendingRelease& one) { return &one == &pending; });
+}
+
+// A release call during an attempt would take away the KV cache that the attempt is about to use. So the
+// calls wait while an attempt streams. While one awaits its result they wait until the reservation has to be
+// released whether or not that attempt has arrived at its node.
+bool ReservationReleaser::waits_for_attempt(const PendingRelease& pending) const {
+  const RequestState* request = requests_.find(pending.request);
+  if (pending.tries == 0 || !request)
+    return false;
+  if (request->is_streaming())
+    return true;
+  if (request->awaits_prefill_result())
+    return pending.arrived || context_.now() < pending.due_at - schedule_.release_timeout() / 2;
+  const bool notified = request->attempt && pending.notified_during_attempt == request->attempt->number;
+  const bool expects_attempt = notified || (request->client && request->has_reservation);
+  return expects_attempt && request->reservation_idle_since &&
+         context_.now() < schedule_.release_due_at(*request->reservation_idle_since);
+}
+
+void ReservationReleaser::postpone_release(PendingRelease& pending, const RequestState& request) {
+  const Micros now = context_.now();
+  const Micros pause = request.is_streaming() ? stream_check_interval : retry_pause;
+  pending.since += pause;  // nothing is held in the meantime
+  pending.expires_at += pause;
+  if (!request.awaits_prefill_result())
+    pending.due_at = request.reservation_idle_since.value_or(now) + schedule_.release_timeout();
+  else if (pending.arrived)
+    pending.due_at = now + schedule_.release_timeout();
+  schedule_.limit_to_shutdown(pending);
+  schedule_release(pending, now + pause);
+}
+
+// The process of a node that has restarted holds no KV cache from before. A node that has left the endpoint
+// list may still hang and complete its prefill later, so it counts as a holder for as long as a listed node
+// would.
+void ReservationReleaser::drop_restarted_holders(PendingRelease& pending) const {
+  std::erase_if(pending.holders, [&](const ReservationHolder& holder) {
+    const Node* node = nodes_.find(holder.endpoint);
+    if (!node)
+      return pending.arrived && !schedule_.notifies_other_nodes(pending);
+    const Micros started_at = node->listed_start;
+    return started_at != holder.process_started_at && started_at >= holder.since + clock_error;
+  });
+  // The node whose KV cache is being streamed has been asked for it by the decode node.
+  const RequestState* request = requests_.find(pending.request);
+  if (request && request->is_streaming() && request->has_reservation)
+    std::erase_if(pending.holders,
+                  [&](const auto& one) { return one.endpoint == request->reservation.endpoint; });
+}
+
+// Each call has a connection of its own, and so a descriptor of the process. Once the release has arrived
+// somewhere, a holder that hangs is therefore called by one release at a time.
+bool ReservationReleaser::waits_for_holder(const PendingRelease& pending, EndpointId endpoint) const {
+  if (!pending.arrived || nodes_.has_answered_since(endpoint, pending.since))
+    return false;
+  const auto calls_it = [&](const ReleaseCall& call) { return call.endpoint == endpoint; };
+  return std::any_of(releases_.begin(), releases_.end(), [&](const PendingRelease& one) {
+    return &one != &pending && std::any_of(one.calls.begin(), one.calls.end(), calls_it);
+  });
+}
+
+}  // namespace lemonroute
--- a/tests/core/play.cpp
+++ b/tests/core/play.cpp
@@ -227,7 +227,7 @@
         return;
       monitor_.banned(clock_.at, place.name);
       return at(clock_.at + draw_.up_to(2s), [this, &place] {
-        core_.undrain_node(place.name);
+        (void)core_.undrain_node(place.name);
         monitor_.unbanned(clock_.at, place.name);
       });
     }
--- a/tests/core/play.h
+++ b/tests/core/play.h
@@ -11,6 +11,7 @@
 
 #include "core/drawn.h"
 #include "core/router.h"
+#include "core/timers.h"
 #include "rules/monitor.h"
 
 namespace lemonroute::property {
--- a/tests/held/world.cpp
+++ b/tests/held/world.cpp
@@ -115,7 +115,7 @@
   request.prompt_tokens = step.tokens;
   request.max_output_tokens = 100;
   note(name + " asks router " + std::to_string(index));
-  routers_[index].core->submit(request, asker, asker.id);
+  (void)routers_[index].core->submit(request, asker, asker.id);
   if (step.span < Micros::max())
     at(clock_.at + step.span, [this, &asker] {
       if (!std::exchange(asker.open, false) || !routers_[asker.router].core)
--- a/tests/held/world.h
+++ b/tests/held/world.h
@@ -12,6 +12,7 @@
 
 #include "core/drawn.h"
 #include "core/router.h"
+#include "core/timers.h"
 #include "held/held_oracle.h"
 #include "held/schedule.h"
 
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -339,9 +339,9 @@
 // What is put back is as cold as a node that has just started, whatever discovery has heard of it.
 void put_back_cold() {
   Bed bed;
-  bed.core.drain_node("r");
+  (void)bed.core.drain_node("r");
   bed.pass(1min);
-  bed.core.undrain_node("r");
+  (void)bed.core.undrain_node("r");
   int sent = 0;
   for (int i = 0; i < 20; ++i) {
     bed.next_id = "q" + std::to_string(i);
--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -351,12 +351,12 @@
     return log.find(text) != string::npos;
   };
   assert(logged("fixed nodes"));
-  assert(log.find("node r1 is host") != string::npos);
+  assert(log.find("endpoint updated: name=r1 endpoint=") != string::npos);
   string more = alone;
   std::ofstream(config) << more << "[[fleet]]\nname = \"r2\"\naddress = \"127.0.0.1:2\"\nkind = \"reader\"\n";
   kill(child, SIGHUP);
   assert(logged("SIGHUP: the configuration is taken, 1 classes, fixed nodes"));
-  assert(logged("node r2 is host"));
+  assert(logged("endpoint updated: name=r2 endpoint="));
   std::ofstream(config) << "[settings]\nmax_attempts = 9\n";
   kill(child, SIGHUP);
   assert(logged("stays as it was: tools_alone.toml:2: settings.max_attempts"));
