--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "core/router.h"
+#include "digest.h"
 
 namespace lemonroute::once {
 
@@ -47,6 +48,7 @@
         fault(name, std::to_string(one.answers) + " answers");
     return fault_;
   }
+  const Digest& digest() const { return digest_; }  // of all that happened, with its times
 
  private:
   struct Process;
@@ -83,15 +85,19 @@
   struct Asker : Client {
     Asker(Play& play, std::string name) : play(play), name(std::move(name)) {}
     bool event(std::string_view) override { return begun = true; }
-    void finish() override { ++play.seen_.served, answer(); }
-    void refuse(Micros) override {
+    void finish() override { ++play.seen_.served, answer(0); }
+    void refuse(Micros stay_away) override {
+      play.heard(name, stay_away.count());
       if (play.book_[name].once && play.book_[name].ran)
         play.fault(name, "refused after it may have run");
-      answer();
+      answer(1);
+    }
+    void fail(Failure) override { answer(2); }
+    void cut() override { answer(3); }
+    void answer(int how) {
+      play.heard(name, how);
+      open = false, ++play.book_[name].answers;
     }
-    void fail(Failure) override { answer(); }
-    void cut() override { answer(); }
-    void answer() { open = false, ++play.book_[name].answers; }
     std::optional<PassedConnection> passable() override {
       return begun && open ? std::optional(PassedConnection{4, false}) : std::nullopt;
     }
@@ -112,6 +118,8 @@
     // file turned kinds about it may, for a node that has left: it knows its role by the new list. The core
     // knows the old one.
     void heard(const Choice& choice) {
+      play.digest_.add(play.clock_.at, choice.id, choice.stage, choice.avoided, choice.chosen,
+                       choice.refused);
       const auto name = names.find(choice.id);
       if (name == names.end() || choice.chosen == 0 || !play.kinds_fixed_)
         return;
@@ -121,6 +129,7 @@
     }
     std::unique_ptr<Call> begin(const Node& node, const Prompt& prompt, Micros, Attempt& attempt) override {
       Page& page = play.book_[prompt.id];
+      play.heard(prompt.id, node.name);
       if (page.out++ != 0)
         play.fault(prompt.id, "two attempts out at once");
       if (page.answers > 0 || page.left)
@@ -137,14 +146,17 @@
           static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
       return std::make_unique<Run>(play, prompt.id, attempt, settings.kind_role.at(kind) != Role::read);
     }
-    std::unique_ptr<Call> adopt(const Node&, const PassedConnection&, Attempt& attempt) override {
+    std::unique_ptr<Call> adopt(const Node& node, const PassedConnection&, Attempt& attempt) override {
+      play.heard(play.passing_, node.name);
       if (play.one_in(8))
         return nullptr;
       auto call = std::make_unique<Run>(play, play.passing_, attempt, true);
       call->begun = play.adopted_ = true;
       return call;
     }
-    std::unique_ptr<Call> release(const Node&, const std::string&, std::function<void(bool)>) override {
+    std::unique_ptr<Call> release(const Node& node, const std::string& id,
+                                  std::function<void(bool)>) override {
+      play.heard(id, node.name);
       return std::make_unique<Call>();  // nobody answers, and it is tried again
     }
     std::unique_ptr<Call> probe(const Node&, std::function<void(const Result&)>) override { return nullptr; }
@@ -274,7 +286,12 @@
     ended(call, call.serves && !never);
     call.attempt.done(std::move(result));
   }
+  template <class What>
+  void heard(const std::string& name, const What& what) {
+    digest_.add(clock_.at, name, what);
+  }
   void ended(const Run& call, bool may_have_run) {
+    heard(call.name, may_have_run);
     Page& page = book_[call.name];
     --page.out;
     if (may_have_run && page.once && !page.ran)
@@ -377,6 +394,7 @@
   Stopped clock_;
   std::string fault_, passing_;
   bool adopted_ = false;
+  Digest digest_;
   std::uint32_t version_ = 0;
   int asked_ = 0;
   std::map<std::string, Page> book_;
--- a/tests/held/world.cpp
+++ b/tests/held/world.cpp
@@ -90,6 +90,7 @@
 }
 
 void World::note(const std::string& line) {
+  digest_.add(clock_.at, line);
   trace_.push_back(std::to_string((clock_.at - Micros(24h)).count() / 1000) + " ms: " + line);
 }
 
--- a/tests/held/world.h
+++ b/tests/held/world.h
@@ -12,6 +12,7 @@
 
 #include "core/drawn.h"
 #include "core/router.h"
+#include "digest.h"
 #include "held/held_oracle.h"
 #include "held/schedule.h"
 
@@ -31,6 +32,7 @@
   ~World() override;
   std::string run();  // the break of the rule, in words; empty: none
   const std::vector<std::string>& trace() const { return trace_; }
+  const Digest& digest() const { return digest_; }  // of all that happened, with its times
 
  private:
   struct Sending;
@@ -111,6 +113,7 @@
   Timers timers_;
   HeldOracle oracle_;
   std::vector<std::string> trace_;
+  Digest digest_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::map<std::string, Host*> by_name_;
   std::map<std::string, std::unique_ptr<Asker>> askers_;
--- a/tests/held/world_nodes.cpp
+++ b/tests/held/world_nodes.cpp
@@ -218,6 +218,7 @@
                                      std::function<void(bool)> done) {
   auto call = std::make_unique<Releasing>(*this);
   Host& host = *by_name_.at(node.name);
+  digest_.add(clock_.at, id, node.name);
   property::Drawn draw = drawing(id);
   const auto connects = connecting(host, draw);
   const Micros patience = schedule_.settings.connect_timeout;
--- a/tests/held/world_parts.h
+++ b/tests/held/world_parts.h
@@ -42,10 +42,14 @@
   Asker(World& world, std::string name, std::size_t router)
       : world(world), name(std::move(name)), router(router) {}
   bool event(std::string_view) override { return true; }
-  void finish() override { ++world.seen_.served, open = false; }
-  void refuse(Micros) override { ++world.seen_.refused, open = false; }
-  void fail(Failure) override { ++world.seen_.failed, open = false; }
-  void cut() override { ++world.seen_.failed, open = false; }
+  void finish() override { ++world.seen_.served, answered(0, Micros(0)); }
+  void refuse(Micros stay_away) override { ++world.seen_.refused, answered(1, stay_away); }
+  void fail(Failure) override { ++world.seen_.failed, answered(2, Micros(0)); }
+  void cut() override { ++world.seen_.failed, answered(3, Micros(0)); }
+  void answered(int how, Micros stay_away) {
+    open = false;
+    world.digest_.add(world.clock_.at, name, how, stay_away);
+  }
   World& world;
   std::string name;
   std::size_t router;
--- a/tests/peers/schedule.cpp
+++ b/tests/peers/schedule.cpp
@@ -148,6 +148,7 @@
   const auto fails = [&](std::string why) {
     played.why = std::move(why);
     played.trace = world.trace();
+    played.digest = world.digest();
     return played;
   };
 
@@ -188,6 +189,7 @@
     return fails(why);
   played.held = true;
   played.trace = world.trace();
+  played.digest = world.digest();
   return played;
 }
 
--- a/tests/peers/schedule.h
+++ b/tests/peers/schedule.h
@@ -20,6 +20,7 @@
   std::size_t members = 0;
   double healed_in = 0;            // periods
   std::vector<std::string> trace;  // what was done, and the seed
+  Digest digest;                   // of that, and of all datagrams
 };
 Played play_schedule(std::uint64_t seed);
 
--- a/tests/peers/schedules_main.cpp
+++ b/tests/peers/schedules_main.cpp
@@ -1,5 +1,5 @@
 // Plays seeded schedules of faults: peers_schedules [--count N] [--from SEED] [--jobs N], or one again:
-// --seed SEED.
+// --seed SEED. The digests of so many from seed 1: --digests N.
 #include <algorithm>
 #include <atomic>
 #include <cstdlib>
@@ -33,6 +33,11 @@
       print(value, played);
       return played.held ? 0 : 1;
     }
+    if (word == "--digests") {
+      for (std::uint64_t seed = 1; seed <= value; ++seed)
+        std::cout << seed << ' ' << play_schedule(seed).digest << "\n";
+      return 0;
+    }
     if (word == "--count")
       count = value;
     else if (word == "--from")
--- a/tests/peers/world.cpp
+++ b/tests/peers/world.cpp
@@ -57,6 +57,7 @@
   std::ostringstream text;
   text << static_cast<double>(now_.count()) / static_cast<double>(settings_.period.count()) << ": " << line;
   trace_.push_back(text.str());
+  digest_.add(now_, line);
 }
 
 std::size_t World::add(std::string name, std::string site) {
@@ -248,6 +249,7 @@
 }
 
 void World::carry(std::size_t from, Datagram datagram) {
+  digest_.add(now_, from, datagram.to, datagram.bytes);
   Node& node = *nodes_[from];
   auto& traffic = node.traffic;
   ++traffic.datagrams;
--- a/tests/peers/world.h
+++ b/tests/peers/world.h
@@ -10,6 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "digest.h"
 #include "peers/agent.h"
 #include "peers/membership/random.h"
 
@@ -94,6 +95,7 @@
 
   // What was done to the world, a line each, with the time in periods: a failing seed's trace.
   const std::vector<std::string>& trace() const { return trace_; }
+  const Digest& digest() const { return digest_; }  // of that, and of all datagrams
 
  private:
   struct Node;
@@ -121,6 +123,7 @@
   std::size_t cut_number_ = 0;
   std::vector<Event> queue_;
   std::vector<std::string> trace_;
+  Digest digest_;
 };
 
 }  // namespace lemonroute::peers
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -10,6 +10,7 @@
 #include <random>
 #include <vector>
 
+#include "digest.h"
 #include "pools/extension.h"
 
 namespace lemonroute::pools::test {
@@ -158,6 +159,7 @@
   std::function<bool(const Process&, const Process&)> linked = [](auto&, auto&) { return true; };
   double loss = 0;
   std::uint64_t payloads = 0, bytes = 0;
+  Digest digest;  // of all that was sent
   std::string broken;
 
  private:
@@ -181,6 +183,7 @@
   }
   void carry(Process& from, std::string_view to, std::string payload) {
     ++payloads;
+    digest.add(now, from.name, to, payload);
     bytes += payload.size();
     if (payload.size() > peers::Outbox::most)
       broken = "a payload of " + std::to_string(payload.size()) + " bytes";
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -61,6 +61,7 @@
 void Net::post(std::size_t from, std::string_view to, std::string bytes) {
   const auto j = std::stoul(std::string(to.substr(1)));
   bytes_out_[from] += bytes.size();
+  digest_.add(now_, from, j, bytes);
   const auto draw = [&] { return static_cast<double>(random_() >> 11) * 0x1p-53; };
   if (j >= size() || part_[from] != part_[j] || bytes.size() > peers::Outbox::most)
     return;
--- a/tests/tiers/net.h
+++ b/tests/tiers/net.h
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "digest.h"
 #include "tiers/extension.h"
 
 namespace lemonroute::tiers {
@@ -49,7 +50,8 @@
   void restart_device(std::size_t j, const std::function<bool(std::size_t)>& listed_at);
   void say(std::size_t from, std::size_t to, std::string bytes) {
     post(from, name(to), std::move(bytes));
-  }  // forged
+  }                                                 // forged
+  const Digest& digest() const { return digest_; }  // of all that was sent
   std::uint64_t bytes_out(std::size_t i) const { return bytes_out_[i]; }
   std::uint64_t bytes_in(std::size_t i) const { return bytes_in_[i]; }
 
@@ -87,6 +89,7 @@
   std::vector<std::vector<Node>> lists_;  // of each router
   std::priority_queue<Post> posts_;
   std::uint64_t order_ = 0;
+  Digest digest_;
 };
 
 }  // namespace lemonroute::tiers
