--- a/tests/held/world.h
+++ b/tests/held/world.h
@@ -13,6 +13,7 @@
 #include "core/drawn.h"
 #include "core/router.h"
 #include "core/timers.h"
+#include "digest.h"
 #include "held/held_oracle.h"
 #include "held/schedule.h"
 
@@ -32,6 +33,7 @@
   ~World() override;
   std::string run();  // the break of the rule, in words; empty: none
   const std::vector<std::string>& trace() const { return trace_; }
+  const Digest& digest() const { return digest_; }  // of all that happened, with its times
 
  private:
   struct Sending;
@@ -114,6 +116,7 @@
   Timers timers_;
   HeldOracle oracle_;
   std::vector<std::string> trace_;
+  Digest digest_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::map<std::string, Host*> by_name_;
   std::map<std::string, std::unique_ptr<Asker>> askers_;
--- a/tests/held/world_nodes.cpp
+++ b/tests/held/world_nodes.cpp
@@ -220,6 +220,7 @@
                                                  std::function<void(bool)> done) {
   auto call = std::make_unique<Releasing>(*this);
   Host& host = *by_name_.at(node.name);
+  digest_.add(clock_.at, id, node.name);
   property::Drawn draw = drawing(id);
   const auto connects = connecting(host, draw);
   const Micros patience = schedule_.settings.connect_timeout;
--- a/tests/held/world_parts.h
+++ b/tests/held/world_parts.h
@@ -42,10 +42,14 @@
   Asker(World& world, std::string name, std::size_t router)
       : world(world), name(std::move(name)), router(router) {}
   bool on_data(std::string_view) override { return true; }
-  void finish() override { ++world.seen_.served, open = false; }
-  void reject(Micros) override { ++world.seen_.refused, open = false; }
-  void fail(FailureReason) override { ++world.seen_.failed, open = false; }
-  void abort_stream() override { ++world.seen_.failed, open = false; }
+  void finish() override { ++world.seen_.served, answered(0, Micros(0)); }
+  void reject(Micros retry_after) override { ++world.seen_.refused, answered(1, retry_after); }
+  void fail(FailureReason) override { ++world.seen_.failed, answered(2, Micros(0)); }
+  void abort_stream() override { ++world.seen_.failed, answered(3, Micros(0)); }
+  void answered(int how, Micros retry_after) {
+    open = false;
+    world.digest_.add(world.clock_.at, name, how, retry_after);
+  }
   World& world;
   std::string name;
   std::size_t router;
