--- a/tests/formats/formats_test.cpp
+++ b/tests/formats/formats_test.cpp
@@ -1,10 +1,16 @@
-// What processes of one router leave for each other: the file of bans.
+// What processes of one router leave for each other: the file of bans, the locks and the messages of a
+// hand-over.
+#include <fcntl.h>
 #include <gtest/gtest.h>
+#include <unistd.h>
 
 #include <fstream>
 
 #include "core/bans.h"
 #include "formats/fixtures.h"
+#include "formats/unix_datagrams.h"
+#include "ops/handover.h"
+#include "ops/processes.h"
 
 namespace lemonroute::formats {
 namespace {
@@ -57,5 +63,223 @@
   EXPECT_EQ(std::string(std::istreambuf_iterator<char>(written), {}), text_fixture("bans.json"));
 }
 
+// ---- the locks and files by which processes of one router find each other ----
+
+struct flock lock_on(int byte) {
+  struct flock lock {};
+  lock.l_type = F_WRLCK;
+  lock.l_whence = SEEK_SET;
+  lock.l_start = byte;
+  lock.l_len = 1;
+  return lock;
+}
+
+// Whether another open file has a lock on this byte.
+bool locked(int fd, int byte) {
+  struct flock lock = lock_on(byte);
+  return fcntl(fd, F_OFD_GETLK, &lock) == 0 && lock.l_type != F_UNLCK;
+}
+
+TEST(Formats, NamesTheFilesThatProcessesShareAsBefore) {
+  TemporaryFolder folder;
+  const ops::Processes processes(folder.path(), "router-A.nord", "127.0.0.1:8080");
+  const std::string stem = folder.file("lemonroute-router-A_nord-127_0_0_1_8080");
+
+  EXPECT_EQ(processes.file(".bans"), stem + ".bans");
+  EXPECT_EQ(processes.file(".streams"), stem + ".streams");
+  EXPECT_TRUE(std::filesystem::exists(stem + ".lock"));
+}
+
+TEST(Formats, LocksTheBytesThatTellOfAProcessAsBefore) {
+  TemporaryFolder folder;
+  ops::Processes processes(folder.path(), "router", "8080");
+  const int fd = open(folder.file("lemonroute-router-8080.lock").c_str(), O_RDWR | O_CLOEXEC);
+  ASSERT_GE(fd, 0);
+
+  EXPECT_FALSE(locked(fd, 0));  // a process that writes bans
+  EXPECT_TRUE(locked(fd, 1));   // a process that runs
+  EXPECT_FALSE(locked(fd, 2));  // a process that takes clients
+  processes.serves(true);
+  EXPECT_TRUE(locked(fd, 2));
+  close(fd);
+}
+
+TEST(Formats, SeesTheLocksOfAnotherProcessAsBefore) {
+  TemporaryFolder folder;
+  const ops::Processes processes(folder.path(), "router", "8080");
+  const int fd = open(folder.file("lemonroute-router-8080.lock").c_str(), O_RDWR | O_CLOEXEC);
+  ASSERT_GE(fd, 0);
+  const auto share = [fd](int byte) {
+    struct flock lock = lock_on(byte);
+    lock.l_type = F_RDLCK;
+    return fcntl(fd, F_OFD_SETLK, &lock) == 0;
+  };
+
+  ASSERT_TRUE(share(1));
+  EXPECT_TRUE(processes.another_runs());
+  EXPECT_FALSE(processes.another_serves());
+  ASSERT_TRUE(share(2));
+  EXPECT_TRUE(processes.another_serves());
+  close(fd);
+}
+
+// ---- the messages of a hand-over ----
+
+// The end that receives, with what it has been given.
+struct Successor {
+  TemporaryFolder folder;
+  std::string path = folder.file("streams");
+  net::Loop loop;
+  std::vector<PassedStream> streams;
+  std::vector<HandoverState> states;
+  ops::Handover handover{loop, path, [this](const PassedStream& stream) { streams.push_back(stream); },
+                         [this](const HandoverState& state) { states.push_back(state); }};
+  ~Successor() {
+    for (const auto& stream : streams) {
+      close(stream.client.fd);
+      close(stream.call.fd);
+    }
+  }
+};
+
+TEST(Formats, ReadsBackWhatAPassedStreamSays) {
+  Successor successor;
+  const TwoDescriptors connections;
+
+  ASSERT_TRUE(send_datagram(
+      successor.path, {line_fixture("handover_stream.json"), {connections.first(), connections.second()}}));
+  successor.handover.finish();
+
+  ASSERT_EQ(successor.streams.size(), 1u);
+  const PassedStream& stream = successor.streams[0];
+  EXPECT_EQ(stream.id, "request-7f_31");
+  EXPECT_EQ(stream.kind, "estratto");
+  EXPECT_EQ(stream.node, "scrittura-2");
+  EXPECT_EQ(stream.attempt, 513);
+  EXPECT_TRUE(stream.client.closes);
+  EXPECT_FALSE(stream.call.closes);
+}
+
+TEST(Formats, ReadsBackAnAnswerAfterWhichOnlyTheCallCloses) {
+  Successor successor;
+  const TwoDescriptors connections;
+
+  ASSERT_TRUE(send_datagram(successor.path, {line_fixture("handover_stream_call_closes.json"),
+                                             {connections.first(), connections.second()}}));
+  successor.handover.finish();
+
+  ASSERT_EQ(successor.streams.size(), 1u);
+  EXPECT_EQ(successor.streams[0].id, "request-7f_31");
+  EXPECT_FALSE(successor.streams[0].client.closes);
+  EXPECT_TRUE(successor.streams[0].call.closes);
+}
+
+TEST(Formats, ReadsBackTheConnectionsOfAPassedStreamInTheirOrder) {
+  Successor successor;
+  const TwoDescriptors connections;
+
+  ASSERT_TRUE(send_datagram(
+      successor.path, {line_fixture("handover_stream.json"), {connections.first(), connections.second()}}));
+  successor.handover.finish();
+
+  ASSERT_EQ(successor.streams.size(), 1u);
+  EXPECT_TRUE(same_file(successor.streams[0].client.fd, connections.first()));
+  EXPECT_TRUE(same_file(successor.streams[0].call.fd, connections.second()));
+}
+
+// What arrives where `stream` is passed on, its connections closed again after they were compared.
+std::string passed_text(const PassedStream& stream) {
+  TemporaryFolder folder;
+  DatagramSocket socket(folder.file("streams"));
+  EXPECT_TRUE(ops::Handover::send(folder.file("streams"), stream));
+  const Datagram datagram = socket.receive();
+  EXPECT_EQ(datagram.descriptors.size(), 2u);
+  if (datagram.descriptors.size() == 2) {
+    EXPECT_TRUE(same_file(datagram.descriptors[0], stream.client.fd));
+    EXPECT_TRUE(same_file(datagram.descriptors[1], stream.call.fd));
+  }
+  for (const int fd : datagram.descriptors)
+    close(fd);
+  return datagram.text;
+}
+
+PassedStream stream_to_pass(const TwoDescriptors& connections) {
+  PassedStream stream;
+  stream.id = "request-7f_31";
+  stream.kind = "estratto";
+  stream.node = "scrittura-2";
+  stream.attempt = 513;
+  stream.client.fd = connections.first();
+  stream.call.fd = connections.second();
+  return stream;
+}
+
+TEST(Formats, WritesAPassedStreamAsBefore) {
+  const TwoDescriptors connections;
+  PassedStream stream = stream_to_pass(connections);
+  stream.client.closes = true;
+
+  EXPECT_EQ(passed_text(stream), line_fixture("handover_stream.json"));
+}
+
+TEST(Formats, WritesAnAnswerAfterWhichOnlyTheCallClosesAsBefore) {
+  const TwoDescriptors connections;
+  PassedStream stream = stream_to_pass(connections);
+  stream.call.closes = true;
+
+  EXPECT_EQ(passed_text(stream), line_fixture("handover_stream_call_closes.json"));
+}
+
+TEST(Formats, ReadsBackWhatIsToldOfNodes) {
+  Successor successor;
+
+  ASSERT_TRUE(send_datagram(successor.path, {line_fixture("handover_state.json"), {}}));
+  successor.handover.finish();
+
+  ASSERT_EQ(successor.states.size(), 1u);
+  const auto& nodes = successor.states[0].nodes;
+  ASSERT_EQ(nodes.size(), 2u);
+  EXPECT_EQ(nodes[0].node, "lettura-1");
+  EXPECT_EQ(nodes[0].load, "inflight=7,queue=2");
+  EXPECT_EQ(nodes[0].age, Micros(1234567));
+  EXPECT_TRUE(nodes[0].avoided);
+  EXPECT_EQ(nodes[0].sent, 0.0625);
+  EXPECT_EQ(nodes[1].node, "scrittura-2");
+  EXPECT_EQ(nodes[1].load, "inflight=31,queue=0");
+  EXPECT_EQ(nodes[1].age, Micros(89));
+  EXPECT_FALSE(nodes[1].avoided);
+  EXPECT_EQ(nodes[1].sent, 1.7);
+}
+
+TEST(Formats, ReadsBackTheReadRatesThatAreTold) {
+  Successor successor;
+
+  ASSERT_TRUE(send_datagram(successor.path, {line_fixture("handover_state.json"), {}}));
+  successor.handover.finish();
+
+  ASSERT_EQ(successor.states.size(), 1u);
+  const std::vector<std::pair<Role, double>> read_rates{{Role::write, 0.125}, {Role::both, 2.3}};
+  EXPECT_EQ(successor.states[0].read_rates, read_rates);
+}
+
+TEST(Formats, WritesWhatIsToldOfNodesAsBefore) {
+  TemporaryFolder folder;
+  DatagramSocket socket(folder.file("streams"));
+  NodeReport first, second;
+  first.node = "lettura-1";
+  first.load = "inflight=7,queue=2";
+  first.age = Micros(1234567);
+  first.avoided = true;
+  first.sent = 0.0625;
+  second.node = "scrittura-2";
+  second.load = "inflight=31,queue=0";
+  second.age = Micros(89);
+  second.sent = 1.7;
+
+  ops::Handover::tell(folder.file("streams"), {{first, second}, {{Role::write, 0.125}, {Role::both, 2.3}}});
+
+  EXPECT_EQ(socket.receive().text, line_fixture("handover_state.json"));
+}
+
 }  // namespace
 }  // namespace lemonroute::formats
