--- /dev/null
+++ b/tests/formats/tiers_test.cpp
@@ -0,0 +1,262 @@
+// What routers tell each other of kept state.
+#include <gtest/gtest.h>
+
+#include "formats/fixtures.h"
+#include "tiers/wire/payload.h"
+
+namespace lemonroute::formats {
+namespace {
+
+using tiers::Kind;
+using tiers::Line;
+using tiers::Packer;
+using tiers::Payload;
+using tiers::Shown;
+using tiers::Tier;
+
+constexpr std::uint64_t digest = 0x1112131415161718;
+constexpr std::uint64_t first_device = 0x2122232425262728, second_device = 0x3132333435363738,
+                        third_device = 0x4142434445464748;
+constexpr std::uint64_t first_contributor = 0x5152535455565758, second_contributor = 0x6162636465666768;
+// Times go as ages in tenths of a second, which only differences of the clock are in.
+constexpr Micros now = std::chrono::hours(5);
+
+tiers::Stamp stamp() {
+  tiers::Stamp stamp;
+  stamp.start = 1764683700000001;
+  stamp.number = 70'001;
+  return stamp;
+}
+
+tiers::Generation generation_of(std::uint64_t start, std::uint64_t lanes) {
+  tiers::Generation generation;
+  generation.start = start;
+  generation.lanes = lanes;
+  return generation;
+}
+const tiers::Generation first_generation = generation_of(1764683711111111, 0x0001000200030004);
+const tiers::Generation second_generation = generation_of(1764683722222222, 0x0005000600070008);
+const tiers::Generation third_generation = generation_of(1764683733333333, 0x0009000a000b000c);
+
+Shown first_holder() {
+  Shown holder;
+  holder.device = first_device;
+  holder.generation = first_generation;
+  holder.tokens = 70'123;
+  holder.confidence = 201;
+  holder.seen = now - std::chrono::milliseconds(70'200);
+  holder.by = 0;
+  holder.votes = 0;
+  return holder;
+}
+
+Shown second_holder() {
+  Shown holder;
+  holder.device = second_device;
+  holder.generation = second_generation;
+  holder.tokens = 3'456;
+  holder.confidence = 99;
+  holder.seen = now - std::chrono::milliseconds(300);
+  holder.by = 0;
+  holder.votes = 0;
+  return holder;
+}
+
+Shown third_holder() {
+  Shown holder;
+  holder.device = third_device;
+  holder.generation = third_generation;
+  holder.tokens = 17;
+  holder.confidence = 5;
+  holder.seen = now - std::chrono::milliseconds(1'100);
+  holder.by = 0;
+  holder.votes = 0;
+  return holder;
+}
+
+// As a collector tells of it: with the contributor whose length it is, and with the votes.
+Shown with_votes(Shown holder, std::uint64_t by, std::uint8_t votes) {
+  holder.by = by;
+  holder.votes = votes;
+  return holder;
+}
+
+void expect_device_of(const Shown& holder, std::uint64_t device, const tiers::Generation& generation) {
+  EXPECT_EQ(holder.device, device);
+  EXPECT_EQ(holder.generation.start, generation.start);
+  EXPECT_EQ(holder.generation.lanes, generation.lanes);
+}
+
+void expect_first_holder(const Shown& holder) {
+  expect_device_of(holder, first_device, first_generation);
+  EXPECT_EQ(holder.tokens, 70'123u);
+  EXPECT_EQ(holder.confidence, 201);
+  EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(70'200));
+}
+
+void expect_second_holder(const Shown& holder) {
+  expect_device_of(holder, second_device, second_generation);
+  EXPECT_EQ(holder.tokens, 3'456u);
+  EXPECT_EQ(holder.confidence, 99);
+  EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(300));
+}
+
+void expect_third_holder(const Shown& holder) {
+  expect_device_of(holder, third_device, third_generation);
+  EXPECT_EQ(holder.tokens, 17u);
+  EXPECT_EQ(holder.confidence, 5);
+  EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(1'100));
+}
+
+void expect_contributed(const Shown& holder, std::uint64_t by, int votes) {
+  EXPECT_EQ(holder.by, by);
+  EXPECT_EQ(holder.votes, votes);
+}
+
+// The payload of a fixture, or one with no field set and a failure where it can't be read.
+Payload payload_of(const std::string& fixture) {
+  const char* why = "";
+  const auto payload = tiers::read(binary_fixture(fixture), now, why);
+  EXPECT_TRUE(payload) << why;
+  return payload.value_or(Payload{});
+}
+
+void expect_head(const Payload& payload, Kind kind) {
+  EXPECT_EQ(payload.kind, kind);
+  EXPECT_EQ(payload.tier, Tier::region);
+  EXPECT_EQ(payload.stamp.start, 1764683700000001u);
+  EXPECT_EQ(payload.stamp.number, 70'001u);
+  EXPECT_EQ(payload.digest, digest);
+}
+
+void expect_written(const Packer& packer, const std::string& fixture) {
+  EXPECT_EQ(hex_lines(packer.bytes(digest)), text_fixture(fixture));
+}
+
+TEST(Formats, ReadsBackVotes) {
+  const Payload votes = payload_of("tiers_votes.hex");
+
+  expect_head(votes, Kind::votes);
+  ASSERT_EQ(votes.lines.size(), 2u);
+  EXPECT_EQ(votes.lines[0].key, 0x7172737475767778u);
+  EXPECT_EQ(votes.lines[0].weight, 250);
+  ASSERT_EQ(votes.lines[0].holders.size(), 2u);
+  expect_first_holder(votes.lines[0].holders[0]);
+  expect_second_holder(votes.lines[0].holders[1]);
+  expect_contributed(votes.lines[0].holders[1], 0, 0);
+}
+
+TEST(Formats, ReadsBackAVoteThatIsTakenBack) {
+  const Payload votes = payload_of("tiers_votes.hex");
+
+  ASSERT_EQ(votes.lines.size(), 2u);
+  EXPECT_EQ(votes.lines[1].key, 0x8182838485868788u);
+  EXPECT_EQ(votes.lines[1].weight, 9);
+  EXPECT_TRUE(votes.lines[1].holders.empty());
+}
+
+TEST(Formats, WritesVotesAsBefore) {
+  Line line, taken_back;
+  line.key = 0x7172737475767778;
+  line.weight = 250;
+  line.holders = {first_holder(), second_holder()};
+  taken_back.key = 0x8182838485868788;
+  taken_back.weight = 9;
+  Packer packer(Kind::votes, Tier::region, stamp());
+
+  ASSERT_TRUE(packer.add(line, now));
+  ASSERT_TRUE(packer.add(taken_back, now));
+
+  expect_written(packer, "tiers_votes.hex");
+}
+
+TEST(Formats, ReadsBackRows) {
+  const Payload rows = payload_of("tiers_rows.hex");
+
+  expect_head(rows, Kind::rows);
+  ASSERT_EQ(rows.lines.size(), 2u);
+  EXPECT_EQ(rows.lines[0].key, 0x7172737475767778u);
+  EXPECT_EQ(rows.lines[0].weight, 131);
+  EXPECT_EQ(rows.lines[1].key, 0x9192939495969798u);
+  EXPECT_EQ(rows.lines[1].weight, 77);
+}
+
+TEST(Formats, ReadsBackTheHoldersOfRows) {
+  const Payload rows = payload_of("tiers_rows.hex");
+
+  ASSERT_EQ(rows.lines.size(), 2u);
+  const auto &holders = rows.lines[0].holders, &other_holders = rows.lines[1].holders;
+  ASSERT_EQ(holders.size(), 3u);
+  expect_first_holder(holders[0]);
+  expect_contributed(holders[0], first_contributor, 4);
+  expect_second_holder(holders[1]);
+  expect_contributed(holders[1], second_contributor, 2);
+  expect_third_holder(holders[2]);
+  expect_contributed(holders[2], first_contributor, 1);
+  ASSERT_EQ(other_holders.size(), 1u);
+  expect_second_holder(other_holders[0]);
+  expect_contributed(other_holders[0], second_contributor, 3);
+}
+
+TEST(Formats, WritesRowsAsBefore) {
+  Line line, other;
+  line.key = 0x7172737475767778;
+  line.weight = 131;
+  line.holders = {with_votes(first_holder(), first_contributor, 4),
+                  with_votes(second_holder(), second_contributor, 2),
+                  with_votes(third_holder(), first_contributor, 1)};
+  other.key = 0x9192939495969798;
+  other.weight = 77;
+  other.holders = {with_votes(second_holder(), second_contributor, 3)};
+  Packer packer(Kind::rows, Tier::region, stamp());
+
+  ASSERT_TRUE(packer.add(line, now));
+  ASSERT_TRUE(packer.add(other, now));
+
+  expect_written(packer, "tiers_rows.hex");
+}
+
+TEST(Formats, ReadsBackGenerations) {
+  const Payload generations = payload_of("tiers_generations.hex");
+
+  expect_head(generations, Kind::generations);
+  ASSERT_EQ(generations.devices.size(), 2u);
+  EXPECT_EQ(generations.devices[0].first, first_device);
+  EXPECT_EQ(generations.devices[0].second.start, 1764683711111111u);
+  EXPECT_EQ(generations.devices[0].second.lanes, 0x0001000200030004u);
+  EXPECT_EQ(generations.devices[1].first, third_device);
+  EXPECT_EQ(generations.devices[1].second.start, 1764683733333333u);
+  EXPECT_EQ(generations.devices[1].second.lanes, 0x0009000a000b000cu);
+}
+
+TEST(Formats, WritesGenerationsAsBefore) {
+  Packer packer(Kind::generations, Tier::region, stamp());
+
+  ASSERT_TRUE(packer.add(first_device, first_generation));
+  ASSERT_TRUE(packer.add(third_device, third_generation));
+
+  expect_written(packer, "tiers_generations.hex");
+}
+
+TEST(Formats, ReadsBackADigestOfGenerations) {
+  const Payload payload = payload_of("tiers_digest.hex");
+
+  expect_head(payload, Kind::digest);
+}
+
+TEST(Formats, WritesADigestOfGenerationsAsBefore) {
+  expect_written(Packer(Kind::digest, Tier::region, stamp()), "tiers_digest.hex");
+}
+
+TEST(Formats, ReadsBackAnAskForRows) {
+  const Payload payload = payload_of("tiers_ask.hex");
+
+  expect_head(payload, Kind::ask);
+}
+
+TEST(Formats, WritesAnAskForRowsAsBefore) {
+  expect_written(Packer(Kind::ask, Tier::region, stamp()), "tiers_ask.hex");
+}
+
+}  // namespace
+}  // namespace lemonroute::formats
