--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -23,7 +23,7 @@
       router_(router),
       client_(loop, watch_limits()),
       again_(loop, [this] { ask(); }),
-      cadence_(std::move(cadence)) {}
+      cadence_(cadence) {}
 Watch::~Watch() = default;
 
 // What the old address knew may be numbered otherwise at the new one, so nothing of it is built on. A whole
--- a/src/grpc/node_client/calls.cpp
+++ b/src/grpc/node_client/calls.cpp
@@ -147,16 +147,14 @@
     const auto status = static_cast<Status>(end.status);
     if (end.how == Ending::not_sent)
       result_.outcome = Outcome::connect_failed;
-    else if (end.how == Ending::broken)
+    else if (end.how == Ending::broken || (events_ && (end.how == Ending::malformed || status != Status::ok)))
       result_.outcome = Outcome::reset;
     else if (end.how == Ending::malformed)
-      result_.outcome = events_ ? Outcome::reset : Outcome::error;
+      result_.outcome = Outcome::error;
     else if (status == Status::ok && read_)
       result_.outcome = Outcome::read;
     else if (status == Status::ok && events_)
       result_.outcome = Outcome::ok;
-    else if (events_)
-      result_.outcome = Outcome::reset;
     else if (end.declined && status == Status::unavailable)
       result_.outcome = Outcome::full;
     else if (end.declined && status == Status::failed_precondition) {
--- a/src/grpc/server.cpp
+++ b/src/grpc/server.cpp
@@ -91,9 +91,10 @@
       [this](evutil_socket_t fd) {
         auto visit = std::make_unique<Visit>();
         Visit& made = *visit;
-        limits_.jitter = static_cast<double>(random_() - random_.min()) /
-                         static_cast<double>(random_.max() - random_.min());
-        made.session.reset(new Session(loop_, fd, *this, limits_));
+        constexpr auto least = decltype(random_)::min(), most = decltype(random_)::max();
+        limits_.jitter = static_cast<double>(random_() - least) / static_cast<double>(most - least);
+        SessionOwner& owner = *this;  // a private base, which make_unique could not turn it into
+        made.session = std::make_unique<Session>(loop_, fd, owner, limits_);
         visits_[made.session.get()] = std::move(visit);
         admission_.arrived(made);
       },
--- a/src/grpc/session/out.cpp
+++ b/src/grpc/session/out.cpp
@@ -1,7 +1,6 @@
 // What goes out on an HTTP/2 connection: calls, answers, and how much of them is handed on ahead of the
 // socket.
 #include <algorithm>
-#include <cstring>
 
 #include "grpc/session.h"
 #include "grpc/session/name_values.h"
@@ -108,7 +107,7 @@
   while (filled < size && !stream->out.empty()) {
     const std::string& front = stream->out.front();
     const std::size_t part = std::min(size - filled, front.size() - stream->out_offset);
-    std::memcpy(buffer + filled, front.data() + stream->out_offset, part);
+    front.copy(reinterpret_cast<char*>(buffer) + filled, part, stream->out_offset);
     filled += part;
     stream->out_offset += part;
     if (stream->out_offset == front.size()) {
--- a/src/peers/membership/suspicion/suspicion.cpp
+++ b/src/peers/membership/suspicion/suspicion.cpp
@@ -46,7 +46,7 @@
 Micros Suspicion::deadline() const {
   if (wanted_ == 0)
     return started_ + least_;
-  const double part = std::log(static_cast<double>(count_)) / std::log(wanted_ + 1.0);
+  const double part = std::log(static_cast<double>(count_)) / std::log(static_cast<double>(wanted_) + 1.0);
   return started_ + std::max(least_, most_ - times(most_ - least_, part));
 }
 
--- a/src/peers/seal/key.cpp
+++ b/src/peers/seal/key.cpp
@@ -76,7 +76,7 @@
   text[digits] = '\n';
   if (write(file.fd, text, sizeof text) == sizeof text && fsync(file.fd) == 0)
     return "";
-  const std::string why = "can't be written: " + std::string(std::strerror(errno));
+  std::string why = "can't be written: " + std::string(std::strerror(errno));
   unlink(path.c_str());
   return why;
 }
--- a/src/pools/extension/planners.cpp
+++ b/src/pools/extension/planners.cpp
@@ -17,7 +17,10 @@
   std::string best;
   std::uint64_t most = 0;
   for (const auto& keeper : keepers) {
-    const auto rank = hash_of(region + "\n" + keeper);
+    std::string ranked = region;
+    ranked += '\n';
+    ranked += keeper;
+    const auto rank = hash_of(ranked);
     if (there(keeper, view) && (best.empty() || rank > most))
       best = keeper, most = rank;
   }
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -64,7 +64,7 @@
   google::protobuf::RepeatedPtrField<v1::Known>* to = nullptr;
   std::size_t used = 0;
   const auto end = [&] {
-    if (to && to->size() > 0)
+    if (to && !to->empty())
       all.push_back(payload.SerializeAsString());
     to = nullptr;
   };
