--- a/src/cli/arguments.cpp
+++ b/src/cli/arguments.cpp
@@ -1,5 +1,7 @@
 #include "cli/arguments.h"
 
+#include <boost/program_options/parsers.hpp>
+#include <boost/program_options/positional_options.hpp>
 #include <sstream>
 
 namespace lemonroute::cli {
--- a/src/cli/arguments.h
+++ b/src/cli/arguments.h
@@ -1,7 +1,9 @@
 // What the sub-commands share: their options on Boost.Program_options, --help for each, and their exit codes.
 #pragma once
 
-#include <boost/program_options.hpp>
+#include <boost/program_options/errors.hpp>
+#include <boost/program_options/options_description.hpp>
+#include <boost/program_options/variables_map.hpp>
 #include <iosfwd>
 #include <stdexcept>
 #include <string>
--- a/src/cli/demo_command.cpp
+++ b/src/cli/demo_command.cpp
@@ -1,6 +1,7 @@
 // lemonroute demo: the real program among stand-ins on loopback, for whoever wants to see it work before
 // there is a fleet. A few requests over both fronts, a drain and a crash among them, then what became of
 // each.
+#include <toml++/toml.h>
 #include <unistd.h>
 
 #include <csignal>
--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -1,5 +1,7 @@
 #include "config/fleet.h"
 
+#include <toml++/toml.h>
+
 #include <filesystem>
 #include <functional>
 #include <set>
--- a/src/config/known_settings.cpp
+++ b/src/config/known_settings.cpp
@@ -1,6 +1,7 @@
 #include "config/known_settings.h"
 
 #include <algorithm>
+#include <nlohmann/json.hpp>
 #include <set>
 #include <string_view>
 
--- a/src/config/known_settings.h
+++ b/src/config/known_settings.h
@@ -1,7 +1,7 @@
 // Which keys of the platform's configuration are known here, and which of them anything depends on.
 #pragma once
 
-#include <nlohmann/json.hpp>
+#include <nlohmann/json_fwd.hpp>
 #include <string>
 #include <vector>
 
--- a/src/config/platform.cpp
+++ b/src/config/platform.cpp
@@ -2,6 +2,7 @@
 
 #include <charconv>
 #include <fstream>
+#include <nlohmann/json.hpp>
 #include <set>
 #include <sstream>
 #include <utility>
--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -1,5 +1,7 @@
 #include "config/pools.h"
 
+#include <toml++/toml.h>
+
 #include <algorithm>
 #include <charconv>
 #include <sstream>
--- a/src/config/section.cpp
+++ b/src/config/section.cpp
@@ -1,5 +1,7 @@
 #include "config/section.h"
 
+#include <toml++/toml.h>
+
 #include <cmath>
 #include <sstream>
 
@@ -26,6 +28,10 @@
   }
 }
 
+bool Section::has(std::string_view key) const {
+  return table_->contains(key);
+}
+
 const toml::node* Section::ask(std::string_view key) {
   asked_.insert(std::string(key));
   return table_->get(key);
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -2,7 +2,7 @@
 // is a fault, and so is whatever does not fit. All faults of a file are gathered, each with its line.
 #pragma once
 
-#include <toml++/toml.h>
+#include <toml++/impl/forward_declarations.h>
 
 #include <optional>
 #include <set>
@@ -30,7 +30,7 @@
   Section(const toml::table& table, std::string file, std::string path, std::vector<Fault>& faults)
       : table_(&table), file_(std::move(file)), path_(std::move(path)), faults_(&faults) {}
 
-  bool has(std::string_view key) const { return table_->contains(key); }
+  bool has(std::string_view key) const;
   std::size_t line() const;
   std::size_t line(std::string_view key) const;
   std::string full(std::string_view key) const {
--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -1,6 +1,7 @@
 #include "discovery/list.h"
 
 #include <cmath>
+#include <nlohmann/json.hpp>
 
 #include "net/connection.h"
 
--- a/src/discovery/list.h
+++ b/src/discovery/list.h
@@ -1,7 +1,7 @@
 // Lists of nodes as discovery words them.
 #pragma once
 
-#include <nlohmann/json.hpp>
+#include <nlohmann/json_fwd.hpp>
 #include <stdexcept>
 #include <string_view>
 #include <vector>
--- a/src/expect/general.h
+++ b/src/expect/general.h
@@ -2,6 +2,8 @@
 // combination that fails is shrunk to a small case that stands by itself.
 #pragma once
 
+#include <toml++/toml.h>
+
 #include <cstdint>
 #include <functional>
 #include <string>
--- a/src/expect/read/expectations.cpp
+++ b/src/expect/read/expectations.cpp
@@ -1,5 +1,7 @@
 #include "expect/read/expectations.h"
 
+#include <toml++/toml.h>
+
 #include <cstdint>
 #include <optional>
 #include <string_view>
--- a/src/expect/read/nodes.cpp
+++ b/src/expect/read/nodes.cpp
@@ -1,5 +1,7 @@
 #include "expect/read/nodes.h"
 
+#include <toml++/toml.h>
+
 #include <algorithm>
 #include <set>
 #include <string>
--- a/tests/deployments/silence_test.cpp
+++ b/tests/deployments/silence_test.cpp
@@ -2,6 +2,8 @@
 // the calls after it do, the list is had again in time. And lists as they may come.
 #include <gtest/gtest.h>
 
+#include <nlohmann/json.hpp>
+
 #include "discovery/cadence.h"
 #include "discovery/list.h"
 
--- a/tests/discovery/world.h
+++ b/tests/discovery/world.h
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <map>
+#include <nlohmann/json.hpp>
 #include <optional>
 #include <random>
 #include <string>
--- a/tests/net/parser_test.cpp
+++ b/tests/net/parser_test.cpp
@@ -4,6 +4,7 @@
 #include <cassert>
 #include <iostream>
 #include <memory>
+#include <nlohmann/json.hpp>
 
 #include "config/platform.h"
 #include "grpc/message.h"
--- a/tests/pools/config_test.cpp
+++ b/tests/pools/config_test.cpp
@@ -1,4 +1,5 @@
 #include <gtest/gtest.h>
+#include <toml++/toml.h>
 
 #include "config/pools.h"
 
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -1,5 +1,6 @@
 // Merges, summaries and payloads: properties over random operations, each from a seed.
 #include <gtest/gtest.h>
+#include <toml++/toml.h>
 
 #include <random>
 
