--- a/src/net/admission.cpp
+++ b/src/net/admission.cpp
@@ -82,13 +82,13 @@
 }
 
 void Admission::move(Peer& peer, std::list<Peer*>* to) {
-  if (peer.in)
-    peer.in->erase(peer.at);
-  peer.in = to;
+  if (peer.in_)
+    peer.in_->erase(peer.at_);
+  peer.in_ = to;
   if (!to)
     return;
-  peer.at = to->insert(to->end(), &peer);
-  peer.since = now_();
+  peer.at_ = to->insert(to->end(), &peer);
+  peer.since_ = now_();
 }
 
 // One place is kept free for whoever comes next. Resting peers are asked to leave first, since they lose the
@@ -110,7 +110,7 @@
 }
 
 bool Admission::dismiss_first(std::list<Peer*>& of, Micros after) {
-  if (of.empty() || now_() - of.front()->since < after)
+  if (of.empty() || now_() - of.front()->since_ < after)
     return false;
   of.front()->dismiss();
   return true;
--- a/src/net/admission.h
+++ b/src/net/admission.h
@@ -21,9 +21,9 @@
 
    private:
     friend class Admission;
-    std::list<Peer*>* in = nullptr;  // none while it is busy
-    std::list<Peer*>::iterator at{};
-    std::chrono::steady_clock::time_point since{};
+    std::list<Peer*>* in_ = nullptr;  // none while it is busy
+    std::list<Peer*>::iterator at_{};
+    std::chrono::steady_clock::time_point since_{};
   };
 
   using Now = std::function<std::chrono::steady_clock::time_point()>;
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -277,14 +277,14 @@
 static_assert(std::size(event_codes) == std::variant_size_v<AnyEvent>);
 static_assert(std::size(action_codes) == std::variant_size_v<AnyAction>);
 
-template <class Body, std::size_t I = 0>
+template <class Body, std::size_t index = 0>
 bool make(Body& body, std::uint8_t code, const std::uint8_t* codes) {
-  if constexpr (I == std::variant_size_v<Body>) {
+  if constexpr (index == std::variant_size_v<Body>) {
     return false;
   } else {
-    if (codes[I] != code)
-      return make<Body, I + 1>(body, code, codes);
-    body.template emplace<I>();
+    if (codes[index] != code)
+      return make<Body, index + 1>(body, code, codes);
+    body.template emplace<index>();
     return true;
   }
 }
