--- a/src/estimation/homes.cpp
+++ b/src/estimation/homes.cpp
@@ -73,6 +73,7 @@
     chosen.emplace_back(hash64(session ^ hash64(it->second)), it->second);
   std::sort(chosen.begin(), chosen.end(), std::greater<>());
   std::vector<EndpointId> ids;
+  ids.reserve(chosen.size());
   for (const auto& [rank, id] : chosen)
     ids.push_back(id);
   return ids;
