--- /dev/null
+++ b/src/module/active_settings.h
@@ -0,0 +1,52 @@
+/// \file
+/// The settings in force, with the figures that follow from them. Owned by Context; changed only by
+/// Scheduler::update_settings, between two events. Used on the serving thread only.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "lemonroute/settings.h"
+#include "module/load_report.h"
+
+namespace lemonroute::decisions {
+
+/// The settings of this router, and what is derived from them once for each change.
+class ActiveSettings {
+ public:
+  /// Replaces all settings.
+  void update(Settings settings);
+
+  [[nodiscard]] const Settings& values() const { return values_; }
+
+  /// Returns the terms of a request class. A class index beyond the settings gets the strictest terms: such a
+  /// request must not run twice. The terms stay valid for as long as the caller holds them, also when the
+  /// settings change.
+  [[nodiscard]] std::shared_ptr<const ClassSettings> class_settings(std::uint16_t class_index) const;
+
+  /// Returns how long evidence on a node's health and load lasts: the time constant of its exponential decay,
+  /// which is the longest deadline of all classes. Always above 0.
+  [[nodiscard]] Micros memory_duration() const { return memory_duration_; }
+
+  /// Returns the largest priority weight of all classes, or 0 without classes.
+  [[nodiscard]] double max_priority_weight() const { return max_priority_weight_; }
+
+  /// Returns whether load reports state the prompt tokens queued at a node.
+  [[nodiscard]] bool reports_queued_tokens() const;
+
+  /// Decodes the columns of a load report, in the order of Settings::report_columns.
+  [[nodiscard]] LoadReport decode_load_report(const std::vector<float>& columns) const;
+
+ private:
+  Settings values_;
+  std::vector<std::shared_ptr<const ClassSettings>> classes_;
+  std::map<std::string, std::size_t> report_column_index_;
+  Micros memory_duration_{};
+  double max_priority_weight_ = 0;
+};
+
+}  // namespace lemonroute::decisions
--- /dev/null
+++ b/src/module/admission_controller.h
@@ -0,0 +1,52 @@
+/// \file
+/// Admission control: which requests are shed before their prefill, and when their clients should come again.
+/// It owns the average of this router's prefills in flight. Used on the serving thread only.
+#pragma once
+
+#include "estimation/learned.h"
+#include "module/context.h"
+#include "module/estimators.h"
+#include "module/node_registry.h"
+#include "module/request_state.h"
+#include "module/request_table.h"
+#include "module/selection.h"
+
+namespace lemonroute::decisions {
+
+/// Sheds requests that would miss their latency objective or find every decode node full.
+class AdmissionController {
+ public:
+  AdmissionController(const Context& context, const NodeRegistry& nodes, const RequestTable& requests,
+                      const Estimators& estimators)
+      : context_(context), nodes_(nodes), requests_(requests), estimators_(estimators) {}
+
+  /// Returns whether to reject a request instead of sending it to `selection`, and reports a rejection to the
+  /// observer of choices. A request is judged by its wait, never by the length of its own prefill, and not
+  /// before a prefill rate is known. The lower a request's priority, the shorter the wait and the lower the
+  /// load that it is shed for.
+  [[nodiscard]] bool should_shed(const RequestState& request, const Selection& selection);
+
+  /// Returns the Retry-After for a rejected request, or 0 for none. \param queue_wait microseconds that it
+  /// would wait.
+  [[nodiscard]] Micros retry_after(double queue_wait) const;
+
+ private:
+  struct Limits {
+    double wait = 0;  // microseconds
+    double load = 0;  // share of KV cache memory
+  };
+
+  [[nodiscard]] double prefill_tokens_in_flight() const;
+  [[nodiscard]] double projected_min_decode_load(const RequestState& request);
+  [[nodiscard]] Limits limits_for(const RequestState& request, const Selection& selection) const;
+  [[nodiscard]] double estimated_wait(const Selection& selection) const;
+
+  const Context& context_;
+  const NodeRegistry& nodes_;
+  const RequestTable& requests_;
+  const Estimators& estimators_;
+  estimation::DecayingAverage mean_prefill_in_flight_{
+      0, {}, true};  // prompt tokens, as of each request shed or not
+};
+
+}  // namespace lemonroute::decisions
--- /dev/null
+++ b/src/module/context.h
@@ -0,0 +1,65 @@
+/// \file
+/// What all classes of the decision module share: the clock, the settings in force, the list of actions that
+/// the event under way has caused, and the observer of choices. Owned by Scheduler. Used on the serving
+/// thread only.
+#pragma once
+
+#include <algorithm>
+#include <functional>
+#include <utility>
+#include <vector>
+
+#include "lemonroute/actions.h"
+#include "lemonroute/explanations.h"
+#include "lemonroute/settings.h"
+#include "module/active_settings.h"
+
+namespace lemonroute::decisions {
+
+/// Clock, settings, action sink and choice observer of one Scheduler.
+class Context {
+ public:
+  /// Begins an event: `actions` receives what emit() is given until the next event begins.
+  void begin_event(Micros now, std::vector<Action>& actions) {
+    advance_clock(now);
+    if (first_event_at_ == Micros(0))
+      first_event_at_ = now_;
+    actions_ = &actions;
+  }
+  /// Moves the clock to `now`. The clock never goes back.
+  void advance_clock(Micros now) { now_ = std::max(now_, now); }
+
+  /// Returns the time of the event under way, on the caller's clock.
+  [[nodiscard]] Micros now() const { return now_; }
+  /// Returns the time of the first event that this process has handled.
+  [[nodiscard]] Micros first_event_at() const { return first_event_at_; }
+
+  [[nodiscard]] const Settings& settings() const { return active_settings_.values(); }
+  [[nodiscard]] const ActiveSettings& active_settings() const { return active_settings_; }
+  /// See ActiveSettings::memory_duration.
+  [[nodiscard]] Micros memory_duration() const { return active_settings_.memory_duration(); }
+  void update_settings(Settings settings) { active_settings_.update(std::move(settings)); }
+
+  /// Appends an action to those of the event under way.
+  void emit(Action action) { actions_->push_back(std::move(action)); }
+
+  void set_choice_observer(std::function<void(const Choice&)> observer) {
+    choice_observer_ = std::move(observer);
+  }
+  /// Returns whether anyone observes choices. Explanations cost time; nobody needs them otherwise.
+  [[nodiscard]] bool observes_choices() const { return static_cast<bool>(choice_observer_); }
+  /// Passes a choice to its observer, if there is one.
+  void report_choice(const Choice& choice) const {
+    if (choice_observer_)
+      choice_observer_(choice);
+  }
+
+ private:
+  ActiveSettings active_settings_;
+  Micros now_{};
+  Micros first_event_at_{};
+  std::vector<Action>* actions_ = nullptr;  // of the event under way; not owned
+  std::function<void(const Choice&)> choice_observer_;
+};
+
+}  // namespace lemonroute::decisions
--- /dev/null
+++ b/src/module/decode_load_estimator.h
@@ -0,0 +1,77 @@
+/// \file
+/// How full and how slow a node is as a decode node. It owns DecodeHistory of each node, the averages of each
+/// role, and what decode nodes as a whole do: their time to first token and how often they reject. Used on
+/// the serving thread only.
+#pragma once
+
+#include <optional>
+
+#include "estimation/learned.h"
+#include "module/context.h"
+#include "module/load_report.h"
+#include "module/node_registry.h"
+#include "module/outlier_detector.h"
+#include "module/request_table.h"
+#include "module/role_table.h"
+
+namespace lemonroute::decisions {
+
+/// Load from which a decode node counts as full: the share of its KV cache memory. The rest is left for
+/// answers that grow and for attempts of other routers that no report shows yet.
+inline constexpr double full_load = 0.9;
+
+/// Differences of load up to this share of KV cache memory are within the error of the estimates.
+inline constexpr double load_tolerance = 0.12;
+
+/// What a decode node did with an attempt.
+enum class AdmissionResult {
+  admitted,
+  rejected,  ///< for lack of capacity
+};
+
+/// Estimates the load of decode nodes from this router's own streams and from load reports.
+class DecodeLoadEstimator {
+ public:
+  DecodeLoadEstimator(const Context& context, const NodeRegistry& nodes, const RequestTable& requests,
+                      const OutlierDetector& outliers)
+      : context_(context), nodes_(nodes), requests_(requests), outliers_(outliers) {}
+
+  /// Returns the share of the node's KV cache memory in use: by this router's streams, and by the other
+  /// routers' as reported. An old report gives way to the average of the node's role. May exceed 1.
+  [[nodiscard]] double load(const Node& node) const;
+  /// Returns how much recent evidence on other routers' load there is from the node itself, 0 to 1.
+  [[nodiscard]] double load_confidence(const Node& node) const;
+
+  /// Returns the node's time to first token against the usual one, at least 1.
+  [[nodiscard]] double latency_ratio(const Node& node) const;
+  /// Returns the decode nodes' usual time to first token in microseconds, or nothing before the first one.
+  [[nodiscard]] std::optional<double> usual_time_to_first_token() const;
+  /// Returns that time in microseconds as far as it is recent: it decays to 0 while no stream starts.
+  [[nodiscard]] double recent_time_to_first_token() const;
+
+  /// Learns from a stream that started `elapsed` microseconds after its attempt was sent.
+  void record_time_to_first_token(Node& node, double elapsed);
+  /// Learns whether a decode node admitted an attempt.
+  void record_admission(AdmissionResult result);
+  /// Learns from a load report how much memory other routers use at the node.
+  void record_load_report(Node& node, const LoadReport& report);
+
+  /// Computes the averages of each role anew.
+  void refresh_pool_averages();
+
+ private:
+  [[nodiscard]] double own_load(const Node& node) const;
+  [[nodiscard]] double mean_other_routers_load(Role role) const;
+
+  const Context& context_;
+  const NodeRegistry& nodes_;
+  const RequestTable& requests_;
+  const OutlierDetector& outliers_;
+
+  estimation::DecayingAverage time_to_first_token_;           // microseconds, over all decode nodes
+  estimation::DecayingAverage rejection_ratio_{0, {}, true};  // of attempts at decode nodes, 0 to 1
+  bool load_was_reported_ = false;                            // by any decode node, ever
+  RoleTable<double> mean_other_routers_load_;                 // share of KV cache memory, over ready nodes
+};
+
+}  // namespace lemonroute::decisions
--- /dev/null
+++ b/src/module/decode_selector.h
@@ -0,0 +1,40 @@
+/// \file
+/// Chooses the node that streams an answer: the nearest to the KV cache among the least loaded. It owns no
+/// state. Used on the serving thread only.
+#pragma once
+
+#include <optional>
+
+#include "module/choice_explainer.h"
+#include "module/endpoint_filter.h"
+#include "module/estimators.h"
+#include "module/node_registry.h"
+#include "module/pool_statistics.h"
+#include "module/request_state.h"
+#include "module/selection.h"
+
+namespace lemonroute::decisions {
+
+/// Chooses decode nodes, and mixed nodes for the decode stage.
+class DecodeSelector {
+ public:
+  DecodeSelector(const NodeRegistry& nodes, const Estimators& estimators, PoolStatistics& pools,
+                 const EndpointFilter& filter, ChoiceExplainer& explainer)
+      : nodes_(nodes), estimators_(estimators), pools_(pools), filter_(filter), explainer_(explainer) {}
+
+  /// Returns the endpoint chosen, or nothing where none is eligible. \param excluded an endpoint not to
+  /// choose, or 0.
+  [[nodiscard]] std::optional<Selection> choose(const RequestState& request, EndpointId excluded = 0);
+
+ private:
+  [[nodiscard]] double score(const Node& node, const RequestState& request) const;
+  [[nodiscard]] int proximity(const Node& node, const RequestState& request) const;
+
+  const NodeRegistry& nodes_;
+  const Estimators& estimators_;
+  PoolStatistics& pools_;
+  const EndpointFilter& filter_;
+  ChoiceExplainer& explainer_;
+};
+
+}  // namespace lemonroute::decisions
--- /dev/null
+++ b/src/module/endpoint_filter.h
@@ -0,0 +1,50 @@
+/// \file
+/// Which nodes may be chosen for a request at all. It owns no state. Used on the serving thread only.
+#pragma once
+
+#include <functional>
+#include <vector>
+
+#include "module/choice_explainer.h"
+#include "module/context.h"
+#include "module/estimators.h"
+#include "module/node_registry.h"
+#include "module/request_state.h"
+#include "module/selection.h"
+
+namespace lemonroute::decisions {
+
+/// Applies the conditions that do not depend on a node's score.
+class EndpointFilter {
+ public:
+  /// Fills in the score of a selection and the estimates that it follows from. Returns null, or the reason
+  /// why the node can't be chosen, in static storage.
+  using ScoreFunction = std::function<const char*(const Node& node, Selection& selection)>;
+
+  EndpointFilter(const Context& context, const NodeRegistry& nodes, const Estimators& estimators,
+                 ChoiceExplainer& explainer)
+      : context_(context), nodes_(nodes), estimators_(estimators), explainer_(explainer) {}
+
+  /// Returns the endpoints that may be chosen, by ascending id, each with its score, and begins the
+  /// explanation of the choice. \param stage Role::prefill or Role::decode. \param excluded an endpoint not
+  /// to choose, or 0.
+  [[nodiscard]] std::vector<Selection> eligible_endpoints(const RequestState& request, Role stage,
+                                                          EndpointId excluded,
+                                                          const ScoreFunction& score) const;
+
+  /// Returns whether a request that may have run already may run at this node (rule 2 of the platform):
+  /// always if it is idempotent, never if it is not; with an idempotency key, within the retry window and the
+  /// retry scope of the node that may have run it.
+  [[nodiscard]] bool may_repeat_at(const Node& node, const RequestState& request) const;
+
+ private:
+  [[nodiscard]] const char* exclusion_reason(const Node& node, const RequestState& request, Role stage,
+                                             EndpointId excluded) const;
+
+  const Context& context_;
+  const NodeRegistry& nodes_;
+  const Estimators& estimators_;
+  ChoiceExplainer& explainer_;
+};
+
+}  // namespace lemonroute::decisions
--- /dev/null
+++ b/src/module/prefill_selector.h
@@ -0,0 +1,51 @@
+/// \file
+/// Chooses the node that reads a prompt, by Mooncake's Algorithm 1: the lowest estimated wait and prefill
+/// time of what is not cached. It owns no state. Used on the serving thread only.
+#pragma once
+
+#include <optional>
+#include <vector>
+
+#include "module/choice_explainer.h"
+#include "module/context.h"
+#include "module/endpoint_filter.h"
+#include "module/estimators.h"
+#include "module/pool_statistics.h"
+#include "module/request_state.h"
+#include "module/selection.h"
+
+namespace lemonroute::decisions {
+
+/// Chooses prefill nodes, and mixed nodes for both stages.
+class PrefillSelector {
+ public:
+  PrefillSelector(const Context& context, const Estimators& estimators, PoolStatistics& pools,
+                  const EndpointFilter& filter, ChoiceExplainer& explainer)
+      : context_(context), estimators_(estimators), pools_(pools), filter_(filter), explainer_(explainer) {}
+
+  /// Returns the endpoint with the lowest score, or nothing where none is eligible. \param excluded an
+  /// endpoint not to choose, or 0.
+  [[nodiscard]] std::optional<Selection> choose(const RequestState& request, EndpointId excluded = 0);
+
+  /// Returns the idle prefill node that would be done first, if it meets the latency objective. It is for a
+  /// request whose prefix is cached at a node with a long queue: its session would be rejected turn after
+  /// turn beside idle nodes. Relies on the averages that choose() has refreshed for the same event.
+  [[nodiscard]] std::optional<Selection> choose_idle(const RequestState& request);
+
+ private:
+  void estimate(const Node& node, const RequestState& request, Selection& selection) const;
+  [[nodiscard]] const char* score(const Node& node, const RequestState& request,
+                                  const std::vector<EndpointId>& affinity_nodes, Selection& selection) const;
+  [[nodiscard]] const char* add_answer_score(const Node& node, const RequestState& request,
+                                             Selection& selection) const;
+  [[nodiscard]] std::optional<Selection> choose_best(const RequestState& request, EndpointId excluded,
+                                                     const EndpointFilter::ScoreFunction& score);
+
+  const Context& context_;
+  const Estimators& estimators_;
+  PoolStatistics& pools_;
+  const EndpointFilter& filter_;
+  ChoiceExplainer& explainer_;
+};
+
+}  // namespace lemonroute::decisions
--- /dev/null
+++ b/src/module/prefix_cache_index.h
@@ -0,0 +1,58 @@
+/// \file
+/// Which prompt prefixes are cached at which nodes: as recorded by this router, and as all routers expect by
+/// a common hash. It owns the records, the popularity of shared prefixes, and CacheRecordValidity of each
+/// node. Lengths are in tokens. Used on the serving thread only.
+#pragma once
+
+#include <vector>
+
+#include "estimation/openings.h"
+#include "estimation/prefix_table.h"
+#include "module/context.h"
+#include "module/node_registry.h"
+#include "module/request_state.h"
+#include "module/slow_start_limiter.h"
+
+namespace lemonroute::decisions {
+
+/// Knows where the prefix of a prompt is cached.
+class PrefixCacheIndex {
+ public:
+  PrefixCacheIndex(Context& context, const NodeRegistry& nodes, const SlowStartLimiter& slow_start)
+      : context_(context), nodes_(nodes), slow_start_(slow_start) {}
+
+  /// Counts a request that has arrived, for the popularity of its shared prefix.
+  void record_arrival(const RequestState& request);
+
+  /// Returns the prompt tokens that the node has cached, as recorded.
+  [[nodiscard]] double recorded_match(const Node& node, const RequestState& request) const;
+
+  /// Records that a node has the request's prompt cached, or will when the attempt that is being sent is
+  /// done.
+  void record_cached_prefix(const RequestState& request, EndpointId endpoint);
+
+  /// Compares the prompt tokens that a prefill found cached with those that were recorded. Two prefills in a
+  /// row that found far less void all records of the node: it has restarted unnoticed or evicts prefixes. The
+  /// records would otherwise go on to attract requests to it.
+  void verify_cached_tokens(Node& node, const Attempt& attempt, double cached_tokens);
+
+  /// Returns the nodes where every router expects the beginning of the request's session, by hash alone, the
+  /// preferred one first. Turns of a session reach different routers; this way the later ones find the
+  /// earlier ones' prefix. Empty for a request without session and shared prefix.
+  [[nodiscard]] std::vector<EndpointId> affinity_nodes(const RequestState& request) const;
+
+  /// Returns the prompt tokens that the first of affinity_nodes() is assumed to have cached: the shared
+  /// prefix, and a part of the rest where this router has not seen the session.
+  [[nodiscard]] double assumed_affinity_tokens(const RequestState& request) const;
+
+ private:
+  Context& context_;
+  const NodeRegistry& nodes_;
+  const SlowStartLimiter& slow_start_;
+
+  estimation::PrefixIndex session_prefixes_;  // by Request::session_key
+  estimation::PrefixIndex shared_prefixes_;   // by Request::shared_prefix_key
+  estimation::PrefixPopularity popularity_;
+};
+
+}  // namespace lemonroute::decisions
--- a/tests/module/failure_test.cpp
+++ b/tests/module/failure_test.cpp
@@ -120,7 +120,7 @@
   for (Key session = 1; session <= 8; ++session)
     bed.serve(bed.request(4100, 0, session), 100ms, 0);  // all forgotten
   EXPECT_TRUE(std::any_of(bed.log_lines.begin(), bed.log_lines.end(), [](const auto& line) {
-    return line.find("no longer trusted") != std::string::npos;
+    return line.starts_with("prefix cache records dropped: id=");
   }));
 }
 
