--- a/tests/module/rules_test.cpp
+++ b/tests/module/rules_test.cpp
@@ -13,129 +13,130 @@
 // ---- One by one ----
 
 TEST(RuleAnswer, NoUsableHostIsAnsweredAtOnce) {
-  Bed bed;
-  bed.list({});
-  EXPECT_NE(Bed::find<RejectRequest>(bed.feed(bed.request(4000, 0))), nullptr);
-  EXPECT_NE(Bed::find<RejectRequest>(bed.feed(bed.request(4000, 2))), nullptr)
+  SchedulerFixture fixture;
+  fixture.list({});
+  EXPECT_NE(SchedulerFixture::find<RejectRequest>(fixture.handle(fixture.request(4000, 0))), nullptr);
+  EXPECT_NE(SchedulerFixture::find<RejectRequest>(fixture.handle(fixture.request(4000, 2))), nullptr)
       << "nothing has run: an unsafe one too";
 }
 
 TEST(RuleAnswer, TimeOutAtTheDeadlineFailsAtOnceAndOnce) {
-  Bed bed;
-  bed.list({host(1, reader_kind), host(9, writer_kind)});
-  const Request r = bed.request();
-  bed.feed(r);
-  bed.now += 6s;
-  const auto actions = bed.complete(r.id, 0, 1, Outcome::timeout, 6s);
-  EXPECT_NE(Bed::find<FailRequest>(actions), nullptr);
-  EXPECT_EQ(bed.sent(actions), 0u);
-  EXPECT_EQ(Bed::find<FailRequest>(bed.feed(ClientDisconnected{r.id})), nullptr);
+  SchedulerFixture fixture;
+  fixture.list({host(1, prefill_kind), host(9, decode_kind)});
+  const Request r = fixture.request();
+  fixture.handle(r);
+  fixture.now += 6s;
+  const auto actions = fixture.complete(r.id, 0, 1, Outcome::timeout, 6s);
+  EXPECT_NE(SchedulerFixture::find<FailRequest>(actions), nullptr);
+  EXPECT_EQ(fixture.sent_to(actions), 0u);
+  EXPECT_EQ(SchedulerFixture::find<FailRequest>(fixture.handle(ClientDisconnected{r.id})), nullptr);
 }
 
 TEST(RuleAnswer, NothingIsSentAfterTheEnd) {
-  Bed bed;
-  bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  const Request r = bed.request();
-  const EndpointId reader = bed.sent(bed.feed(r));
-  bed.feed(ClientDisconnected{r.id});
-  const auto actions = bed.complete(r.id, 0, reader, Outcome::prefill_done);
-  EXPECT_EQ(bed.sent(actions), 0u);
-  EXPECT_NE(Bed::find<ReleaseReservation>(actions), nullptr) << "and the state is let go";
+  SchedulerFixture fixture;
+  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(9, decode_kind)});
+  const Request r = fixture.request();
+  const EndpointId reader = fixture.sent_to(fixture.handle(r));
+  fixture.handle(ClientDisconnected{r.id});
+  const auto actions = fixture.complete(r.id, 0, reader, Outcome::prefill_done);
+  EXPECT_EQ(fixture.sent_to(actions), 0u);
+  EXPECT_NE(SchedulerFixture::find<ReleaseReservation>(actions), nullptr) << "and the state is let go";
 }
 
 TEST(RuleEffect, UnsafeThatMayHaveRunFails) {
   for (const Outcome outcome : {Outcome::error, Outcome::reset, Outcome::timeout, Outcome::cancelled}) {
-    Bed bed;
-    bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
-    const Request r = bed.request(4000, 2);
-    bed.feed(r);
-    const EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
-    const auto actions = bed.complete(r.id, 1, writer, outcome);
-    EXPECT_EQ(bed.sent(actions), 0u);
-    EXPECT_EQ(Bed::find<RejectRequest>(actions), nullptr);
-    EXPECT_NE(Bed::find<FailRequest>(actions), nullptr);
-    EXPECT_NE(Bed::find<ReleaseReservation>(actions), nullptr);
+    SchedulerFixture fixture;
+    fixture.list({host(1, prefill_kind), host(8, decode_kind), host(9, decode_kind)});
+    const Request r = fixture.request(4000, 2);
+    fixture.handle(r);
+    const EndpointId writer = fixture.sent_to(fixture.complete(r.id, 0, 1, Outcome::prefill_done));
+    const auto actions = fixture.complete(r.id, 1, writer, outcome);
+    EXPECT_EQ(fixture.sent_to(actions), 0u);
+    EXPECT_EQ(SchedulerFixture::find<RejectRequest>(actions), nullptr);
+    EXPECT_NE(SchedulerFixture::find<FailRequest>(actions), nullptr);
+    EXPECT_NE(SchedulerFixture::find<ReleaseReservation>(actions), nullptr);
   }
 }
 
 TEST(RuleEffect, UnsafeThatNeverRanGoesElsewhere) {
   for (const Outcome outcome : {Outcome::rejected_over_capacity, Outcome::connect_failed}) {
-    Bed bed;
-    bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
-    const Request r = bed.request(4000, 2);
-    bed.feed(r);
-    const EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
-    const EndpointId next = bed.sent(bed.complete(r.id, 1, writer, outcome));
+    SchedulerFixture fixture;
+    fixture.list({host(1, prefill_kind), host(8, decode_kind), host(9, decode_kind)});
+    const Request r = fixture.request(4000, 2);
+    fixture.handle(r);
+    const EndpointId writer = fixture.sent_to(fixture.complete(r.id, 0, 1, Outcome::prefill_done));
+    const EndpointId next = fixture.sent_to(fixture.complete(r.id, 1, writer, outcome));
     EXPECT_NE(next, 0u);
     EXPECT_NE(next, writer);
   }
 }
 
 TEST(RuleEffect, AReadHasNoEffect) {
-  Bed bed;
-  bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  const Request r = bed.request(4000, 2);
-  const EndpointId reader = bed.sent(bed.feed(r));
-  const EndpointId next = bed.sent(bed.complete(r.id, 0, reader, Outcome::reset));
+  SchedulerFixture fixture;
+  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(9, decode_kind)});
+  const Request r = fixture.request(4000, 2);
+  const EndpointId reader = fixture.sent_to(fixture.handle(r));
+  const EndpointId next = fixture.sent_to(fixture.complete(r.id, 0, reader, Outcome::reset));
   EXPECT_NE(next, 0u);
   EXPECT_NE(next, reader);
 }
 
 TEST(RuleEffect, KeyedStaysInItsGroupAndWindow) {
   for (const bool in_time : {true, false}) {
-    Bed bed;
-    bed.list(
-        {host(1, reader_kind, 1), host(7, writer_kind, 1), host(8, writer_kind, 1), host(9, writer_kind, 2)});
-    const Request r = bed.request(4000, 1);
-    bed.feed(r);
-    const EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
+    SchedulerFixture fixture;
+    fixture.list({host(1, prefill_kind, 1), host(7, decode_kind, 1), host(8, decode_kind, 1),
+                  host(9, decode_kind, 2)});
+    const Request r = fixture.request(4000, 1);
+    fixture.handle(r);
+    const EndpointId writer = fixture.sent_to(fixture.complete(r.id, 0, 1, Outcome::prefill_done));
     ASSERT_TRUE(writer == 7 || writer == 8);
-    bed.now += in_time ? 1s : 3s;
-    const auto actions = bed.complete(r.id, 1, writer, Outcome::error);
+    fixture.now += in_time ? 1s : 3s;
+    const auto actions = fixture.complete(r.id, 1, writer, Outcome::error);
     if (in_time) {
-      EXPECT_EQ(bed.sent(actions), 15 - writer) << "the other of its cell";
+      EXPECT_EQ(fixture.sent_to(actions), 15 - writer) << "the other of its cell";
     } else {
-      EXPECT_EQ(bed.sent(actions), 0u) << "they no longer remember it";
-      EXPECT_NE(Bed::find<FailRequest>(actions), nullptr);
+      EXPECT_EQ(fixture.sent_to(actions), 0u) << "they no longer remember it";
+      EXPECT_NE(SchedulerFixture::find<FailRequest>(actions), nullptr);
     }
   }
 }
 
 TEST(RuleDrain, DrainingAndMissingHostsGetNothing) {
-  Bed bed;
-  bed.list({host(1, reader_kind), host(2, reader_kind), host(9, writer_kind)});
-  auto draining = host(1, reader_kind);
+  SchedulerFixture fixture;
+  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(9, decode_kind)});
+  auto draining = host(1, prefill_kind);
   draining.state = EndpointState::draining;
-  bed.list({draining}, EndpointListKind::incremental);
+  fixture.list({draining}, EndpointListKind::incremental);
   for (int i = 0; i < 10; ++i)
-    EXPECT_EQ(bed.serve(bed.request()), 2u);
-  bed.list({host(1, reader_kind), host(9, writer_kind)});  // 2 is missing from a whole list: gone
+    EXPECT_EQ(fixture.serve(fixture.request()), 2u);
+  fixture.list({host(1, prefill_kind), host(9, decode_kind)});  // 2 is missing from a whole list: gone
   for (int i = 0; i < 10; ++i)
-    EXPECT_EQ(bed.serve(bed.request()), 1u);
+    EXPECT_EQ(fixture.serve(fixture.request()), 1u);
 }
 
 TEST(RuleCold, AFreshHostGetsItsPartOfTheBudget) {
   Settings s = settings();
   s.router_count = 3;
-  Bed bed(s);
+  SchedulerFixture fixture(s);
   const auto run = [&](int count) {
     int cold = 0;
     for (int i = 0; i < count; ++i) {
-      const Request r = bed.request();
-      const EndpointId reader = bed.sent(bed.feed(r));
-      bed.now += 60ms;
+      const Request r = fixture.request();
+      const EndpointId reader = fixture.sent_to(fixture.handle(r));
+      fixture.now += 60ms;
       cold += reader == 2;
-      const EndpointId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::prefill_done, 50ms));
-      bed.first(r.id, 1, writer);
-      bed.complete(r.id, 1, writer, Outcome::ok, 200ms, 0, true);
+      const EndpointId writer =
+          fixture.sent_to(fixture.complete(r.id, 0, reader, Outcome::prefill_done, 50ms));
+      fixture.first(r.id, 1, writer);
+      fixture.complete(r.id, 1, writer, Outcome::ok, 200ms, 0, true);
     }
     return cold;
   };
-  bed.list({host(1, reader_kind), host(3, reader_kind), host(9, writer_kind)});
+  fixture.list({host(1, prefill_kind), host(3, prefill_kind), host(9, decode_kind)});
   run(200);
-  auto fresh = host(2, reader_kind);
-  fresh.started_at = bed.now;
-  bed.list({fresh}, EndpointListKind::incremental);
+  auto fresh = host(2, prefill_kind);
+  fresh.started_at = fixture.now;
+  fixture.list({fresh}, EndpointListKind::incremental);
   const int first_window = run(50);  // three seconds, 25 sent to each warm reader
   EXPECT_GE(first_window, 1) << "it must be let warm up";
   EXPECT_LE(first_window, 25 * 2.5 * 0.25) << "the whole allowance, were all instances to send alike";
@@ -144,28 +145,28 @@
 }
 
 TEST(RulePinned, StateIsTakenOrLetGoAtOnce) {
-  Bed bed;
-  bed.list({host(1, reader_kind), host(9, writer_kind)});
-  const Request r = bed.request();
-  bed.feed(r);
-  auto draining = host(9, writer_kind);
+  SchedulerFixture fixture;
+  fixture.list({host(1, prefill_kind), host(9, decode_kind)});
+  const Request r = fixture.request();
+  fixture.handle(r);
+  auto draining = host(9, decode_kind);
   draining.state = EndpointState::draining;
-  bed.list({draining}, EndpointListKind::incremental);
-  const auto actions = bed.complete(r.id, 0, 1, Outcome::prefill_done);
-  EXPECT_EQ(bed.sent(actions), 0u);
-  EXPECT_NE(Bed::find<RejectRequest>(actions), nullptr);
-  EXPECT_NE(Bed::find<ReleaseReservation>(actions), nullptr);
+  fixture.list({draining}, EndpointListKind::incremental);
+  const auto actions = fixture.complete(r.id, 0, 1, Outcome::prefill_done);
+  EXPECT_EQ(fixture.sent_to(actions), 0u);
+  EXPECT_NE(SchedulerFixture::find<RejectRequest>(actions), nullptr);
+  EXPECT_NE(SchedulerFixture::find<ReleaseReservation>(actions), nullptr);
 }
 
 TEST(RulePinned, AWriterThatFailsLeavesTheStateForAnother) {
-  Bed bed;
-  bed.list({host(1, reader_kind), host(8, writer_kind), host(9, writer_kind)});
-  const Request r = bed.request();
-  bed.feed(r);
-  EndpointId writer = bed.sent(bed.complete(r.id, 0, 1, Outcome::prefill_done));
-  const auto actions = bed.complete(r.id, 1, writer, Outcome::connect_failed);
-  EXPECT_EQ(bed.sent(actions), 17 - writer);
-  EXPECT_EQ(Bed::find<ReleaseReservation>(actions), nullptr);
+  SchedulerFixture fixture;
+  fixture.list({host(1, prefill_kind), host(8, decode_kind), host(9, decode_kind)});
+  const Request r = fixture.request();
+  fixture.handle(r);
+  EndpointId writer = fixture.sent_to(fixture.complete(r.id, 0, 1, Outcome::prefill_done));
+  const auto actions = fixture.complete(r.id, 1, writer, Outcome::connect_failed);
+  EXPECT_EQ(fixture.sent_to(actions), 17 - writer);
+  EXPECT_EQ(SchedulerFixture::find<ReleaseReservation>(actions), nullptr);
 }
 
 // ---- Under random sequences ----
@@ -262,12 +263,12 @@
   s.router_count = 1 + static_cast<std::uint32_t>(below(4));
   s.report_columns = {"x0", "x1"};
   s.report_x0_is_memory = s.report_x1_is_queued_tokens = chance(0.7);
-  Bed bed(s, seed);
+  SchedulerFixture fixture(s, seed);
   Checker checker{s, {}, {}, {}};
   std::vector<Endpoint> hosts;
   for (EndpointId id = 1; id <= 9; ++id)
     hosts.push_back(host(id, static_cast<std::uint8_t>(below(3)), static_cast<std::uint16_t>(below(2)), 0));
-  const auto deliver = [&](const Event& event) { checker.check(bed.now, bed.feed(event)); };
+  const auto deliver = [&](const Event& event) { checker.check(fixture.now, fixture.handle(event)); };
   const auto tell = [&](EndpointListKind kind) {
     for (auto& h : hosts)
       checker.listed[h.id] = h;
@@ -281,25 +282,25 @@
     std::uint16_t attempt;
   };
   for (int step = 0; step < 3000; ++step) {
-    bed.now += Micros(below(20000));
+    fixture.now += Micros(below(20000));
     if (chance(0.02)) {  // the list changes
       auto& h = hosts[below(hosts.size())];
       h.state = chance(0.5) ? EndpointState::ready : EndpointState::draining;
       if (chance(0.3))
-        h.started_at = bed.now;
+        h.started_at = fixture.now;
       tell(chance(0.5) ? EndpointListKind::full : EndpointListKind::incremental);
     }
     if (chance(0.02))
       deliver(EndpointListUpdate{EndpointListKind::fetch_failed, 0, {}});
     if (chance(0.3)) {
-      Request r = bed.request(static_cast<float>(below(9000)), static_cast<std::uint16_t>(below(3)),
-                              1 + below(20), below(4), 1000);
+      Request r = fixture.request(static_cast<float>(below(9000)), static_cast<std::uint16_t>(below(3)),
+                                  1 + below(20), below(4), 1000);
       r.time_budget = Micros(chance(0.05) ? 0 : 500000 + below(5000000));
       if (chance(0.05))
         r.prompt_tokens = odd[below(5)];
       if (chance(0.05))
         r.shared_prefix_tokens = odd[below(5)];
-      checker.reqs[r.id] = {r, bed.now + r.time_budget, true, false, false, {}, {}};
+      checker.reqs[r.id] = {r, fixture.now + r.time_budget, true, false, false, {}, {}};
       deliver(r);
     }
     std::vector<Pending> pending;
@@ -310,7 +311,7 @@
     for (const auto& p : pending) {
       auto& q = checker.reqs.at(p.id);
       auto& t = q.tries[p.attempt];
-      const bool due = bed.now >= q.deadline;
+      const bool due = fixture.now >= q.deadline;
       const auto cancel =
           std::find(checker.cancelled.begin(), checker.cancelled.end(), std::pair(p.id, p.attempt));
       if (!due && cancel == checker.cancelled.end() && !chance(0.05))
@@ -329,7 +330,7 @@
       const bool started = outcome == Outcome::ok && q.live && !q.answered && chance(0.5);
       if (started) {
         q.deadline = Micros::max();
-        deliver(FirstTokenReceived{p.id, t.host, p.attempt, bed.now - t.sent});
+        deliver(FirstTokenReceived{p.id, t.host, p.attempt, fixture.now - t.sent});
       }
       auto& again = checker.reqs.at(p.id).tries[p.attempt];
       again.out = false;
@@ -339,13 +340,13 @@
         q.live = false;
       if (outcome == Outcome::prefill_done) {
         q.held = true;
-        q.free_since = bed.now;
+        q.free_since = fixture.now;
       }
       if (again.role != Role::prefill && outcome == Outcome::ok)
         q.held = false;
       if (q.held)
-        q.free_since = bed.now;
-      deliver(AttemptCompleted{p.id, outcome, !q.live || q.answered, bed.now - again.sent, again.host,
+        q.free_since = fixture.now;
+      deliver(AttemptCompleted{p.id, outcome, !q.live || q.answered, fixture.now - again.sent, again.host,
                                static_cast<std::uint32_t>(below(3)), p.attempt,
                                chance(0.2) ? std::vector<float>{} : std::vector<float>{odd[below(5)], 0.4f}});
     }
@@ -360,13 +361,13 @@
       deliver(AttemptCompleted{1000000 + below(50), Outcome::ok, true, 1s, 1, 0, 0, {}});  // never held
     if (chance(0.05))
       deliver(TimerFired{static_cast<std::uint32_t>(random())});
-    auto due = bed.alarms;
-    bed.alarms.clear();
+    auto due = fixture.timers;
+    fixture.timers.clear();
     for (const auto& alarm : due) {
-      if (alarm.first <= bed.now)
+      if (alarm.first <= fixture.now)
         deliver(TimerFired{alarm.second});
       else
-        bed.alarms.push_back(alarm);
+        fixture.timers.push_back(alarm);
     }
     if (::testing::Test::HasFailure())
       return;
--- a/tests/module/slow_start_test.cpp
+++ b/tests/module/slow_start_test.cpp
@@ -13,7 +13,7 @@
 namespace lemonroute::test {
 namespace {
 
-enum class Trouble {
+enum class Disruption {
   none,
   rolling,
   handed_over,
@@ -24,8 +24,8 @@
   std::uint32_t routers = 1;
   std::uint64_t seed = 1;
   Role role = Role::prefill;  // of the cold node
-  Trouble trouble = Trouble::none;
-  bool all_cold = false;  // every node of that role starts at once
+  Disruption disruption = Disruption::none;
+  bool all_in_slow_start = false;  // every node of that role starts at once
 };
 
 struct Seen {
@@ -69,7 +69,7 @@
   Seen play() {
     for (std::uint32_t me = 0; me < case_.routers; ++me)
       start(me);
-    const double rate = load_ * capacity_ * (case_.all_cold ? nodes_ : nodes_ - 1);
+    const double rate = load_ * capacity_ * (case_.all_in_slow_start ? nodes_ : nodes_ - 1);
     std::discrete_distribution<std::uint32_t> who(parts_.begin(), parts_.end());
     std::exponential_distribution<double> gap(rate);
     for (double at = gap(dice_); at < 30; at += gap(dice_))
@@ -77,11 +77,11 @@
     at_(begin_, [this] { replace(); });
     for (std::uint32_t me = 0; me < case_.routers; ++me) {
       const Micros within{static_cast<Micros::rep>(std::uniform_real_distribution<double>(0, 1e7)(dice_))};
-      if (case_.trouble == Trouble::rolling)
+      if (case_.disruption == Disruption::rolling)
         at_(begin_ + within, [this, me] { renew(me, true); });
-      if (case_.trouble == Trouble::handed_over)
+      if (case_.disruption == Disruption::handed_over)
         at_(restart_, [this, me] { renew(me, true); });
-      if (case_.trouble == Trouble::killed)
+      if (case_.disruption == Disruption::killed)
         at_(restart_, [this, me] { renew(me, false); });
     }
     while (!due_.empty()) {
@@ -91,7 +91,7 @@
       due_.erase(next);
       what();
     }
-    const double windows = 10 / window_, cold = case_.all_cold ? nodes_ : 1;
+    const double windows = 10 / window_, cold = case_.all_in_slow_start ? nodes_ : 1;
     seen_.used /= windows * cold;
     seen_.asked = std::min(1.0, load_) * capacity_ * window_;
     return seen_;
@@ -115,27 +115,27 @@
         all.back().started_at = epoch_ + begin_;
     }
     // Beside the last node, which isn't there before its start.
-    if (!case_.all_cold && now_ < begin_)
+    if (!case_.all_in_slow_start && now_ < begin_)
       all.pop_back();
     if (case_.role != Role::mixed)
       for (EndpointId i = 0; i < 4; ++i)
-        all.push_back(host(first_other + i, case_.role == Role::prefill ? writer_kind : reader_kind));
+        all.push_back(host(first_other + i, case_.role == Role::prefill ? decode_kind : prefill_kind));
     return all;
   }
   bool is_new(EndpointId id) const {
-    return id < first_other && (case_.all_cold || id == first_of_role + nodes_ - 1);
+    return id < first_other && (case_.all_in_slow_start || id == first_of_role + nodes_ - 1);
   }
 
   void start(std::uint32_t me) {
     Settings s = settings_;
     s.router_index = me;
     ones_[me].scheduler = std::make_unique<Scheduler>(s, case_.seed + me);
-    feed(me, EndpointListUpdate{EndpointListKind::full, 1, list()});
+    handle(me, EndpointListUpdate{EndpointListKind::full, 1, list()});
   }
   void replace() {
     for (std::uint32_t me = 0; me < case_.routers; ++me)
-      feed(me, EndpointListUpdate{EndpointListKind::full, 2, list()});
-    if (case_.all_cold)
+      handle(me, EndpointListUpdate{EndpointListKind::full, 2, list()});
+    if (case_.all_in_slow_start)
       busy_.clear();
   }
   void renew(std::uint32_t me, bool told) {
@@ -155,15 +155,15 @@
     r.prompt_tokens = static_cast<float>(mean_work * work(dice_));
     r.max_output_tokens = 100;
     prompts_[r.id] = r.prompt_tokens;
-    feed(me, r);
+    handle(me, r);
   }
 
-  void feed(std::uint32_t me, const Event& event) {
+  void handle(std::uint32_t me, const Event& event) {
     std::vector<Action> actions;
     ones_[me].scheduler->handle(epoch_ + now_, event, actions);
     for (const auto& action : actions) {
       if (const auto* sleep = std::get_if<StartTimer>(&action)) {
-        later(me, sleep->delay, [this, me, cookie = sleep->timer_id] { feed(me, TimerFired{cookie}); });
+        later(me, sleep->delay, [this, me, cookie = sleep->timer_id] { handle(me, TimerFired{cookie}); });
       } else if (const auto* send = std::get_if<Send>(&action)) {
         begin(me, send->id, send->endpoint);
       } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
@@ -209,8 +209,8 @@
     const auto [node, since] = found->second;
     out_.erase(found);
     if (how == Outcome::ok)
-      feed(me, FirstTokenReceived{id.first, node, id.second, now_ - since});
-    feed(me, AttemptCompleted{id.first, how, how == Outcome::ok, now_ - since, node, 0, id.second, {}});
+      handle(me, FirstTokenReceived{id.first, node, id.second, now_ - since});
+    handle(me, AttemptCompleted{id.first, how, how == Outcome::ok, now_ - since, node, 0, id.second, {}});
   }
 
   void put_down(EndpointId node, double work) {
@@ -244,18 +244,19 @@
   Seen seen_;
 };
 
-// Over `seeds` draws of each kind of trouble: the most of any window against the limit, and the mean use of
-// what the budget and the traffic allow.
-void expect_bounds(std::uint32_t routers, bool all_cold, double least_use) {
+// Over `seeds` draws of each kind of disruption: the most of any window against the limit, and the mean use
+// of what the budget and the traffic allow.
+void expect_bounds(std::uint32_t routers, bool all_in_slow_start, double least_use) {
   constexpr std::uint64_t seeds = 3;
   double used = 0, plays = 0;
   for (const Role role : {Role::prefill, Role::decode, Role::mixed})
-    for (const Trouble trouble : {Trouble::none, Trouble::rolling, Trouble::handed_over, Trouble::killed})
+    for (const Disruption disruption :
+         {Disruption::none, Disruption::rolling, Disruption::handed_over, Disruption::killed})
       for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const Seen seen = Fleet({routers, seed, role, trouble, all_cold}).play();
+        const Seen seen = Fleet({routers, seed, role, disruption, all_in_slow_start}).play();
         EXPECT_LE(seen.most, seen.limit())
-            << routers << " routers, role " << static_cast<int>(role) << ", trouble "
-            << static_cast<int>(trouble) << ", seed " << seed << ", N " << seen.calls;
+            << routers << " routers, role " << static_cast<int>(role) << ", disruption "
+            << static_cast<int>(disruption) << ", seed " << seed << ", N " << seen.calls;
         used += seen.used / std::min(seen.calls, seen.asked);
         ++plays;
       }
@@ -285,30 +286,31 @@
 
 // Its predecessor may have sent its whole part in the running window, and the learned rates don't say.
 TEST(SlowStartOfAProcess, SendsAColdNodeOneRequestAtMostInItsFirstWindow) {
-  const auto at_cold = [](Bed& bed, int requests) {
+  const auto sent_in_slow_start = [](SchedulerFixture& fixture, int requests) {
     int count = 0;
     for (int i = 0; i < requests; ++i) {
-      const Request r = bed.request();
-      const EndpointId reader = bed.sent(bed.feed(r));
-      bed.now += 40ms;
-      const EndpointId writer = bed.sent(bed.complete(r.id, 0, reader, Outcome::prefill_done, 40ms));
-      bed.first(r.id, 1, writer);
-      bed.complete(r.id, 1, writer, Outcome::ok, 60ms, 0, true);
+      const Request r = fixture.request();
+      const EndpointId reader = fixture.sent_to(fixture.handle(r));
+      fixture.now += 40ms;
+      const EndpointId writer =
+          fixture.sent_to(fixture.complete(r.id, 0, reader, Outcome::prefill_done, 40ms));
+      fixture.first(r.id, 1, writer);
+      fixture.complete(r.id, 1, writer, Outcome::ok, 60ms, 0, true);
       count += reader == 2;
     }
     return count;
   };
-  Bed old;
-  old.list({host(1, reader_kind), host(9, writer_kind)});
-  at_cold(old, 500);
-  Bed fresh;
+  SchedulerFixture old;
+  old.list({host(1, prefill_kind), host(9, decode_kind)});
+  sent_in_slow_start(old, 500);
+  SchedulerFixture fresh;
   fresh.now = old.now;
-  auto cold = host(2, reader_kind);
+  auto cold = host(2, prefill_kind);
   cold.started_at = old.now - 1s;
-  fresh.list({host(1, reader_kind), cold, host(9, writer_kind)});
+  fresh.list({host(1, prefill_kind), cold, host(9, decode_kind)});
   fresh.scheduler.adopt_learned_rates(fresh.now, old.scheduler.learned_rates(old.now));
-  EXPECT_LE(at_cold(fresh, 70), 1);  // 2.8 s of the 3 s
-  EXPECT_GE(at_cold(fresh, 80), 5) << "it has to warm up";
+  EXPECT_LE(sent_in_slow_start(fresh, 70), 1);  // 2.8 s of the 3 s
+  EXPECT_GE(sent_in_slow_start(fresh, 80), 5) << "it has to warm up";
 }
 
 }  // namespace
--- a/tests/module/support.h
+++ b/tests/module/support.h
@@ -1,4 +1,4 @@
-// A hand-driven dispatcher for tests: it feeds events, keeps the actions, and holds nothing of a server.
+// A Scheduler driven by hand for tests: the fixture puts events to it, collects actions and keeps due timers. No I/O.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-inline constexpr std::uint8_t reader_kind = 0, writer_kind = 1, mixed_kind = 2;
+inline constexpr std::uint8_t prefill_kind = 0, decode_kind = 1, mixed_kind = 2;
 
 inline Settings settings() {
   Settings s;
@@ -54,24 +54,25 @@
   return e;
 }
 
-class Bed {
+class SchedulerFixture {
  public:
-  explicit Bed(Settings s = settings(), std::uint64_t seed = 1) : scheduler(std::move(s), seed) {}
+  explicit SchedulerFixture(Settings s = settings(), std::uint64_t seed = 1)
+      : scheduler(std::move(s), seed) {}
 
-  // What one event makes the module do.
-  std::vector<Action> feed(const Event& event) {
+  // Puts one event to the Scheduler and returns the actions that follow.
+  std::vector<Action> handle(const Event& event) {
     std::vector<Action> actions;
     scheduler.handle(now, event, actions);
     for (const auto& action : actions) {
       if (const auto* sleep = std::get_if<StartTimer>(&action))
-        alarms.emplace_back(now + sleep->delay, sleep->timer_id);
+        timers.emplace_back(now + sleep->delay, sleep->timer_id);
       if (const auto* log = std::get_if<Log>(&action))
         log_lines.push_back(log->line);
     }
     return actions;
   }
   std::vector<Action> list(std::vector<Endpoint> hosts, EndpointListKind kind = EndpointListKind::full) {
-    return feed(EndpointListUpdate{kind, 1, std::move(hosts)});
+    return handle(EndpointListUpdate{kind, 1, std::move(hosts)});
   }
   Request request(float prompt = 4000, std::uint16_t cls = 0, Key session = 0, Key shared = 0,
                   float prefix = 0) {
@@ -89,36 +90,36 @@
   std::vector<Action> complete(RequestId id, std::uint16_t attempt, EndpointId host, Outcome outcome,
                                Micros elapsed = 100ms, std::uint32_t note = 0, bool done = false,
                                std::vector<float> load = {}) {
-    return feed(AttemptCompleted{id, outcome, done, elapsed, host, note, attempt, std::move(load)});
+    return handle(AttemptCompleted{id, outcome, done, elapsed, host, note, attempt, std::move(load)});
   }
   std::vector<Action> first(RequestId id, std::uint16_t attempt, EndpointId host, Micros elapsed = 50ms) {
-    return feed(FirstTokenReceived{id, host, attempt, elapsed});
+    return handle(FirstTokenReceived{id, host, attempt, elapsed});
   }
   // A whole request served in the usual way; returns the reader that was chosen.
   EndpointId serve(const Request& r, Micros read_time = 100ms, std::uint32_t kept = 0) {
-    const EndpointId reader = sent(feed(r));
+    const EndpointId reader = sent_to(handle(r));
     now += read_time;
-    const EndpointId writer = sent(complete(r.id, 0, reader, Outcome::prefill_done, read_time, kept));
+    const EndpointId writer = sent_to(complete(r.id, 0, reader, Outcome::prefill_done, read_time, kept));
     now += 50ms;
     first(r.id, 1, writer);
     now += 500ms;
     complete(r.id, 1, writer, Outcome::ok, 550ms, 0, true);
     return reader;
   }
-  // Delivers alarms that are due up to `until`, and moves the clock there.
-  std::vector<Action> pass(Micros until) {
+  // Delivers timers that are due up to `until`, and moves the clock there.
+  std::vector<Action> advance_to(Micros until) {
     std::vector<Action> all;
     for (;;) {
-      auto due = alarms.end();
-      for (auto it = alarms.begin(); it != alarms.end(); ++it)
-        if (it->first <= until && (due == alarms.end() || it->first < due->first))
+      auto due = timers.end();
+      for (auto it = timers.begin(); it != timers.end(); ++it)
+        if (it->first <= until && (due == timers.end() || it->first < due->first))
           due = it;
-      if (due == alarms.end())
+      if (due == timers.end())
         break;
       now = std::max(now, due->first);
       const auto cookie = due->second;
-      alarms.erase(due);
-      for (auto& action : feed(TimerFired{cookie}))
+      timers.erase(due);
+      for (auto& action : handle(TimerFired{cookie}))
         all.push_back(std::move(action));
     }
     now = std::max(now, until);
@@ -132,7 +133,7 @@
         return found;
     return nullptr;
   }
-  static EndpointId sent(const std::vector<Action>& actions) {
+  static EndpointId sent_to(const std::vector<Action>& actions) {
     const auto* send = find<Send>(actions);
     return send ? send->endpoint : 0;
   }
@@ -140,7 +141,7 @@
   Scheduler scheduler;
   Micros now = 1000s;
   RequestId next_id = 1;
-  std::vector<std::pair<Micros, std::uint32_t>> alarms;
+  std::vector<std::pair<Micros, std::uint32_t>> timers;
   std::vector<std::string> log_lines;
 };
 
