--- a/include/lemonroute/explanations.h
+++ b/include/lemonroute/explanations.h
@@ -10,11 +10,11 @@
 
 /// What the Scheduler believed of one endpoint when it made a choice.
 struct Candidate {
-  EndpointId endpoint = 0;
+  EndpointId endpoint = 0;                 ///< that the figures are of
   const char* exclusion_reason = nullptr;  ///< why it could not be chosen; null: it could. Static storage.
   double recorded_match = 0;               ///< prompt tokens cached there, as recorded
-  double assumed_match =
-      0;  ///< prompt tokens cached there, as counted: recorded, or assumed by cache affinity
+  /// Prompt tokens cached there, as the score counts them: recorded, or assumed by cache affinity.
+  double assumed_match = 0;
   double prefill_rate = 0;   ///< microseconds per prompt token
   double queued_tokens = 0;  ///< prompt tokens queued there
   double load = 0;           ///< as a decode node: share of KV cache memory in use
@@ -28,15 +28,17 @@
 
 /// One choice of an endpoint, or one rejection before any attempt.
 struct Choice {
-  RequestId id = 0;
-  Micros at{};                 ///< on the Scheduler's clock
-  Role stage = Role::prefill;  ///< the stage that an endpoint was chosen for
-  EndpointId excluded = 0;     ///< not to be chosen, since the attempt before was there; 0: none
-  EndpointId chosen = 0;       ///< 0: none could be chosen
-  bool shed = false;           ///< the request was rejected early, for the figures below
-  Micros estimated_wait{}, max_wait{};
-  double load = 0, max_load = 0;
-  std::vector<Candidate> candidates{};
+  RequestId id = 0;                     ///< request that the choice is for
+  Micros at{};                          ///< on the Scheduler's clock
+  Role stage = Role::prefill;           ///< the stage that an endpoint was chosen for
+  EndpointId excluded = 0;              ///< not to be chosen, since the attempt before was there; 0: none
+  EndpointId chosen = 0;                ///< 0: none could be chosen
+  bool shed = false;                    ///< the request was rejected early, for the figures below
+  Micros estimated_wait{},              ///< where `shed`: the wait that the request was judged by
+      max_wait{};                       ///< where `shed`: the longest wait at which it would have been sent
+  double load = 0,                      ///< where `shed`: projected load of the least loaded decode node
+      max_load = 0;                     ///< where `shed`: the highest load at which it would have been sent
+  std::vector<Candidate> candidates{};  ///< every endpoint on record, by ascending id; empty where `shed`
 };
 
 }  // namespace lemonroute
--- a/include/lemonroute/scheduler.h
+++ b/include/lemonroute/scheduler.h
@@ -20,8 +20,8 @@
 /// What one Scheduler has learned that holds for its successor process as well.
 struct LearnedRates {
   std::vector<std::pair<Role, double>> prefill_rates;  ///< usual microseconds per prompt token, by role
-  std::vector<std::pair<EndpointId, double>>
-      work_rates;  ///< prompt tokens per microsecond sent to an endpoint
+  /// Prompt tokens per microsecond that this router sends to each endpoint.
+  std::vector<std::pair<EndpointId, double>> work_rates;
 };
 
 /// Decides for one router. Deterministic: the same calls give the same actions. Not thread-safe.
@@ -29,10 +29,14 @@
 /// Times that are passed in must not decrease from one call to the next.
 class Scheduler {
  public:
-  /// \param seed reserved for decisions by chance; there are none today.
+  /// Starts without nodes and requests; the first event brings the endpoint list. `seed` is reserved for
+  /// decisions by chance; there are none today.
   Scheduler(Settings settings, std::uint64_t seed);
+  /// Drops open requests without an action.
   ~Scheduler();
+  /// A Scheduler that was moved from may only be destroyed or assigned to.
   Scheduler(Scheduler&&) noexcept;
+  /// See the move constructor.
   Scheduler& operator=(Scheduler&&) noexcept;
 
   /// Handles one event and appends the actions that follow from it to `actions`.
@@ -44,6 +48,7 @@
   /// Calls `observer` with each choice, before the action that follows from it; an empty function ends that.
   void set_choice_observer(std::function<void(const Choice&)> observer);
 
+  /// Returns what this Scheduler has learned, for adopt_learned_rates() of its successor.
   [[nodiscard]] LearnedRates learned_rates(Micros now) const;
 
   /// Adopts what another Scheduler has learned, wherever this one has learned nothing of its own.
--- a/include/lemonroute/settings.h
+++ b/include/lemonroute/settings.h
@@ -13,9 +13,9 @@
 
 /// The terms of one request class.
 struct ClassSettings {
-  std::string name;
-  Idempotency idempotency = Idempotency::idempotent;
-  RetryScope retry_scope = RetryScope::all;
+  std::string name;  ///< averages over the requests of a class are kept by it
+  Idempotency idempotency = Idempotency::idempotent;  ///< whether a request may run again
+  RetryScope retry_scope = RetryScope::all;           ///< where, with Idempotency::idempotent_with_key
   Micros latency_objective{};  ///< time to first token (TTFT), without the part that grows with the prompt
   Micros deadline{};           ///< the client gives up after it, counted from its request
   Micros retry_window{};       ///< an attempt with an idempotency key may be repeated for so long
@@ -29,15 +29,15 @@
 
 /// The terms of one tenant.
 struct TenantSettings {
-  std::string name;
+  std::string name;      ///< what is used of a quota is kept by it
   double quota_rps = 0;  ///< requests per second over all routers; 0: no quota
   double share = 0;      ///< share of the fleet's capacity, 0 to 1
 };
 
 /// All settings of one router.
 struct Settings {
-  std::vector<ClassSettings> classes;
-  std::vector<TenantSettings> tenants;
+  std::vector<ClassSettings> classes;       ///< by Request::class_index
+  std::vector<TenantSettings> tenants;      ///< by Request::tenant_index
   std::vector<Role> kind_role;              ///< by machine kind
   std::vector<double> kind_memory;          ///< by machine kind: tokens of KV cache
   std::vector<std::string> report_columns;  ///< names of a load report's values, in their order
--- a/include/lemonroute/types.h
+++ b/include/lemonroute/types.h
@@ -56,9 +56,9 @@
 
 /// What the endpoint list says of an endpoint. The numbers are those of the simulator's wire.
 enum class EndpointState : std::uint8_t {
-  removed = 0,
-  ready = 1,
-  draining = 2,
+  removed = 0,   ///< not in the list any more
+  ready = 1,     ///< takes new attempts
+  draining = 2,  ///< finishes its attempts and takes no new ones
 };
 
 /// How an endpoint list update relates to the list before it. The numbers are those of the simulator's wire.
