--- a/src/module/active_settings.h
+++ b/src/module/active_settings.h
@@ -21,6 +21,7 @@
   /// Replaces all settings.
   void update(Settings settings);
 
+  /// Returns the settings as they were given to update(). The reference stays valid; its values change there.
   [[nodiscard]] const Settings& values() const { return values_; }
 
   /// Returns the terms of a request class. A class index beyond the settings gets the strictest terms: such a
--- a/src/module/admission_controller.h
+++ b/src/module/admission_controller.h
@@ -16,6 +16,7 @@
 /// Sheds requests that would miss their latency objective or find every decode node full.
 class AdmissionController {
  public:
+  /// Keeps the references, which must outlive it.
   AdmissionController(const Context& context, const NodeRegistry& nodes, const RequestTable& requests,
                       const Estimators& estimators)
       : context_(context), nodes_(nodes), requests_(requests), estimators_(estimators) {}
@@ -26,8 +27,8 @@
   /// load that it is shed for.
   [[nodiscard]] bool should_shed(const RequestState& request, const Selection& selection);
 
-  /// Returns the Retry-After for a rejected request, or 0 for none. \param queue_wait microseconds that it
-  /// would wait.
+  /// Returns the Retry-After for a rejected request that would wait for `queue_wait` microseconds, or 0 for
+  /// none.
   [[nodiscard]] Micros retry_after(double queue_wait) const;
 
  private:
--- a/src/module/attempt_policy.h
+++ b/src/module/attempt_policy.h
@@ -21,21 +21,22 @@
 
 /// The parts that AttemptPolicy drives. All references live as long as the Scheduler.
 struct AttemptPolicyParts {
-  NodeRegistry& nodes;
-  RequestTable& requests;
-  Estimators& estimators;
-  PrefillSelector& prefill_selector;
-  DecodeSelector& decode_selector;
-  AdmissionController& admission;
-  TenantQuota& quota;
-  ReservationTracker& reservations;
-  OutcomeRecorder& outcomes;
-  AttemptStarter& starter;
+  NodeRegistry& nodes;                ///< finds an attempt's node and its role
+  RequestTable& requests;             ///< holds all open requests
+  Estimators& estimators;             ///< counts arrivals, and knows the usual time to first token
+  PrefillSelector& prefill_selector;  ///< chooses for the first stage
+  DecodeSelector& decode_selector;    ///< chooses for the second stage
+  AdmissionController& admission;     ///< sheds requests before their first attempt
+  TenantQuota& quota;                 ///< asked once for each request
+  ReservationTracker& reservations;   ///< cancels attempts and releases KV caches
+  OutcomeRecorder& outcomes;          ///< told of each result
+  AttemptStarter& starter;            ///< sends each attempt
 };
 
 /// Handles the events of requests.
 class AttemptPolicy {
  public:
+  /// Keeps the references, which must outlive it.
   AttemptPolicy(Context& context, const AttemptPolicyParts& parts) : context_(context), parts_(parts) {}
 
   /// Takes a request: sends its first attempt, or rejects it.
@@ -53,7 +54,7 @@
   /// How a request that was not served is answered.
   enum class FailureAnswer {
     reject_if_not_run,  ///< "not served, may be sent again", provided that it can't have run
-    fail,
+    fail,               ///< "failed", whether it can have run or not
   };
 
   void describe_request(RequestState& state) const;
--- a/src/module/attempt_starter.h
+++ b/src/module/attempt_starter.h
@@ -16,15 +16,17 @@
 /// Sends attempts and sets the timers after which they are overdue.
 class AttemptStarter {
  public:
+  /// Keeps the references, which must outlive it.
   AttemptStarter(Context& context, NodeRegistry& nodes, RequestTable& requests, Estimators& estimators,
                  const EndpointFilter& filter)
       : context_(context), nodes_(nodes), requests_(requests), estimators_(estimators), filter_(filter) {}
 
   /// Sends a request to the endpoint selected. Returns false, and does nothing, where a rule forbids the
-  /// attempt. \param expected_time microseconds until the attempt's first result.
+  /// attempt. `expected_time` is in microseconds, from now to the attempt's first result.
   [[nodiscard]] bool start_attempt(RequestState& request, const Selection& selection, double expected_time);
 
-  /// Sets the timer after which an attempt is looked at for being overdue. \param delay microseconds.
+  /// Sets the timer that makes AttemptPolicy check in `delay` microseconds whether the attempt is overdue. A
+  /// shorter delay than the timers' resolution is raised to it.
   void start_overdue_timer(const AttemptRef& attempt, double delay);
 
  private:
--- a/src/module/context.h
+++ b/src/module/context.h
@@ -34,15 +34,19 @@
   /// Returns the time of the first event that this process has handled.
   [[nodiscard]] Micros first_event_at() const { return first_event_at_; }
 
+  /// See ActiveSettings::values.
   [[nodiscard]] const Settings& settings() const { return active_settings_.values(); }
+  /// Returns the settings in force with the figures that follow from them.
   [[nodiscard]] const ActiveSettings& active_settings() const { return active_settings_; }
   /// See ActiveSettings::memory_duration.
   [[nodiscard]] Micros memory_duration() const { return active_settings_.memory_duration(); }
+  /// Replaces the settings. Classes that derive state from them are updated by Scheduler::update_settings.
   void update_settings(Settings settings) { active_settings_.update(std::move(settings)); }
 
   /// Appends an action to those of the event under way.
   void emit(Action action) { actions_->push_back(std::move(action)); }
 
+  /// Replaces the observer of choices, which is owned from then on; an empty function removes it.
   void set_choice_observer(std::function<void(const Choice&)> observer) {
     choice_observer_ = std::move(observer);
   }
--- a/src/module/decode_load_estimator.h
+++ b/src/module/decode_load_estimator.h
@@ -25,13 +25,14 @@
 
 /// What a decode node did with an attempt.
 enum class AdmissionResult {
-  admitted,
+  admitted,  ///< it served the attempt
   rejected,  ///< for lack of capacity
 };
 
 /// Estimates the load of decode nodes from this router's own streams and from load reports.
 class DecodeLoadEstimator {
  public:
+  /// Keeps the references, which must outlive it.
   DecodeLoadEstimator(const Context& context, const NodeRegistry& nodes, const RequestTable& requests,
                       const OutlierDetector& outliers)
       : context_(context), nodes_(nodes), requests_(requests), outliers_(outliers) {}
--- a/src/module/decode_selector.h
+++ b/src/module/decode_selector.h
@@ -18,12 +18,13 @@
 /// Chooses decode nodes, and mixed nodes for the decode stage.
 class DecodeSelector {
  public:
+  /// Keeps the references, which must outlive it.
   DecodeSelector(const NodeRegistry& nodes, const Estimators& estimators, PoolStatistics& pools,
                  const EndpointFilter& filter, ChoiceExplainer& explainer)
       : nodes_(nodes), estimators_(estimators), pools_(pools), filter_(filter), explainer_(explainer) {}
 
-  /// Returns the endpoint chosen, or nothing where none is eligible. \param excluded an endpoint not to
-  /// choose, or 0.
+  /// Returns the endpoint chosen, or nothing where none is eligible. `excluded` is an endpoint not to choose,
+  /// or 0.
   [[nodiscard]] std::optional<Selection> choose(const RequestState& request, EndpointId excluded = 0);
 
  private:
--- a/src/module/endpoint_filter.h
+++ b/src/module/endpoint_filter.h
@@ -21,13 +21,14 @@
   /// why the node can't be chosen, in static storage.
   using ScoreFunction = std::function<const char*(const Node& node, Selection& selection)>;
 
+  /// Keeps the references, which must outlive it.
   EndpointFilter(const Context& context, const NodeRegistry& nodes, const Estimators& estimators,
                  ChoiceExplainer& explainer)
       : context_(context), nodes_(nodes), estimators_(estimators), explainer_(explainer) {}
 
   /// Returns the endpoints that may be chosen, by ascending id, each with its score, and begins the
-  /// explanation of the choice. \param stage Role::prefill or Role::decode. \param excluded an endpoint not
-  /// to choose, or 0.
+  /// explanation of the choice. `stage` is Role::prefill or Role::decode; `excluded` is an endpoint not to
+  /// choose, or 0. `score` is called once for each node that meets all conditions.
   [[nodiscard]] std::vector<Selection> eligible_endpoints(const RequestState& request, Role stage,
                                                           EndpointId excluded,
                                                           const ScoreFunction& score) const;
--- a/src/module/estimators.h
+++ b/src/module/estimators.h
@@ -19,6 +19,7 @@
 
 /// All estimators of one Scheduler. Each may read those declared before it.
 struct Estimators {
+  /// Keeps the references, which must outlive it.
   Estimators(Context& context, const NodeRegistry& nodes, const RequestTable& requests)
       : outliers(context, nodes, requests),
         workload(context),
@@ -27,17 +28,18 @@
         decode_loads(context, nodes, requests, outliers),
         slow_start(context, nodes, workload, prefill_times),
         prefix_cache(context, nodes, slow_start) {}
-  // The estimators refer to each other, so they stay where they are.
+  /// Neither copied nor moved, since the estimators refer to each other.
   Estimators(const Estimators&) = delete;
+  /// See the copy constructor.
   Estimators& operator=(const Estimators&) = delete;
 
-  OutlierDetector outliers;
-  WorkloadStatistics workload;
-  MixedPrefillThrottle mixed_prefills;
-  PrefillTimeEstimator prefill_times;
-  DecodeLoadEstimator decode_loads;
-  SlowStartLimiter slow_start;
-  PrefixCacheIndex prefix_cache;
+  OutlierDetector outliers;             ///< how often attempts fail at a node
+  WorkloadStatistics workload;          ///< what requests are like
+  MixedPrefillThrottle mixed_prefills;  ///< how much prefill a mixed node may do
+  PrefillTimeEstimator prefill_times;   ///< how fast a node prefills, and its queue
+  DecodeLoadEstimator decode_loads;     ///< how full a node is as a decode node
+  SlowStartLimiter slow_start;          ///< how much a node that has just started may get
+  PrefixCacheIndex prefix_cache;        ///< which prefixes a node has cached
 };
 
 }  // namespace lemonroute::decisions
--- a/src/module/mixed_prefill_throttle.h
+++ b/src/module/mixed_prefill_throttle.h
@@ -13,6 +13,7 @@
 /// Delays prefills at mixed nodes so that all routers together use only a part of each node's time for them.
 class MixedPrefillThrottle {
  public:
+  /// Keeps the references, which must outlive it.
   MixedPrefillThrottle(const Context& context, const NodeRegistry& nodes)
       : context_(context), nodes_(nodes) {}
 
--- a/src/module/node.h
+++ b/src/module/node.h
@@ -54,6 +54,7 @@
 /// How far records of prefixes cached at a node are valid. Private to PrefixCacheIndex.
 class CacheRecordValidity {
  public:
+  /// All records are valid.
   CacheRecordValidity() = default;
   /// Records made until `valid_since` are void.
   explicit CacheRecordValidity(Micros valid_since) : valid_since_(valid_since) {}
@@ -67,12 +68,17 @@
 /// One node of the endpoint list, or one that has left the list and still has attempts outstanding.
 class Node {
  public:
+  /// Returns the endpoint's id, which a new process of the node keeps.
   [[nodiscard]] EndpointId id() const { return endpoint_.id; }
+  /// See Endpoint::zone.
   [[nodiscard]] std::uint8_t zone() const { return endpoint_.zone; }
+  /// See Endpoint::cell.
   [[nodiscard]] std::uint16_t cell() const { return endpoint_.cell; }
+  /// Returns when the node's process started, on the Scheduler's clock; 0: long ago.
   [[nodiscard]] Micros process_started_at() const { return endpoint_.started_at; }
   /// Returns whether the endpoint list last said that the node takes new work.
   [[nodiscard]] bool is_ready() const { return endpoint_.state == EndpointState::ready; }
+  /// Returns the role of the node's machine kind; Role::mixed where the settings state none.
   [[nodiscard]] Role role() const { return role_; }
   /// Returns the KV cache memory in tokens, or 0 where the settings do not state it.
   [[nodiscard]] double kv_cache_tokens() const { return kv_cache_tokens_; }
@@ -83,12 +89,12 @@
   /// Returns the outstanding attempts, in the order in which they were sent.
   [[nodiscard]] const std::vector<AttemptRef>& outstanding() const { return outstanding_; }
 
-  FailureHistory failures{};
-  SentWorkHistory sent_work{};
-  PrefillHistory prefill{};
-  MixedPrefillBacklog mixed_prefill{};
-  DecodeHistory decode{};
-  CacheRecordValidity cache_records{};
+  FailureHistory failures{};            ///< of OutlierDetector
+  SentWorkHistory sent_work{};          ///< of SlowStartLimiter
+  PrefillHistory prefill{};             ///< of PrefillTimeEstimator
+  MixedPrefillBacklog mixed_prefill{};  ///< of MixedPrefillThrottle
+  DecodeHistory decode{};               ///< of DecodeLoadEstimator
+  CacheRecordValidity cache_records{};  ///< of PrefixCacheIndex
 
  private:
   friend class NodeRegistry;  // endpoint_, role_, kv_cache_tokens_
--- a/src/module/node_registry.h
+++ b/src/module/node_registry.h
@@ -19,6 +19,7 @@
   /// Id of the timer after which the endpoint list is polled. Timers of attempts have other ids.
   static constexpr std::uint32_t poll_timer_id = 0;
 
+  /// Keeps the reference, which must outlive it.
   explicit NodeRegistry(Context& context) : context_(context) {}
 
   /// Applies an update of the endpoint list. Where the list is polled, a failed poll is repeated with
@@ -37,6 +38,7 @@
   /// Returns a node's record, or null where there is none. The pointer is valid until the next endpoint list
   /// update.
   [[nodiscard]] const Node* find(EndpointId endpoint) const;
+  /// The same, for those who change the record.
   [[nodiscard]] Node* find(EndpointId endpoint);
 
   /// Returns a node's role; an unknown node counts as mixed.
--- a/src/module/outcome_recorder.h
+++ b/src/module/outcome_recorder.h
@@ -16,10 +16,11 @@
 /// Turns results into samples for the estimators.
 class OutcomeRecorder {
  public:
+  /// Keeps the references, which must outlive it.
   OutcomeRecorder(const Context& context, RequestTable& requests, Estimators& estimators)
       : context_(context), requests_(requests), estimators_(estimators) {}
 
-  /// Records that an attempt has had its first result. \param elapsed microseconds since it was sent.
+  /// Records that an attempt has had its first result, `elapsed` microseconds after it was sent.
   void record_first_result(Node& node, const Attempt& attempt, double elapsed);
 
   /// Records that an attempt has ended, and removes it from those outstanding at its node.
--- a/src/module/outlier_detector.h
+++ b/src/module/outlier_detector.h
@@ -13,13 +13,14 @@
 
 /// Whether a node did what it was asked.
 enum class NodeVerdict {
-  succeeded,
-  failed,
+  succeeded,  ///< it served the attempt, or the health check
+  failed,     ///< it did not, for a reason that lies with the node
 };
 
 /// Tracks a failure ratio for each node and ejects the nodes where it is high.
 class OutlierDetector {
  public:
+  /// Keeps the references, which must outlive it.
   OutlierDetector(Context& context, const NodeRegistry& nodes, const RequestTable& requests)
       : context_(context), nodes_(nodes), requests_(requests) {}
 
--- a/src/module/pool_statistics.h
+++ b/src/module/pool_statistics.h
@@ -10,6 +10,7 @@
 /// Decides when the averages of all estimators are computed anew.
 class PoolStatistics {
  public:
+  /// Keeps the reference, which must outlive it. The averages count as out of date.
   explicit PoolStatistics(Estimators& estimators) : estimators_(estimators) {}
 
   /// Marks the averages as out of date. Called when an event begins.
--- a/src/module/prefill_selector.h
+++ b/src/module/prefill_selector.h
@@ -19,12 +19,13 @@
 /// Chooses prefill nodes, and mixed nodes for both stages.
 class PrefillSelector {
  public:
+  /// Keeps the references, which must outlive it.
   PrefillSelector(const Context& context, const Estimators& estimators, PoolStatistics& pools,
                   const EndpointFilter& filter, ChoiceExplainer& explainer)
       : context_(context), estimators_(estimators), pools_(pools), filter_(filter), explainer_(explainer) {}
 
-  /// Returns the endpoint with the lowest score, or nothing where none is eligible. \param excluded an
-  /// endpoint not to choose, or 0.
+  /// Returns the endpoint with the lowest score, or nothing where none is eligible. `excluded` is an endpoint
+  /// not to choose, or 0.
   [[nodiscard]] std::optional<Selection> choose(const RequestState& request, EndpointId excluded = 0);
 
   /// Returns the idle prefill node that would be done first, if it meets the latency objective. It is for a
--- a/src/module/prefill_time_estimator.h
+++ b/src/module/prefill_time_estimator.h
@@ -24,6 +24,7 @@
 /// Estimates prefill times and queues from this router's own prefills and from load reports.
 class PrefillTimeEstimator {
  public:
+  /// Keeps the references, which must outlive it.
   PrefillTimeEstimator(const Context& context, const NodeRegistry& nodes, const RequestTable& requests,
                        const OutlierDetector& outliers, const WorkloadStatistics& workload,
                        const MixedPrefillThrottle& mixed_prefills)
@@ -41,7 +42,7 @@
   /// Returns how much evidence prefill_rate() has from the node itself, 0 to 1.
   [[nodiscard]] double rate_confidence(const Node& node) const;
 
-  /// Returns the prompt tokens that wait at the node. \param rate prefill_rate() of the node.
+  /// Returns the prompt tokens that wait at the node. `rate` is prefill_rate() of the node.
   [[nodiscard]] double queued_tokens(const Node& node, double rate) const;
   /// Returns the part of queued_tokens() that this router has sent.
   [[nodiscard]] double own_queued_tokens(const Node& node, double rate) const;
--- a/src/module/prefix_cache_index.h
+++ b/src/module/prefix_cache_index.h
@@ -18,6 +18,7 @@
 /// Knows where the prefix of a prompt is cached.
 class PrefixCacheIndex {
  public:
+  /// Keeps the references, which must outlive it.
   PrefixCacheIndex(Context& context, const NodeRegistry& nodes, const SlowStartLimiter& slow_start)
       : context_(context), nodes_(nodes), slow_start_(slow_start) {}
 
--- a/src/module/reservation_tracker.h
+++ b/src/module/reservation_tracker.h
@@ -15,6 +15,7 @@
 /// RequestState::reservation_endpoint and Attempt::cancelled.
 class ReservationTracker {
  public:
+  /// Keeps the reference, which must outlive it.
   explicit ReservationTracker(Context& context) : context_(context) {}
 
   /// Records that a prefill is done and its node holds the request's KV cache.
--- a/src/module/role_table.h
+++ b/src/module/role_table.h
@@ -16,7 +16,9 @@
 template <class Value>
 class RoleTable {
  public:
+  /// Returns the value of a role. The reference is valid as long as the table.
   [[nodiscard]] Value& operator[](Role role) { return values_[static_cast<std::size_t>(role)]; }
+  /// The same, to be read only.
   [[nodiscard]] const Value& operator[](Role role) const { return values_[static_cast<std::size_t>(role)]; }
 
  private:
--- a/src/module/scheduler_core.h
+++ b/src/module/scheduler_core.h
@@ -28,27 +28,35 @@
 /// All parts of one Scheduler, in the order of their dependencies. They refer to each other, so a core stays
 /// where it was made.
 struct SchedulerCore {
+  /// Has default settings and no nodes; see Scheduler::update_settings.
   SchedulerCore() = default;
+  /// Neither copied nor moved, since the parts refer to each other.
   SchedulerCore(const SchedulerCore&) = delete;
+  /// See the copy constructor.
   SchedulerCore& operator=(const SchedulerCore&) = delete;
 
   /// Handles one event and appends the actions that follow from it to `actions`.
   void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
-  Context context;
-  NodeRegistry nodes{context};
-  RequestTable requests;
-  Estimators estimators{context, nodes, requests};
-  PoolStatistics pools{estimators};
-  ChoiceExplainer explainer{context, estimators};
-  EndpointFilter filter{context, nodes, estimators, explainer};
+  Context context;                                  ///< clock, settings, actions, and observer of choices
+  NodeRegistry nodes{context};                      ///< all nodes on record
+  RequestTable requests;                            ///< all open requests
+  Estimators estimators{context, nodes, requests};  ///< what is known of nodes and requests
+  PoolStatistics pools{estimators};                 ///< when averages over nodes are computed anew
+  ChoiceExplainer explainer{context, estimators};   ///< tells the observer of choices
+  EndpointFilter filter{context, nodes, estimators, explainer};  ///< which nodes may be chosen
+  /// Chooses for the first stage.
   PrefillSelector prefill_selector{context, estimators, pools, filter, explainer};
+  /// Chooses for the second stage.
   DecodeSelector decode_selector{nodes, estimators, pools, filter, explainer};
+  /// Sheds requests before their first attempt.
   AdmissionController admission{context, nodes, requests, estimators};
-  TenantQuota quota{context};
-  ReservationTracker reservations{context};
-  OutcomeRecorder outcomes{context, requests, estimators};
+  TenantQuota quota{context};                ///< lowers the priority of requests over their quota
+  ReservationTracker reservations{context};  ///< cancels attempts and releases KV caches
+  OutcomeRecorder outcomes{context, requests, estimators};  ///< passes results to the estimators
+  /// Sends attempts.
   AttemptStarter starter{context, nodes, requests, estimators, filter};
+  /// Handles the events of requests.
   AttemptPolicy attempts{context,
                          {nodes, requests, estimators, prefill_selector, decode_selector, admission, quota,
                           reservations, outcomes, starter}};
--- a/src/module/selection.h
+++ b/src/module/selection.h
@@ -14,7 +14,7 @@
   /// A score that no real endpoint has.
   static constexpr double worst_score = 1e18;
 
-  EndpointId endpoint = 0;
+  EndpointId endpoint = 0;     ///< 0: none yet
   double queue_wait = 0;       ///< microseconds before the prefill
   double prefill_time = 0;     ///< microseconds
   double score = worst_score;  ///< the lowest wins; see Candidate::score
@@ -25,7 +25,7 @@
 
 /// Returns a penalty that differs by request and node, from 0 to the tolerance of loads, and that is smaller
 /// the more is known of the node. Routers that know equally little would otherwise all choose the same node
-/// at once. \param confidence how much recent evidence there is on the node, 0 to 1.
+/// at once. `confidence` says how much recent evidence there is on the node, 0 to 1.
 [[nodiscard]] double uncertainty_penalty(const RequestState& request, const Node& node, double confidence);
 
 }  // namespace lemonroute::decisions
--- a/src/module/slow_start_limiter.h
+++ b/src/module/slow_start_limiter.h
@@ -19,6 +19,7 @@
 /// Limits the work sent to nodes in slow start, and records the work sent to all nodes.
 class SlowStartLimiter {
  public:
+  /// Keeps the references, which must outlive it.
   SlowStartLimiter(const Context& context, const NodeRegistry& nodes, const WorkloadStatistics& workload,
                    const PrefillTimeEstimator& prefill_times)
       : context_(context), nodes_(nodes), workload_(workload), prefill_times_(prefill_times) {}
@@ -34,7 +35,8 @@
   /// warm the node up; where this router's part is less than one request, a hash decides whose turn it is.
   [[nodiscard]] bool admits(const Node& node, double work) const;
 
-  /// Counts an attempt sent to a node. \param work the mean work of its class. \param prompt_tokens its own.
+  /// Counts an attempt sent to a node. `work` is the mean work of its class and counts towards the budget of
+  /// the window; `prompt_tokens` is its own work and counts towards the node's work rate.
   void record_sent(Node& node, double work, double prompt_tokens);
   /// Takes an attempt that did not run out of the node's work rate. The attempt is sent again, so a node that
   /// rejects attempts would otherwise seem to bear several times the load that it does.
--- a/src/module/tenant_quota.h
+++ b/src/module/tenant_quota.h
@@ -16,6 +16,7 @@
 /// rejected.
 class TenantQuota {
  public:
+  /// Keeps the reference, which must outlive it.
   explicit TenantQuota(const Context& context) : context_(context) {}
 
   /// Follows a change of the settings. Tenants that stay, by their names, keep the fill of their buckets.
--- a/src/module/workload_statistics.h
+++ b/src/module/workload_statistics.h
@@ -17,6 +17,7 @@
 /// Averages over the requests that this router has received and sent.
 class WorkloadStatistics {
  public:
+  /// Keeps the reference, which must outlive it.
   explicit WorkloadStatistics(const Context& context) : context_(context) {}
 
   /// Counts a request that has arrived, whether it will be served or not.
