--- a/src/module/admission_controller.cpp
+++ b/src/module/admission_controller.cpp
@@ -11,12 +11,13 @@
 using estimation::from_microseconds;
 using estimation::to_microseconds;
 
-// Waits are longer than estimated, since other routers' attempts are seen late.
+// Part of the allowed wait that an estimated wait may use: real waits are longer, since this router learns of
+// other routers' attempts late.
 constexpr double wait_safety_factor = 0.8;
-// Load of a fleet without decode nodes: above every limit.
+// Load that stands for a fleet without decode nodes; it is above every limit.
 constexpr double load_without_nodes = 1e9;
-// Part of the limits that a request of no value at all still gets; the rest grows with the square root of its
-// value.
+// Part of the limits that holds for a request of priority weight 0. The rest is added in proportion to the
+// square root of the request's weight against the largest weight of all classes.
 constexpr double guaranteed_limit_share = 0.5;
 constexpr double min_priority_weight = 1e-9;  // keeps the ratio of two weights defined
 // The tokens in flight change with every request, so their mean follows a sample slowly.
@@ -39,8 +40,9 @@
   return tokens;
 }
 
-// The lowest load of a decode node by the time the request is prefilled: what the nodes hold, and their part
-// of what is being prefilled, by this router and, as much again for each, by the other routers.
+// The lowest load of a decode node by the time the request is prefilled: its present load, and its part of
+// the prompts that are being prefilled. Each other router is assumed to prefill as much as this one does on
+// average.
 double AdmissionController::projected_min_decode_load(const RequestState& request) {
   const double in_flight = prefill_tokens_in_flight();
   mean_prefill_in_flight_.add(in_flight, context_.now(), in_flight_sample_weight);
@@ -71,8 +73,8 @@
 }
 
 // The wait that a request is judged by, in microseconds. Where nodes report no load, the wait at decode nodes
-// is what streams have met lately. The evidence has to lose weight with its age: a router that takes waits to
-// be too long sheds everything, sends nothing, and would never measure shorter ones.
+// is the recent time to first token. Both estimates have to decay with their age: a router that believes in
+// long waits sheds everything, so it sends nothing and would never measure shorter waits.
 double AdmissionController::estimated_wait(const Selection& selection) const {
   const double decode_wait =
       context_.settings().report_x0_is_memory ? 0 : estimators_.decode_loads.recent_time_to_first_token();
@@ -82,7 +84,8 @@
 bool AdmissionController::should_shed(const RequestState& request, const Selection& selection) {
   const double load = projected_min_decode_load(request);
   const bool resumes_stream = (request.request.flags & RequestFlag::resumed_stream) != 0;
-  if (!estimators_.prefill_times.knows_any_rate() || resumes_stream)  // a stream's earlier part is paid for
+  if (!estimators_.prefill_times.knows_any_rate() ||
+      resumes_stream)  // a resumed stream has been worked on already
     return false;
   const Limits limits = limits_for(request, selection);
   const double wait = estimated_wait(selection);
--- a/src/module/admission_controller.h
+++ b/src/module/admission_controller.h
@@ -1,5 +1,5 @@
 /// \file
-/// Admission control: which requests are shed before their prefill, and when their clients should come again.
+/// Admission control: which requests are shed before their prefill, and when their clients should retry.
 /// It owns the average of this router's prefills in flight. Used on the serving thread only.
 #pragma once
 
--- a/src/module/attempt_policy.cpp
+++ b/src/module/attempt_policy.cpp
@@ -147,7 +147,7 @@
     request.ended = true;
 }
 
-// Continues a request that has no attempt outstanding and still owes its answer.
+// Continues a request that has no attempt outstanding and is not answered yet.
 void AttemptPolicy::retry_or_fail(RequestState& request, const AttemptCompleted& completed) {
   if (completed.outcome == Outcome::prefill_done)
     return start_decode(request);
@@ -200,9 +200,9 @@
          request.attempts.size() + attempts_needed <= request.max_attempts;
 }
 
-// Whether another node would answer sooner than the overdue attempt has taken already, and before the
-// deadline. It frees a request from a node that is very slow or was cut off. Where every node is slow no
-// other is sooner, and attempts go on.
+// Whether another node would answer in less time than the overdue attempt has taken already, and before the
+// deadline. If so, the attempt's node is very slow or can't be reached. Where all nodes are slow, no other
+// node would be faster, and the attempts are left to finish.
 bool AttemptPolicy::should_cancel_overdue(const RequestState& request, const Attempt& attempt) {
   const double elapsed = to_microseconds(context_.now() - attempt.sent_at);
   const double remaining = to_microseconds(request.deadline - context_.now());
@@ -218,8 +218,8 @@
   return other && time_elsewhere < elapsed && remaining > time_elsewhere;
 }
 
-// The only place that answers a request: once, and what the request holds is let go (rules 1, 2 and 5 of the
-// platform).
+// The only place that rejects or fails a request. It does so at most once, rejects only what may be sent
+// again, and releases what the request holds (rules 1, 2 and 5 of the platform).
 void AttemptPolicy::complete_request(RequestState& request, FailureAnswer answer, double queue_wait) {
   if (request.ended)
     return;
--- a/src/module/attempt_policy.h
+++ b/src/module/attempt_policy.h
@@ -43,7 +43,7 @@
   void handle(const Request& request);
   /// Notes that an attempt streams, and cancels the request's other attempts.
   void handle(const FirstTokenReceived& event);
-  /// Continues a request whose attempt has ended, or lets go of what it holds.
+  /// Continues a request whose attempt has ended, or, if the request has ended, releases what it holds.
   void handle(const AttemptCompleted& completed);
   /// Ends a request without an answer.
   void handle(const ClientDisconnected& event);
--- a/src/module/attempt_starter.cpp
+++ b/src/module/attempt_starter.cpp
@@ -11,11 +11,11 @@
 
 using estimation::to_microseconds;
 
-// An attempt is overdue after so many times its expected time,
+// An attempt is overdue after this many times its expected time.
 constexpr double overdue_factor = 2.5;
-// a prefill not before so many times the time that it takes if its prefix is not cached any more,
+// A prefill is not overdue before this many times the time that it takes if its prefix was evicted.
 constexpr double uncached_overdue_factor = 1.5;
-// and no attempt before its latency objective divided by this.
+// No attempt is overdue before its request's latency objective divided by this.
 constexpr double min_overdue_divisor = 3;
 
 bool answers(const Node& node) {
@@ -58,8 +58,8 @@
         selection.queue_wait + (request.prompt_tokens - attempt.expected_cached_tokens) * prefill_rate;
   }
   // A prefix that the node has evicted makes a prefill many times longer, which does not mean that the node
-  // is faulty. If such a prefill were cancelled, another node would do it from the start, and all of them
-  // would become late.
+  // is faulty. If such prefills were cancelled, other nodes would repeat them from the start, and the added
+  // work would make all requests late.
   const double minimum = std::max(request.latency_objective / min_overdue_divisor,
                                   to_microseconds(context_.settings().min_batch_interval));
   attempt.overdue_after =
--- a/src/module/decode_load_estimator.cpp
+++ b/src/module/decode_load_estimator.cpp
@@ -10,7 +10,7 @@
 
 // Weight of a load report against earlier ones. It is high because a report is a measurement, not a sample.
 constexpr double load_report_weight = 0.5;
-// What holds for all decode nodes together gets samples from each of them, and follows one sample slowly.
+// Averages over all decode nodes get samples from each node, so each sample gets a lower weight.
 constexpr double fleet_sample_weight = estimation::usual_sample_weight / 4;
 
 }  // namespace
@@ -90,9 +90,9 @@
     load.add(node.decode.other_routers_load_.value, load_confidence(node));
     newest_report = std::max(newest_report, node.decode.other_routers_load_.last_sample_at);
   }
-  // A mean does not decay when all its weights do. The newest report's age has to reduce it: a router that
-  // sheds everything because nodes look full sends nothing, gets no reports, and would never learn that they
-  // are not.
+  // A weighted mean stays the same when all its weights decay alike, so the age of the newest report has to
+  // reduce it. Otherwise a router that sheds everything because nodes look full would send nothing, get no
+  // reports, and never learn that the nodes are free again.
   const double age = to_microseconds(context_.now() - newest_report);
   const double recency = std::min(1.0, std::exp(1 - age / to_microseconds(context_.memory_duration())));
   return recency * load.value();
--- a/src/module/decode_load_estimator.h
+++ b/src/module/decode_load_estimator.h
@@ -38,7 +38,8 @@
       : context_(context), nodes_(nodes), requests_(requests), outliers_(outliers) {}
 
   /// Returns the share of the node's KV cache memory in use: by this router's streams, and by the other
-  /// routers' as reported. An old report gives way to the average of the node's role. May exceed 1.
+  /// routers' as reported. The less recent evidence there is from the node, the more the average of its role
+  /// counts instead. May exceed 1.
   [[nodiscard]] double load(const Node& node) const;
   /// Returns how much recent evidence on other routers' load there is from the node itself, 0 to 1.
   [[nodiscard]] double load_confidence(const Node& node) const;
--- a/src/module/decode_selector.cpp
+++ b/src/module/decode_selector.cpp
@@ -6,7 +6,7 @@
 namespace lemonroute::decisions {
 namespace {
 
-// Added to the score of a node that the request was sent to before: as much as a whole node's load.
+// Added to the score of a node that the request was sent to before: as much as a full memory adds.
 constexpr double retry_penalty = 1;
 
 // Orders by proximity first, then by score.
--- a/src/module/endpoint_filter.cpp
+++ b/src/module/endpoint_filter.cpp
@@ -37,8 +37,8 @@
   const bool answers = stage == Role::decode || node.role() == Role::mixed;
   if (answers && !may_repeat_at(node, request))
     return "may not do what may have run";
-  // AttemptStarter checks the same figure. A node that passed here and failed there would cost the request
-  // its answer, although another node may be able to serve it.
+  // AttemptStarter checks the same condition. If a node passed here and failed there, the request would be
+  // rejected although another node may be able to serve it.
   if (!estimators_.slow_start.admits(node, estimators_.workload.estimated_work(request)))
     return "cold, its part is used up";
   return nullptr;
--- a/src/module/mixed_prefill_throttle.cpp
+++ b/src/module/mixed_prefill_throttle.cpp
@@ -23,8 +23,8 @@
   return total_work_ * std::exp(-age / memory) / memory;
 }
 
-// The share of one mixed node's time that this router may use. Routers do not tell each other; each other
-// router is taken to prefill as much at mixed nodes as this one does.
+// The share of one mixed node's time that this router may use. Routers do not exchange what they use; each
+// other router is assumed to prefill as much at mixed nodes as this one does.
 double MixedPrefillThrottle::own_share_of_node() const {
   const std::uint32_t router_count = context_.settings().router_count;
   const double mixed_nodes = std::max(1.0, nodes_.ready_nodes(Role::mixed));
--- a/src/module/outcome_recorder.cpp
+++ b/src/module/outcome_recorder.cpp
@@ -14,8 +14,8 @@
   return outcome == Outcome::ok || outcome == Outcome::prefill_done;
 }
 
-// Whether an outcome speaks against the node. A stream that timed out after its first token does not: the
-// client's time was too short for the answer.
+// Whether an outcome counts as a failure of the node. A stream that timed out after its first token does not:
+// the client's time was too short for the answer.
 bool is_node_failure(Outcome outcome, const Attempt& attempt) {
   switch (outcome) {
     case Outcome::error:
--- a/src/module/outlier_detector.cpp
+++ b/src/module/outlier_detector.cpp
@@ -11,9 +11,9 @@
 
 using estimation::to_microseconds;
 
-// Weight of a failed attempt in the failure ratio. Above the threshold: a node that answers at once with
-// errors, or refuses connections, looks idle and attracts traffic, so its first failure ejects it for the
-// time until the ratio has decayed.
+// Weight of a failed attempt in the failure ratio. It is above the threshold, so that the first failure
+// ejects a node until the ratio has decayed: a node that refuses connections or answers with errors at once
+// looks idle and would attract traffic.
 constexpr double failure_weight = 0.4;
 constexpr double ejection_threshold = 0.35;  // failure ratio from which a node is ejected
 
--- a/src/module/prefill_selector.cpp
+++ b/src/module/prefill_selector.cpp
@@ -5,17 +5,18 @@
 namespace lemonroute::decisions {
 namespace {
 
-// Weight of prefill time against waiting in a score. Prefill time is work that delays later requests; waiting
-// is not.
+// Weight of prefill time in a score; waiting time has weight 1. Prefill time counts more because it is work
+// that delays later requests, which waiting does not.
 constexpr double prefill_time_weight = 3;
-// Added to that weight in proportion to the queues, when every node has one: then each token that is read
-// anew delays all requests behind it.
+// Added to that weight in proportion to the mean queue wait, in full from one latency objective on: the
+// longer the queues, the more requests each uncached token delays.
 constexpr double queueing_penalty = 8;
-// Part of its latency objective that a request may wait longer to stay in the router's zone.
+// Added to the score of a node outside the router's zone, as a part of the latency objective.
 constexpr double cross_zone_penalty = 0.03;
 // A node counts as idle while its wait is at most this part of the latency objective.
 constexpr double idle_wait_share = 0.1;
-// A mixed node would stream the answer too. Its load costs the latency objective divided by this.
+// A mixed node would stream the answer too. A load of 1 adds the latency objective divided by this to its
+// score.
 constexpr double mixed_load_divisor = 4;
 
 }  // namespace
@@ -26,9 +27,9 @@
       (request.prompt_tokens - selection.assumed_match) * estimators_.prefill_times.prefill_rate(node);
 }
 
-// The algorithm's two branches, prefill where the prefix is and prefill elsewhere, are one here: a prefix
-// can't be moved between nodes, so tokens that are not cached count as prefill time in both. The node chosen
-// caches the prefix anew.
+// Mooncake's Algorithm 1 has two branches: prefill where the prefix is cached, or at another node that the
+// prefix is copied to. Nodes here can't copy a prefix, so one formula serves both: tokens that are not cached
+// at a node count as prefill time there, and the chosen node caches the prefix itself.
 const char* PrefillSelector::score(const Node& node, const RequestState& request,
                                    const std::vector<EndpointId>& affinity_nodes,
                                    Selection& selection) const {
--- a/src/module/prefill_time_estimator.cpp
+++ b/src/module/prefill_time_estimator.cpp
@@ -19,7 +19,7 @@
 // A prefill of at least this part of the usual prompt is a whole sample; a shorter one measures mostly
 // overhead.
 constexpr double whole_sample_share = 1.0 / 2;
-// The shortest prefill takes as long as this part of the usual prompt.
+// Overhead of each prefill beyond its tokens: as long as this part of the usual prompt takes.
 constexpr double min_step_share = 1.0 / 32;
 constexpr double max_sample_factor = 4;  // a node's sample counts as so many times the usual rate at most
 // Evidence on queues becomes stale four times as fast as evidence on a node's health.
@@ -145,7 +145,7 @@
 }
 
 double PrefillTimeEstimator::mean_other_routers_queue(Role role) const {
-  // The mean of square roots, so that one node with a long queue does not stand for all.
+  // The mean is taken over square roots, so that one node with a long queue does not dominate it.
   WeightedMean queue_root;
   for (const auto& [id, node] : nodes_.all()) {
     if (!node.is_ready() || node.role() != role)
--- a/src/module/prefix_cache_index.cpp
+++ b/src/module/prefix_cache_index.cpp
@@ -15,7 +15,8 @@
 // Part of the prompt beyond the shared prefix that is assumed to be cached for a session that this router has
 // not seen.
 constexpr double unseen_session_cached_share = 0.5;
-// Capacity of a node in slow start for the ranking by hash, against a warm node: at least above 0.
+// Least capacity of a node in slow start for the ranking by hash, against a warm node, so that
+// its share is never 0.
 constexpr double min_relative_capacity = 1e-3;
 
 }  // namespace
--- a/src/module/reservation_tracker.h
+++ b/src/module/reservation_tracker.h
@@ -1,6 +1,6 @@
 /// \file
-/// What requests hold at nodes, and when it is let go (rule 5 of the platform): outstanding attempts, and the
-/// KV cache that a prefill node keeps until a decode node has fetched it. The state itself is in
+/// What requests hold at nodes, and when it is released (rule 5 of the platform): outstanding attempts, and
+/// the KV cache that a prefill node keeps until a decode node has fetched it. The state itself is in
 /// RequestState. Used on the serving thread only.
 #pragma once
 
@@ -33,7 +33,7 @@
   /// Cancels all such attempts of a request.
   void cancel_attempts(RequestState& request);
 
-  /// Lets go of what an ended request holds. While attempts are outstanding the KV cache stays, because one
+  /// Releases what an ended request holds. While attempts are outstanding the KV cache stays, because one
   /// of them may be fetching it.
   void release_resources(RequestState& request);
 
--- a/src/module/scheduler.cpp
+++ b/src/module/scheduler.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// The public face of the decision module, over the parts that SchedulerCore owns.
+/// Implements the public interface of the decision module by the parts that SchedulerCore owns.
 ///
 /// The ordinary path is Mooncake's Algorithm 1: the prefill node with the lowest estimated wait and prefill
 /// time of what is not cached; then a near, least loaded decode node; early rejection when waiting would miss
-/// the latency objective or every decode node looks full. Whatever departs from it states the hazard that it
-/// avoids.
+/// the latency objective or every decode node looks full. Comments where the code departs from that path say
+/// what would go wrong otherwise.
 #include "lemonroute/scheduler.h"
 
 #include <utility>
--- a/src/module/slow_start_limiter.cpp
+++ b/src/module/slow_start_limiter.cpp
@@ -98,8 +98,9 @@
   for (const Role role : all_roles)
     if (work_rate[role].total_weight > 0)
       warm_work_rate_[role] = work_rate[role].value();
-  // When the last warm node drains while its successors are in slow start, its load still counts. Of prefill
-  // nodes the rate learned from prefills counts instead; otherwise the successors would get next to no work.
+  // When the last warm node drains while its successors are in slow start, the last known work rate of its
+  // role stays in force. For prefill nodes the rate measured by prefills replaces it, because the successors
+  // would otherwise get next to no work.
   const auto usual_rate = prefill_times_.usual_rate(Role::prefill);
   if (work_rate[Role::prefill].total_weight <= 0 && usual_rate)
     warm_work_rate_[Role::prefill] =
--- a/src/module/tenant_quota.cpp
+++ b/src/module/tenant_quota.cpp
@@ -6,8 +6,8 @@
 namespace lemonroute::decisions {
 namespace {
 
-// A bucket holds the requests of so many seconds, so that an even flow that arrives unevenly stays within its
-// quota.
+// A bucket holds the requests of this many seconds, so that a tenant whose mean rate is within the quota does
+// not exceed it when its requests arrive unevenly.
 constexpr double burst_seconds = 2;
 constexpr double min_burst = 2;  // requests
 
--- a/src/module/workload_statistics.cpp
+++ b/src/module/workload_statistics.cpp
@@ -7,7 +7,7 @@
 namespace lemonroute::decisions {
 namespace {
 
-// Prompt lengths vary widely from one request to the next, so their mean follows a sample slowly.
+// Prompt lengths vary widely from one request to the next, so each sample gets a low weight.
 constexpr double prompt_sample_weight = estimation::usual_sample_weight / 4;
 
 }  // namespace
