--- a/src/module/decode_load_estimator.h
+++ b/src/module/decode_load_estimator.h
@@ -25,19 +25,21 @@
 
 /// What a decode node did with an attempt.
 enum class AdmissionResult {
-  admitted,
+  admitted,  ///< it served the attempt
   rejected,  ///< for lack of capacity
 };
 
 /// Estimates the load of decode nodes from this router's own streams and from load reports.
 class DecodeLoadEstimator {
  public:
+  /// Keeps the references, which must outlive it.
   DecodeLoadEstimator(const Context& context, const NodeRegistry& nodes, const RequestTable& requests,
                       const OutlierDetector& outliers)
       : context_(context), nodes_(nodes), requests_(requests), outliers_(outliers) {}
 
   /// Returns the share of the node's KV cache memory in use: by this router's streams, and by the other
-  /// routers' as reported. An old report gives way to the average of the node's role. May exceed 1.
+  /// routers' as reported. The less recent evidence there is from the node, the more the average of its role
+  /// counts instead. May exceed 1.
   [[nodiscard]] double load(const Node& node) const;
   /// Returns how much recent evidence on other routers' load there is from the node itself, 0 to 1.
   [[nodiscard]] double load_confidence(const Node& node) const;
