--- a/src/core/bans.cpp
+++ b/src/core/admin_overrides.cpp
@@ -1,4 +1,4 @@
-#include "core/bans.h"
+#include "core/admin_overrides.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/src/core/demand.cpp
+++ b/src/core/demand_tracker.cpp
@@ -1,4 +1,4 @@
-#include "core/demand.h"
+#include "core/demand_tracker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/demand.h
+++ b/src/core/demand_tracker.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <map>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 
 namespace lemonroute {
 
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "core/figures.h"
-#include "core/guide.h"
+#include "core/fleet_view.h"
+#include "core/request_metrics.h"
 #include "core/router/node_registry.h"
 #include "core/types.h"
 
--- a/src/core/router/node_registry.h
+++ b/src/core/router/node_registry.h
@@ -12,8 +12,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/bans.h"
-#include "core/guide.h"
+#include "core/admin_overrides.h"
+#include "core/fleet_view.h"
 #include "core/types.h"
 
 namespace lemonroute {
--- a/src/core/router/observer_reporter.h
+++ b/src/core/router/observer_reporter.h
@@ -2,8 +2,8 @@
 /// What this router tells the NodeObserver. Used on the serving thread only.
 #pragma once
 
-#include "core/demand.h"
-#include "core/guide.h"
+#include "core/demand_tracker.h"
+#include "core/fleet_view.h"
 #include "core/router/node_registry.h"
 #include "core/router/request_table.h"
 #include "core/router/router_context.h"
--- a/src/core/router/request_state.h
+++ b/src/core/router/request_state.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/figures.h"
+#include "core/request_metrics.h"
 #include "core/router/scoped_timer.h"
 #include "core/types.h"
 
--- a/src/core/router/router_parts.h
+++ b/src/core/router/router_parts.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/figures.h"
+#include "core/request_metrics.h"
 #include "core/router.h"
 #include "core/router/action_executor.h"
 #include "core/router/attempt_runner.h"
--- a/src/guide/binding.h
+++ b/src/guide/binding.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 #include "peers/extension.h"
 
 namespace lemonroute::guide {
--- a/src/guide/fleet_guide.h
+++ b/src/guide/fleet_guide.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <vector>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 
 namespace lemonroute::guide {
 
--- a/src/guide/notes.h
+++ b/src/guide/notes.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 
 namespace lemonroute::guide {
 
--- a/src/pools/demand/own.h
+++ b/src/pools/demand/own.h
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 
 namespace lemonroute::pools {
 
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 #include "peers/extension.h"
 #include "pools/demand/sum.h"
 #include "pools/extension/planning.h"
--- a/src/pools/rights/rights.h
+++ b/src/pools/rights/rights.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <string>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 #include "pools/settings.h"
 
 namespace lemonroute::pools {
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <set>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 #include "peers/extension.h"
 #include "tiers/generation/gossip.h"
 #include "tiers/share/uplift.h"
--- a/src/tiers/snapshot/map.h
+++ b/src/tiers/snapshot/map.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/guide.h"
+#include "core/fleet_view.h"
 #include "tiers/names/names.h"
 
 namespace lemonroute::tiers {
--- a/tests/formats/formats_test.cpp
+++ b/tests/formats/formats_test.cpp
@@ -6,7 +6,7 @@
 
 #include <fstream>
 
-#include "core/bans.h"
+#include "core/admin_overrides.h"
 #include "formats/fixtures.h"
 #include "formats/unix_datagrams.h"
 #include "ops/handover.h"
