--- a/src/estimation/learned.h
+++ b/src/estimation/decaying_average.h
@@ -4,32 +4,11 @@
 #include <algorithm>
 #include <cmath>
 
+#include "estimation/conversions.h"
 #include "lemonroute/types.h"
 
 namespace lemonroute::estimation {
 
-inline double to_microseconds(Micros t) {
-  return static_cast<double>(t.count());
-}
-inline Micros from_microseconds(double t) {
-  return Micros(static_cast<Micros::rep>(std::clamp(t, 0.0, 4e9)));
-}  // 0 to 67 min
-
-// A number from the wire; what is none, or absurd, counts as 0 or as the most.
-inline double clamp_reported_value(float value) {
-  return std::isfinite(value) && value > 0 ? std::min<double>(value, 1e7) : 0;
-}
-
-inline std::uint64_t hash64(std::uint64_t x) {  // the same in every process
-  x += 0x9e3779b97f4a7c15ull;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
-  return x ^ (x >> 31);
-}
-inline double hash_to_unit_interval(std::uint64_t x) {
-  return static_cast<double>(x >> 11) * 0x1p-53;
-}  // 0 to 1, 1 excluded
-
 inline constexpr double usual_sample_weight = 0.25;  // usual weight of a new sample
 inline constexpr double max_samples = 20;            // more make a learned figure no surer
 
--- a/src/estimation/prefix_table.cpp
+++ b/src/estimation/prefix_index.cpp
@@ -1,8 +1,9 @@
-#include "estimation/prefix_table.h"
+#include "estimation/prefix_index.h"
 
 #include <algorithm>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
+#include "estimation/hash.h"
 
 namespace lemonroute::estimation {
 namespace {
--- a/src/estimation/openings.cpp
+++ b/src/estimation/prefix_popularity.cpp
@@ -1,4 +1,4 @@
-#include "estimation/openings.h"
+#include "estimation/prefix_popularity.h"
 
 #include <algorithm>
 
--- a/src/estimation/homes.cpp
+++ b/src/estimation/rendezvous_hash.cpp
@@ -1,11 +1,11 @@
-#include "estimation/homes.h"
+#include "estimation/rendezvous_hash.h"
 
 #include <algorithm>
 #include <cmath>
 #include <functional>
 #include <map>
 
-#include "estimation/learned.h"
+#include "estimation/hash.h"
 
 namespace lemonroute::estimation {
 namespace {
--- a/src/module/admission_controller.cpp
+++ b/src/module/admission_controller.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "estimation/conversions.h"
+#include "estimation/decaying_average.h"
 #include "lemonroute/events.h"
 
 namespace lemonroute::decisions {
--- a/src/module/admission_controller.h
+++ b/src/module/admission_controller.h
@@ -3,7 +3,7 @@
 /// It owns the average of this router's prefills in flight. Used on the serving thread only.
 #pragma once
 
-#include "estimation/learned.h"
+#include "estimation/decaying_average.h"
 #include "module/context.h"
 #include "module/estimators.h"
 #include "module/node_registry.h"
--- a/src/module/attempt_policy.cpp
+++ b/src/module/attempt_policy.cpp
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <optional>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
 #include "lemonroute/actions.h"
 
 namespace lemonroute::decisions {
--- a/src/module/attempt_starter.cpp
+++ b/src/module/attempt_starter.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
 #include "lemonroute/actions.h"
 
 namespace lemonroute::decisions {
--- a/src/module/choice_explainer.cpp
+++ b/src/module/choice_explainer.cpp
@@ -1,6 +1,6 @@
 #include "module/choice_explainer.h"
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
 
 namespace lemonroute::decisions {
 
--- a/src/module/decode_load_estimator.cpp
+++ b/src/module/decode_load_estimator.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "estimation/conversions.h"
+#include "estimation/decaying_average.h"
+
 namespace lemonroute::decisions {
 namespace {
 
--- a/src/module/decode_load_estimator.h
+++ b/src/module/decode_load_estimator.h
@@ -6,7 +6,7 @@
 
 #include <optional>
 
-#include "estimation/learned.h"
+#include "estimation/decaying_average.h"
 #include "module/context.h"
 #include "module/load_report.h"
 #include "module/node_registry.h"
--- a/src/module/mixed_prefill_throttle.cpp
+++ b/src/module/mixed_prefill_throttle.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdint>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
 
 namespace lemonroute::decisions {
 namespace {
--- a/src/module/node.h
+++ b/src/module/node.h
@@ -8,8 +8,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "estimation/learned.h"
-#include "estimation/rates.h"
+#include "estimation/decaying_average.h"
+#include "estimation/decaying_rate.h"
+#include "estimation/sliding_window_sum.h"
 #include "lemonroute/events.h"
 #include "module/request_state.h"
 
--- a/src/module/node_registry.cpp
+++ b/src/module/node_registry.cpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <utility>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
 #include "module/find_or_null.h"
 
 namespace lemonroute::decisions {
--- a/src/module/outcome_recorder.cpp
+++ b/src/module/outcome_recorder.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
 #include "module/load_report.h"
 
 namespace lemonroute::decisions {
--- a/src/module/outlier_detector.cpp
+++ b/src/module/outlier_detector.cpp
@@ -4,7 +4,8 @@
 #include <cmath>
 #include <string>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
+#include "estimation/decaying_average.h"
 
 namespace lemonroute::decisions {
 namespace {
--- a/src/module/prefill_time_estimator.cpp
+++ b/src/module/prefill_time_estimator.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "estimation/conversions.h"
+#include "estimation/decaying_average.h"
+#include "estimation/running_median.h"
 #include "module/find_or_null.h"
 
 namespace lemonroute::decisions {
--- a/src/module/prefill_time_estimator.h
+++ b/src/module/prefill_time_estimator.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "estimation/learned.h"
-#include "estimation/rates.h"
+#include "estimation/decaying_average.h"
+#include "estimation/running_median.h"
 #include "module/context.h"
 #include "module/load_report.h"
 #include "module/mixed_prefill_throttle.h"
--- a/src/module/prefix_cache_index.cpp
+++ b/src/module/prefix_cache_index.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <string>
 
-#include "estimation/homes.h"
+#include "estimation/rendezvous_hash.h"
 
 namespace lemonroute::decisions {
 namespace {
--- a/src/module/prefix_cache_index.h
+++ b/src/module/prefix_cache_index.h
@@ -6,8 +6,8 @@
 
 #include <vector>
 
-#include "estimation/openings.h"
-#include "estimation/prefix_table.h"
+#include "estimation/prefix_index.h"
+#include "estimation/prefix_popularity.h"
 #include "module/context.h"
 #include "module/node_registry.h"
 #include "module/request_state.h"
--- a/src/module/selection.cpp
+++ b/src/module/selection.cpp
@@ -1,6 +1,6 @@
 #include "module/selection.h"
 
-#include "estimation/learned.h"
+#include "estimation/hash.h"
 #include "module/decode_load_estimator.h"
 
 namespace lemonroute::decisions {
--- a/src/module/slow_start_limiter.cpp
+++ b/src/module/slow_start_limiter.cpp
@@ -4,7 +4,9 @@
 #include <cmath>
 #include <cstdint>
 
-#include "estimation/learned.h"
+#include "estimation/conversions.h"
+#include "estimation/decaying_average.h"
+#include "estimation/hash.h"
 
 namespace lemonroute::decisions {
 namespace {
--- a/src/module/tenant_quota.cpp
+++ b/src/module/tenant_quota.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <map>
 
+#include "estimation/token_bucket.h"
+
 namespace lemonroute::decisions {
 namespace {
 
--- a/src/module/tenant_quota.h
+++ b/src/module/tenant_quota.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "estimation/rates.h"
+#include "estimation/token_bucket.h"
 #include "module/context.h"
 
 namespace lemonroute::decisions {
--- a/src/module/workload_statistics.cpp
+++ b/src/module/workload_statistics.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "estimation/decaying_average.h"
 #include "module/find_or_null.h"
 
 namespace lemonroute::decisions {
--- a/src/module/workload_statistics.h
+++ b/src/module/workload_statistics.h
@@ -7,8 +7,8 @@
 #include <map>
 #include <string>
 
-#include "estimation/learned.h"
-#include "estimation/rates.h"
+#include "estimation/decaying_average.h"
+#include "estimation/decaying_rate.h"
 #include "module/context.h"
 #include "module/request_state.h"
 
--- a/tests/estimation/estimation_test.cpp
+++ b/tests/estimation/estimation_test.cpp
@@ -2,13 +2,14 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cmath>
 #include <map>
 #include <numeric>
 #include <random>
+#include <vector>
 
-#include "estimation/homes.h"
-#include "estimation/learned.h"
-#include "estimation/openings.h"
+#include "estimation/prefix_popularity.h"
+#include "estimation/rendezvous_hash.h"
 
 namespace lemonroute::estimation {
 namespace {
