--- a/src/estimation/conversions.h
+++ b/src/estimation/conversions.h
@@ -1,4 +1,6 @@
-// Durations as numbers, and numbers from the wire. No I/O, no state.
+/// \file
+/// Conversions between durations and plain numbers, and the check of numbers that other processes report.
+/// Free of I/O and of state, so that any thread may call them.
 #pragma once
 
 #include <algorithm>
@@ -8,16 +10,30 @@
 
 namespace lemonroute::estimation {
 
-inline double to_microseconds(Micros t) {
-  return static_cast<double>(t.count());
+/// The longest duration that from_microseconds() returns, in microseconds: about 67 minutes.
+inline constexpr double max_microseconds = 4e9;
+
+/// The largest number that clamp_reported_value() returns, in the unit of what is reported.
+inline constexpr double max_reported_value = 1e7;
+
+/// Returns a duration as a number of microseconds.
+inline double to_microseconds(Micros duration) {
+  return static_cast<double>(duration.count());
+}
+
+/// Returns the duration of so many microseconds, without the fraction: 0 for a negative number, and at most
+/// max_microseconds. `microseconds` must not be NaN, which no integer can represent: the conversion would be
+/// undefined behavior.
+inline Micros from_microseconds(double microseconds) {
+  const double clamped = std::clamp(microseconds, 0.0, max_microseconds);
+  return Micros(static_cast<Micros::rep>(clamped));
 }
-inline Micros from_microseconds(double t) {
-  return Micros(static_cast<Micros::rep>(std::clamp(t, 0.0, 4e9)));
-}  // 0 to 67 min
 
-// A number from the wire; what is none, or absurd, counts as 0 or as the most.
+/// Returns a number that another process reported, at most max_reported_value. Returns 0 for NaN, infinity
+/// and negative numbers: one such value would otherwise spoil every average that it enters.
 inline double clamp_reported_value(float value) {
-  return std::isfinite(value) && value > 0 ? std::min<double>(value, 1e7) : 0;
+  const bool usable = std::isfinite(value) && value > 0;
+  return usable ? std::min<double>(value, max_reported_value) : 0;
 }
 
 }  // namespace lemonroute::estimation
--- a/src/estimation/prefix_popularity.cpp
+++ b/src/estimation/prefix_popularity.cpp
@@ -5,41 +5,54 @@
 namespace lemonroute::estimation {
 namespace {
 
-constexpr double in_place = 10;  // arrivals that the usual part stands for
-// Before pairs were seen: one of twenty begins alike. The figure matters for the first few requests only.
-constexpr double pairs_before = 20, alike_before = 1;
+// How many arrivals with the usual share are assumed beside those that were counted.
+constexpr double assumed_arrivals = 10;
 
-double pairs(double count) {
-  return count * std::max(0.0, count - 1);
+// The pairs of arrivals that are assumed beside those that were counted, and those of them that have the same
+// prefix: one in twenty. They matter for the first few requests only.
+constexpr double assumed_pairs = 20;
+constexpr double assumed_pairs_with_same_prefix = 1;
+
+// Prefixes with a lower count are forgotten when counts are halved.
+constexpr double min_count = 0.5;
+
+// Pairs among so many arrivals, each counted twice. Halved counts may be below 1 and have no pair.
+double pairs_among(double arrivals) {
+  return arrivals * std::max(0.0, arrivals - 1);
 }
 
 }  // namespace
 
-void PrefixPopularity::record_arrival(Key opening) {
-  if (++all_ > max_arrivals) {
-    all_ /= 2;
-    pairs_ = 0;
-    for (auto& [key, count] : counts_)
+void PrefixPopularity::record_arrival(Key prefix) {
+  total_arrivals_ += 1;
+  if (total_arrivals_ > max_arrivals) {
+    total_arrivals_ /= 2;
+    for (auto& [key, count] : arrivals_by_prefix_)
       count /= 2;
-    std::erase_if(counts_, [](const auto& one) { return one.second < 0.5; });
-    for (const auto& [key, count] : counts_)
-      pairs_ += pairs(count);
+    std::erase_if(arrivals_by_prefix_, [](const auto& entry) { return entry.second < min_count; });
+    pairs_with_same_prefix_ = 0;
+    for (const auto& [key, count] : arrivals_by_prefix_)
+      pairs_with_same_prefix_ += pairs_among(count);
   }
-  if (!opening)
+  if (prefix == 0)
     return;
-  double& count = counts_[opening];
-  pairs_ += pairs(count + 1) - pairs(count);
+  double& count = arrivals_by_prefix_[prefix];
+  pairs_with_same_prefix_ += pairs_among(count + 1) - pairs_among(count);
   count += 1;
 }
 
 double PrefixPopularity::usual_share() const {
-  return (pairs_ + alike_before) / (pairs(all_) + pairs_before);
+  const double pairs_with_same_prefix = pairs_with_same_prefix_ + assumed_pairs_with_same_prefix;
+  const double pairs = pairs_among(total_arrivals_) + assumed_pairs;
+  return pairs_with_same_prefix / pairs;
 }
 
-double PrefixPopularity::share(Key opening) const {
-  const auto found = counts_.find(opening);
-  const double others = found == counts_.end() ? 0 : std::max(0.0, found->second - 1);
-  return std::min(1.0, (others + in_place * usual_share()) / (all_ + in_place));
+double PrefixPopularity::share(Key prefix) const {
+  const auto found = arrivals_by_prefix_.find(prefix);
+  // Without the request that this is asked for.
+  const double others = found == arrivals_by_prefix_.end() ? 0 : std::max(0.0, found->second - 1);
+  const double assumed = assumed_arrivals * usual_share();
+  return std::min(1.0, (others + assumed) / (total_arrivals_ + assumed_arrivals));
 }
 
 }  // namespace lemonroute::estimation
--- a/src/estimation/rendezvous_hash.cpp
+++ b/src/estimation/rendezvous_hash.cpp
@@ -2,81 +2,138 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstddef>
 #include <functional>
 #include <map>
+#include <utility>
 
 #include "estimation/hash.h"
 
 namespace lemonroute::estimation {
 namespace {
 
-struct Zone {
-  double readers = 0, writers = 0, part = 0;  // `part`: of all the traffic that the zone can bear
+struct ZoneCapacity {
+  double prefill = 0;           // relative capacity of its prefill nodes
+  double decode = 0;            // relative capacity of its decode nodes
+  double share_of_traffic = 0;  // share of the traffic of all zones that it can serve, 0 to 1
 };
 
-// A zone bears what the weaker of its two stages does: a state that finds no writer near has to cross.
-std::map<std::uint32_t, Zone> zones_of(const std::vector<WeightedNode>& readers,
-                                       const std::vector<WeightedNode>& writers) {
-  std::map<std::uint32_t, Zone> zones;
-  double all_readers = 0, all_writers = 0;
-  for (const auto& one : readers) {
-    zones[one.zone].readers += one.relative_capacity;
-    all_readers += one.relative_capacity;
+using ZoneCapacities = std::map<std::uint32_t, ZoneCapacity>;
+
+// A node's rank, higher is better, and the node.
+using RankedNode = std::pair<double, EndpointId>;
+
+// Lower bounds that keep logarithms and quotients finite.
+constexpr double min_hash = 1e-18;
+constexpr double min_capacity = 1e-9;
+constexpr double min_weight = 1e-6;
+
+// How many nodes a prefix gets for each node that its traffic would fill: each is then half full of it.
+constexpr double nodes_per_full_load = 2;
+
+// A zone serves what the weaker of its two stages can: a KV cache that finds no decode node in its zone has
+// to cross to another one.
+ZoneCapacities capacities_by_zone(const std::vector<WeightedNode>& prefill_nodes,
+                                  const std::vector<WeightedNode>& decode_nodes) {
+  ZoneCapacities zones;
+  double total_prefill = 0;
+  for (const WeightedNode& node : prefill_nodes) {
+    zones[node.zone].prefill += node.relative_capacity;
+    total_prefill += node.relative_capacity;
   }
-  for (const auto& one : writers) {
-    zones[one.zone].writers += one.relative_capacity;
-    all_writers += one.relative_capacity;
+  double total_decode = 0;
+  for (const WeightedNode& node : decode_nodes) {
+    zones[node.zone].decode += node.relative_capacity;
+    total_decode += node.relative_capacity;
   }
   for (auto& [id, zone] : zones) {
-    zone.part = zone.readers / all_readers;
-    if (all_writers > 0)
-      zone.part = std::min(zone.part, zone.writers / all_writers);
+    zone.share_of_traffic = zone.prefill / total_prefill;
+    if (total_decode > 0)
+      zone.share_of_traffic = std::min(zone.share_of_traffic, zone.decode / total_decode);
   }
   return zones;
 }
 
-}  // namespace
+double hash_of_pair(Key prefix_key, std::uint32_t id) {
+  return hash_to_unit_interval(hash64(prefix_key ^ hash64(id)));
+}
 
-std::vector<EndpointId> affinity_nodes(Key opening, Key session, double part, RouterLocation seat,
-                                       const std::vector<WeightedNode>& readers,
-                                       const std::vector<WeightedNode>& writers) {
-  if (readers.empty())
-    return {};
-  const auto zones = zones_of(readers, writers);
-  const auto here = zones.find(seat.zone);
-  // Danger: a zone with few nodes and much traffic. Clients come where routers are; this one's own part of
-  // the traffic is here, and the others' is taken to be spread over the zones. What the zone can't bear, the
-  // same beginnings for each of its routers, lives in the others.
-  const double own = 1.0 / std::max(1u, seat.router_count);
-  const double traffic = own + (1 - own) / static_cast<double>(zones.size());
-  const bool local = here != zones.end() && here->second.readers > 0 &&
-                     hash_to_unit_interval(hash64(opening ^ hash64(seat.zone))) * traffic < here->second.part;
-  // By weighted rendezvous: elsewhere a reader counts by what its zone's writers can take of what it reads.
-  std::vector<std::pair<double, EndpointId>> ranked;
-  for (const auto& reader : readers) {
-    if (local != (reader.zone == seat.zone))
+// Whether the prefix stays in the router's zone. A zone with few nodes and much traffic would be overloaded
+// if all did. The traffic of this router comes from its zone; that of the others is assumed to be spread
+// evenly over the zones. The prefixes beyond what the zone can serve, chosen by hash and so the same for each
+// of its routers, go elsewhere.
+bool stays_in_zone(Key prefix_key, RouterLocation location, const ZoneCapacities& zones) {
+  const auto found = zones.find(location.zone);
+  if (found == zones.end() || found->second.prefill <= 0)
+    return false;
+  const double own_traffic = 1.0 / std::max(1u, location.router_count);
+  const double zone_traffic = own_traffic + (1 - own_traffic) / static_cast<double>(zones.size());
+  return hash_of_pair(prefix_key, location.zone) * zone_traffic < found->second.share_of_traffic;
+}
+
+// Ranks the prefill nodes of the router's zone, or those of all other zones, by weighted rendezvous hashing.
+// A node's weight is its part of what its zone can serve: decode nodes that are too few for their zone's
+// prefill nodes lower it.
+std::vector<RankedNode> rank_by_capacity(Key prefix_key, RouterLocation location, const ZoneCapacities& zones,
+                                         const std::vector<WeightedNode>& prefill_nodes) {
+  const bool in_own_zone = stays_in_zone(prefix_key, location, zones);
+  std::vector<RankedNode> ranked;
+  for (const WeightedNode& node : prefill_nodes) {
+    if (in_own_zone != (node.zone == location.zone))
       continue;
-    const Zone& zone = zones.at(reader.zone);
-    const double weight = std::max(1e-6, reader.relative_capacity * zone.part / std::max(1e-9, zone.readers));
-    ranked.emplace_back(
-        std::log(std::max(1e-18, hash_to_unit_interval(hash64(opening ^ hash64(reader.id))))) / weight,
-        reader.id);
+    const ZoneCapacity& zone = zones.at(node.zone);
+    const double zone_prefill = std::max(min_capacity, zone.prefill);
+    const double weight = std::max(min_weight, node.relative_capacity * zone.share_of_traffic / zone_prefill);
+    const double hash = std::max(min_hash, hash_of_pair(prefix_key, node.id));
+    ranked.emplace_back(std::log(hash) / weight, node.id);
   }
-  if (ranked.empty())  // the only zone there is, and it bears less than comes
-    for (const auto& reader : readers)
-      ranked.emplace_back(hash_to_unit_interval(hash64(opening ^ hash64(reader.id))), reader.id);
-  const auto most = static_cast<double>(ranked.size());
-  const auto wanted = static_cast<std::ptrdiff_t>(std::clamp(std::ceil(2 * part * most), 1.0, most));
-  std::partial_sort(ranked.begin(), ranked.begin() + wanted, ranked.end(), std::greater<>());
-  std::vector<std::pair<std::uint64_t, EndpointId>> chosen;
-  for (auto it = ranked.begin(); it != ranked.begin() + wanted; ++it)
-    chosen.emplace_back(hash64(session ^ hash64(it->second)), it->second);
-  std::sort(chosen.begin(), chosen.end(), std::greater<>());
+  return ranked;
+}
+
+// Ranks all prefill nodes by rendezvous hashing without weights.
+std::vector<RankedNode> rank_equally(Key prefix_key, const std::vector<WeightedNode>& prefill_nodes) {
+  std::vector<RankedNode> ranked;
+  for (const WeightedNode& node : prefill_nodes)
+    ranked.emplace_back(hash_of_pair(prefix_key, node.id), node.id);
+  return ranked;
+}
+
+// Keeps the best nodes: as many as the prefix's traffic would half fill, and at least one.
+void keep_best(std::vector<RankedNode>& ranked, double share) {
+  const auto candidates = static_cast<double>(ranked.size());
+  const double wanted = std::ceil(nodes_per_full_load * share * candidates);
+  const auto kept = static_cast<std::ptrdiff_t>(std::clamp(wanted, 1.0, candidates));
+  const auto end_of_kept = ranked.begin() + kept;
+  std::partial_sort(ranked.begin(), end_of_kept, ranked.end(), std::greater<>());
+  ranked.erase(end_of_kept, ranked.end());
+}
+
+std::vector<EndpointId> order_by_session(Key session_key, const std::vector<RankedNode>& nodes) {
+  std::vector<std::pair<std::uint64_t, EndpointId>> by_hash;
+  by_hash.reserve(nodes.size());
+  for (const auto& [rank, id] : nodes)
+    by_hash.emplace_back(hash64(session_key ^ hash64(id)), id);
+  std::sort(by_hash.begin(), by_hash.end(), std::greater<>());
   std::vector<EndpointId> ids;
-  ids.reserve(chosen.size());
-  for (const auto& [rank, id] : chosen)
+  ids.reserve(by_hash.size());
+  for (const auto& [hash, id] : by_hash)
     ids.push_back(id);
   return ids;
 }
 
+}  // namespace
+
+std::vector<EndpointId> affinity_nodes(Key prefix_key, Key session_key, double share, RouterLocation location,
+                                       const std::vector<WeightedNode>& prefill_nodes,
+                                       const std::vector<WeightedNode>& decode_nodes) {
+  if (prefill_nodes.empty())
+    return {};
+  const ZoneCapacities zones = capacities_by_zone(prefill_nodes, decode_nodes);
+  std::vector<RankedNode> ranked = rank_by_capacity(prefix_key, location, zones, prefill_nodes);
+  if (ranked.empty())  // the prefix should leave the zone, and no other zone has prefill nodes
+    ranked = rank_equally(prefix_key, prefill_nodes);
+  keep_best(ranked, share);
+  return order_by_session(session_key, ranked);
+}
+
 }  // namespace lemonroute::estimation
--- a/src/estimation/token_bucket.h
+++ b/src/estimation/token_bucket.h
@@ -1,4 +1,6 @@
-// A limit of requests a second. No I/O, no clock.
+/// \file
+/// A limit on requests per second. It reads no clock: the caller passes the time, which must not go back.
+/// Free of I/O. It does not lock: an object is for one thread at a time.
 #pragma once
 
 #include <algorithm>
@@ -8,22 +10,26 @@
 
 namespace lemonroute::estimation {
 
-// Requests a second that may pass, with a burst; full of credit only after a pause.
+/// A token bucket: credit for requests comes at a steady rate, and what is not used is kept for a burst. A
+/// new bucket is empty at time 0 of the caller's clock. By the time of its first request it has filled since
+/// then, which on most clocks is long enough to be full.
 class TokenBucket {
  public:
-  // Whether one more may pass now. `per_second`: the rate; `most`: the largest burst.
-  bool take(double per_second, double most, Micros now) {
-    level_ = std::min(most, level_ + per_second * to_microseconds(now - at_) / 1e6);
-    at_ = now;
-    if (level_ < 1)
+  /// Takes credit for one request; returns whether there was enough. `per_second` is the rate in requests per
+  /// second. `max_burst` is the most requests that credit is kept for; below 1, no request ever passes.
+  bool take(double per_second, double max_burst, Micros now) {
+    const double earned = per_second * to_microseconds(now - refilled_at_) / 1e6;
+    credit_ = std::min(max_burst, credit_ + earned);
+    refilled_at_ = now;
+    if (credit_ < 1)
       return false;
-    level_ -= 1;
+    credit_ -= 1;
     return true;
   }
 
  private:
-  double level_ = 0;
-  Micros at_{};
+  double credit_ = 0;     // in requests, as of refilled_at_
+  Micros refilled_at_{};  // when credit was last added
 };
 
 }  // namespace lemonroute::estimation
