--- a/src/core/admin_overrides.cpp
+++ b/src/core/admin_overrides.cpp
@@ -16,13 +16,14 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr std::size_t most_bans = 4096;
-constexpr std::size_t most_bytes = 1024 * 1024;
-// A node that was put back is warm by then, and what discovery lists of its start holds.
-constexpr Micros back_counts = std::chrono::minutes(10);
-// The other process holds the lock for as long as it takes to write a small file.
-constexpr int lock_tries = 20;
-constexpr milliseconds lock_wait{1};
+constexpr std::size_t max_drained_nodes = 4096;
+constexpr std::size_t max_file_bytes = 1024 * 1024;
+// How long the time of an undrain is kept. By then the node's cache is warm, and the endpoint list states the
+// start of its process correctly.
+constexpr Micros undrain_memory = std::chrono::minutes(10);
+// Another process holds the lock for as long as it takes to write a small file.
+constexpr int max_lock_tries = 20;
+constexpr milliseconds lock_retry_pause{1};
 
 }  // namespace
 
@@ -38,35 +39,35 @@
   return found == undrained_at_.end() ? std::nullopt : std::optional(found->second);
 }
 
-bool AdminOverrides::set_override(const std::string& name, bool out, Micros now) {
+bool AdminOverrides::set_override(const std::string& name, bool drained, Micros now) {
   const auto apply = [&] {
-    if (out && drained_.size() >= most_bans && !drained_.count(name))
+    if (drained && drained_.size() >= max_drained_nodes && !drained_.count(name))
       return false;
-    if (out)
+    if (drained)
       drained_.insert(name);
     else if (drained_.erase(name))
       undrained_at_[name] = now;
-    std::erase_if(undrained_at_, [&](const auto& one) { return now - one.second > back_counts; });
+    std::erase_if(undrained_at_, [&](const auto& one) { return now - one.second > undrain_memory; });
     return true;
   };
   if (!lock_)
     return apply();
   bool locked = false;
-  for (int i = 0; i < lock_tries && !(locked = lock_->take(lock_byte)); ++i)
-    std::this_thread::sleep_for(lock_wait);
+  for (int i = 0; i < max_lock_tries && !(locked = lock_->take(lock_byte)); ++i)
+    std::this_thread::sleep_for(lock_retry_pause);
   if (!locked) {
     logging::error() << path_ << ": the lock can't be had";
     return false;
   }
-  // Guards what the other process has written since the last look: it is built on, not overwritten.
+  // Another process may have written the file since this one last read it. Its overrides are kept.
   if (file_changed())
     read();
-  const auto out_before = drained_;
-  const auto back_before = undrained_at_;
+  const auto drained_before = drained_;
+  const auto undrained_before = undrained_at_;
   const bool stored = apply() && write();
   if (!stored) {
-    drained_ = out_before;
-    undrained_at_ = back_before;
+    drained_ = drained_before;
+    undrained_at_ = undrained_before;
   }
   file_changed();
   lock_->drop(lock_byte);
@@ -79,7 +80,7 @@
   return read() == ReadResult::loaded;
 }
 
-// Whether the file is another one than at the last look.
+// Returns whether the file differs from the one that the last call has seen, and remembers the present one.
 bool AdminOverrides::file_changed() {
   struct stat now {};
   if (stat(path_.c_str(), &now) != 0)
@@ -91,25 +92,25 @@
   return !same;
 }
 
-// Guards against a file that is torn or somebody else's: it is said and left alone, and the bans that are
+// A file that is truncated or was not written by a router is logged and not changed. The overrides that are
 // known stay in force.
 AdminOverrides::ReadResult AdminOverrides::read() {
   std::ifstream file(path_);
   if (!file)
     return ReadResult::absent;
-  std::string text(most_bytes, '\0');
+  std::string text(max_file_bytes, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(file.gcount()));
   try {
     const json all = json::parse(text);
-    std::set<std::string> out;
-    std::map<std::string, Micros> back;
+    std::set<std::string> drained;
+    std::map<std::string, Micros> undrained_at;
     for (const auto& name : all.at("out"))
-      out.insert(name.get<std::string>());
+      drained.insert(name.get<std::string>());
     for (const auto& [name, at] : all.at("back").items())
-      back[name] = Micros(at.get<Micros::rep>());
-    drained_ = std::move(out);
-    undrained_at_ = std::move(back);
+      undrained_at[name] = Micros(at.get<Micros::rep>());
+    drained_ = std::move(drained);
+    undrained_at_ = std::move(undrained_at);
     return ReadResult::loaded;
   } catch (const json::exception& error) {
     logging::error() << path_ << ": it can't be read, the bans stay as they were: " << error.what();
@@ -117,19 +118,21 @@
   }
 }
 
+// Writes a new file and renames it, so that no process reads one that is half written. The new file is not
+// forced to the disk: after a power failure it may be empty.
 bool AdminOverrides::write() const {
-  auto back = json::object();
+  auto undrained_at = json::object();
   for (const auto& [name, at] : undrained_at_)
-    back[name] = at.count();
-  const json all{{"out", drained_}, {"back", std::move(back)}};
+    undrained_at[name] = at.count();
+  const json all{{"out", drained_}, {"back", std::move(undrained_at)}};
   const std::string text = all.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
-  const std::string made = path_ + ".new";
-  std::remove(made.c_str());
-  const int fd = open(made.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC | O_NOFOLLOW, 0600);
-  const bool whole = fd >= 0 && ::write(fd, text.data(), text.size()) == static_cast<ssize_t>(text.size());
+  const std::string new_path = path_ + ".new";
+  std::remove(new_path.c_str());
+  const int fd = open(new_path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC | O_NOFOLLOW, 0600);
+  const bool complete = fd >= 0 && ::write(fd, text.data(), text.size()) == static_cast<ssize_t>(text.size());
   if (fd >= 0)
     close(fd);
-  if (whole && std::rename(made.c_str(), path_.c_str()) == 0)
+  if (complete && std::rename(new_path.c_str(), path_.c_str()) == 0)
     return true;
   logging::error() << path_ << ": it can't be written";
   return false;
--- a/src/core/demand_tracker.h
+++ b/src/core/demand_tracker.h
@@ -1,5 +1,6 @@
-// What this router's clients ask of the writers, as it can tell: its own streams, and what writers say they
-// hold. No I/O, no clock.
+/// \file
+/// What the clients of this router ask of the decode nodes. Free of I/O and of clocks. Used on the serving
+/// thread only.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +10,29 @@
 
 namespace lemonroute {
 
+/// Collects load reports of decode nodes and counts of requests, and summarises them at intervals.
 class DemandTracker {
  public:
-  // A writer's report of the share of its memory that is held, 0 to 1. Only the newest of each counts, for a
-  // time.
-  void record_load_report(EndpointId writer, double held, Micros now);
+  /// Takes a decode node's report of the share of its KV cache memory in use, 0 to 1; it is clamped to that
+  /// range, and ignored unless it is finite. The newest report of each node counts, for report_lifetime.
+  void record_load_report(EndpointId endpoint, double load, Micros now);
+  /// Counts a request that this router has accepted.
   void record_accepted() { ++accepted_; }
+  /// Counts a request that this router has rejected for want of capacity.
   void record_rejected() { ++rejected_; }
 
-  // Of the time since the last call. `own`: tokens that streams of this router hold at writers; `memory`:
-  // what the `writers` have in all, in tokens.
-  NodeObserver::Demand take_summary(double own, double memory, std::uint32_t writers, Micros now);
-
-  static constexpr Micros report_lifetime =
-      std::chrono::seconds(10);  // an older report says nothing any more
+  /// Summarises the reports that still count and the requests since the last call. Decode nodes without a
+  /// report count as the mean of those with one; if no node has reported, this router's own share of the
+  /// memory stands for the load.
+  /// \param own_tokens KV cache at decode nodes that this router's requests hold, in tokens.
+  /// \param memory_tokens KV cache memory of all decode nodes together, in tokens.
+  /// \param decode_nodes the number of decode nodes that are ready.
+  /// \param now the present time, on the clock of the reports.
+  NodeObserver::Demand take_summary(double own_tokens, double memory_tokens, std::uint32_t decode_nodes,
+                                    Micros now);
+
+  /// How long a load report counts.
+  static constexpr Micros report_lifetime = std::chrono::seconds(10);
 
  private:
   struct Report {
--- a/src/core/load_report.cpp
+++ b/src/core/load_report.cpp
@@ -9,25 +9,26 @@
 namespace lemonroute {
 namespace {
 
-// Names on the sockets, and what the settings call the same columns.
-constexpr std::array<std::pair<std::string_view, std::string_view>, 6> also{{{"inflight", "active"},
-                                                                             {"queue", "waiting"},
-                                                                             {"util", "cpu"},
-                                                                             {"latency_ms", "avg_ms"},
-                                                                             {"qps", "rps"},
-                                                                             {"eps", "err_rps"}}};
+// The names that nodes use, and the names of the same columns in the settings.
+constexpr std::array<std::pair<std::string_view, std::string_view>, 6> column_aliases{
+    {{"inflight", "active"},
+     {"queue", "waiting"},
+     {"util", "cpu"},
+     {"latency_ms", "avg_ms"},
+     {"qps", "rps"},
+     {"eps", "err_rps"}}};
 
-bool same_column(std::string_view said, std::string_view column) {
-  if (said == column)
+bool same_column(std::string_view name, std::string_view column) {
+  if (name == column)
     return true;
-  for (const auto& [one, other] : also)
-    if ((said == one && column == other) || (said == other && column == one))
+  for (const auto& [one, other] : column_aliases)
+    if ((name == one && column == other) || (name == other && column == one))
       return true;
   return false;
 }
 
-// No load is counted beyond it; what says more was not meant, or not written whole.
-constexpr float most_value = 1e9f;
+// No load is as high. A report with a higher value is malformed.
+constexpr float max_value = 1e9f;
 
 std::string_view trim(std::string_view text) {
   const auto first = text.find_first_not_of(" \t");
@@ -38,7 +39,7 @@
 
 }  // namespace
 
-// Guards the module against a report that came garbled: what can still be read of it is no better.
+// One malformed item makes the whole report void, since its other values may be wrong too.
 std::vector<float> parse_load(std::string_view report, const std::vector<std::string>& columns) {
   std::vector<float> values(columns.size(), std::numeric_limits<float>::quiet_NaN());
   bool any = false;
@@ -52,7 +53,7 @@
     const auto name = trim(item.substr(0, equals)), text = trim(item.substr(equals + 1));
     float value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= most_value))
+    if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= max_value))
       return {};
     for (std::size_t i = 0; i < columns.size(); ++i)
       if (same_column(name, columns[i])) {
--- a/src/core/load_report.h
+++ b/src/core/load_report.h
@@ -1,4 +1,5 @@
-// Load reports as nodes word them, "inflight=7,queue=2,x0=0.61".
+/// \file
+/// Load reports in the words of the nodes, for instance "inflight=7,queue=2,x0=0.61". Free of state.
 #pragma once
 
 #include <string>
@@ -7,8 +8,9 @@
 
 namespace lemonroute {
 
-// The values of `columns`, in their order; empty where the report is empty or any of it can't be read, and
-// not a number where one column is missing. Reports may use the short names of the site files.
+/// Returns the values of `columns`, in the order of `columns`, with NaN for a column that the report does not
+/// have. Returns an empty list if the report is malformed anywhere, has a value below 0 or above 1e9, or has
+/// none of the columns. A column may have the short name of the site files or the name that nodes use.
 std::vector<float> parse_load(std::string_view report, const std::vector<std::string>& columns);
 
 }  // namespace lemonroute
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -19,13 +19,16 @@
 
 namespace lemonroute {
 
-/// The face of the core for discovery, operators, peers, fronts and the serving loop. The classes in
-/// src/core/router do the work.
+/// The interface of the core for discovery, operators, peers, fronts and the serving loop. The classes in
+/// src/core/router implement it. Nothing here throws; errors are returned or logged.
 class Router {
  public:
-  /// `clock` and `transport` outlive the Router.
-  /// \param zones names of zones, \param kinds names of machine kinds; the settings number both by their
-  /// places. \param seed goes to the Scheduler.
+  /// \param settings the settings until update_settings.
+  /// \param zones names of zones; the settings number them by their places.
+  /// \param kinds names of machine kinds; the settings number them by their places.
+  /// \param seed the Scheduler's.
+  /// \param clock outlives the Router.
+  /// \param transport makes the calls to nodes; outlives the Router.
   Router(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
          std::uint64_t seed, const Clock& clock, NodeTransport& transport);
   ~Router();
@@ -34,6 +37,7 @@
 
   // ---- for discovery ----
 
+  /// One endpoint as discovery lists it.
   using ListedNode = lemonroute::ListedNode;
   /// Takes an endpoint list, or changes of one.
   void update_endpoints(EndpointListKind kind, std::uint32_t version, const std::vector<ListedNode>& listed);
@@ -42,14 +46,17 @@
 
   /// Replaces the settings. Requests that were accepted keep their class and their attempt limit.
   void update_settings(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds);
+  /// The effect of drain_node or undrain_node.
   using OverrideResult = lemonroute::OverrideResult;
   /// Sends no new attempts to the node, whatever discovery lists, until undrain_node.
   [[nodiscard]] OverrideResult drain_node(const std::string& node);
+  /// Ends what drain_node has begun.
   [[nodiscard]] OverrideResult undrain_node(const std::string& node);
   /// Reads the overrides from a file and stores them there from now on. `lock` outlives the Router.
   void load_overrides(std::string path, LockFile& lock);
   /// Reads the file again if another process of this router has changed it.
   void reload_overrides();
+  /// Returns the metrics of this moment.
   [[nodiscard]] RouterMetrics metrics() const;
   /// Returns the name of a listed node, "" for any other.
   [[nodiscard]] std::string endpoint_name(EndpointId id) const;
@@ -57,22 +64,26 @@
   /// that.
   void set_choice_observer(std::function<void(const Choice&)> observer);
 
-  // ---- for what routers know together ----
+  // ---- for peers: the routers of the fleet ----
 
-  /// Lays `fleet_view` over the endpoint list from now on; null: only what discovery and operators say
-  /// counts.
+  /// Lays `fleet_view` over the endpoint list from now on; with null, only the list and the overrides of
+  /// operators count.
   void set_fleet_view(std::shared_ptr<const FleetView> fleet_view);
-  /// Reports what is seen of nodes to `observer`, which outlives the Router or is replaced by null before.
+  /// Reports to `observer` what this router sees of nodes; null ends that. The observer outlives the Router,
+  /// or is replaced before it is destroyed.
   void set_node_observer(NodeObserver* observer);
 
   // ---- for fronts ----
 
+  /// The effect of submit.
   enum class SubmitResult {
-    accepted,
+    accepted,       ///< the client will be answered
     unknown_class,  ///< the settings name no such class
     duplicate_id,   ///< a request with the same client id is open
   };
-  /// Accepts a request, whose one answer goes to `client`. Without SubmitResult::accepted, nothing is kept.
+  /// Accepts a request. Without SubmitResult::accepted, nothing is kept and `client` hears nothing.
+  /// \param client_request is copied as far as it is needed.
+  /// \param client hears the answer. It lives until the answer has ended or client_disconnected was called.
   /// \param id is set before `client` hears anything.
   [[nodiscard]] SubmitResult submit(const ClientRequest& client_request, Client& client, RequestId& id);
   /// The client has disconnected: it hears nothing more.
@@ -87,11 +98,13 @@
   void transfer_streams(const std::function<bool(const TransferredStream&)>& transfer);
   /// Goes on with a stream that another process has transferred. Returns false if that is impossible; then
   /// `client` is not kept.
+  /// \param stream the stream and its two connections.
+  /// \param client hears the rest of the answer. It lives as in submit.
   /// \param id is set before `client` hears anything.
   [[nodiscard]] bool adopt_stream(const TransferredStream& stream, Client& client, RequestId& id);
-  /// Returns what there is to tell a successor of ready nodes.
+  /// Returns what this process has learned of ready nodes, for the process that replaces it.
   [[nodiscard]] HandoverState handover_state() const;
-  /// Takes in what another process told.
+  /// Applies what the process before this one has learned.
   void apply_handover_state(const HandoverState& handover_state);
   /// The process ends soon after `at`: no request, open or accepted later, waits longer for its first event.
   void set_shutdown_deadline(Micros at);
@@ -107,9 +120,11 @@
 
   /// Returns the number of requests that were accepted and are not answered.
   [[nodiscard]] std::size_t open_requests() const;
+  /// Returns the number of nodes in the endpoint list.
   [[nodiscard]] std::size_t known_nodes() const;
   /// Returns whether no request is open and no release is pending.
   [[nodiscard]] bool idle() const;
+  /// Returns the number of nodes that get new attempts.
   [[nodiscard]] std::size_t ready_nodes() const;
 
  private:
--- a/src/core/types.cpp
+++ b/src/core/types.cpp
@@ -5,7 +5,7 @@
 
 namespace lemonroute {
 
-// FNV-1a with its bits mixed once more.
+// FNV-1a. The last three steps spread its high bits over the low ones.
 std::uint64_t hash_text(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ull;
   for (const unsigned char c : text)
