--- a/src/core/router/action_executor.h
+++ b/src/core/router/action_executor.h
@@ -33,18 +33,22 @@
  public:
   /// The classes that actions change. All of them outlive the ActionExecutor.
   struct Collaborators {
-    Scheduler& scheduler;
-    RequestTable& requests;
-    NodeRegistry& nodes;
-    ReservationReleaser& releaser;
-    AttemptRunner& attempts;
-    EventDispatcher& events;
-    ObserverReporter& reporter;
+    Scheduler& scheduler;           ///< decides on the actions
+    RequestTable& requests;         ///< the open requests
+    NodeRegistry& nodes;            ///< the nodes that actions name
+    ReservationReleaser& releaser;  ///< executes ReleaseReservation
+    AttemptRunner& attempts;        ///< executes Send and CancelAttempt
+    EventDispatcher& events;        ///< takes the events of timers and health checks
+    ObserverReporter& reporter;     ///< hears of rejected requests
   };
+  /// `context` outlives this object.
   ActionExecutor(const RouterContext& context, Collaborators collaborators);
 
+  /// Tells the Scheduler first if the fleet view has expired.
   void before_event() override;
+  /// Executes what the Scheduler decides on the event.
   void handle_event(const Event& event) override;
+  /// Destroys the requests that have finished.
   void after_last_event() override;
   /// Lays overrides and fleet view over the endpoint list again. Returns the changes, for the Scheduler.
   [[nodiscard]] EndpointListUpdate refresh_overlays();
--- a/src/core/router/attempt_runner.h
+++ b/src/core/router/attempt_runner.h
@@ -24,12 +24,13 @@
  public:
   /// The classes that attempts report to. All of them outlive the AttemptRunner.
   struct Collaborators {
-    RequestTable& requests;
-    NodeRegistry& nodes;
-    ReservationReleaser& releaser;
-    EventDispatcher& events;
-    ObserverReporter& reporter;
+    RequestTable& requests;         ///< owns the requests and with them their attempts
+    NodeRegistry& nodes;            ///< takes load reports and the last contact
+    ReservationReleaser& releaser;  ///< takes what attempts leave reserved
+    EventDispatcher& events;        ///< takes the results, for the Scheduler
+    ObserverReporter& reporter;     ///< hears of attempts that have ended
   };
+  /// `context` outlives this object.
   AttemptRunner(const RouterContext& context, Collaborators collaborators);
 
   /// Starts the next attempt of a request, or tells the Scheduler why none was started. Only for use while an
--- a/src/core/router/event_dispatcher.h
+++ b/src/core/router/event_dispatcher.h
@@ -15,6 +15,7 @@
   virtual ~EventHandler() = default;
   /// Comes before each event.
   virtual void before_event() = 0;
+  /// Handles one event. May queue further ones.
   virtual void handle_event(const Event& event) = 0;
   /// Comes whenever the queue has become empty.
   virtual void after_last_event() = 0;
--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -54,8 +54,8 @@
 bool StreamHandoff::is_current(const NodeReport& report, const Node& node, Micros reported_at) {
   const bool fresh = report.age >= Micros(0) && report.age <= max_report_age;
   const bool newest = reported_at > std::max(node.endpoint.started_at, node.load_reported_at);
-  const bool tells = report.ejected || !report.load_report.empty();
-  return fresh && newest && tells;
+  const bool has_content = report.ejected || !report.load_report.empty();
+  return fresh && newest && has_content;
 }
 
 // The Scheduler hears of a report as of one health check, so that what the nodes themselves say next
--- a/src/core/router/node_registry.h
+++ b/src/core/router/node_registry.h
@@ -20,11 +20,14 @@
 
 /// One endpoint as discovery lists it.
 struct ListedNode {
-  std::string name, address, zone, kind;  ///< `address` may be empty: it is as it was
-  std::uint16_t cell = 0;
-  EndpointState state = EndpointState::ready;
-  float weight = 1;
-  Micros started_at{};  ///< start of the node's process; 0: long ago
+  std::string name;        ///< identifies the node
+  std::string address;     ///< the address for the node transport; empty: as it was listed before
+  std::string zone;        ///< name of the zone
+  std::string kind;        ///< name of the machine kind
+  std::uint16_t cell = 0;  ///< number of the cell that the node is in
+  EndpointState state = EndpointState::ready;  ///< what discovery says of the node
+  float weight = 1;                            ///< as listed; no decision uses it
+  Micros started_at{};                         ///< start of the node's process; 0: long ago
 };
 
 /// What became of an operator's override.
@@ -36,8 +39,8 @@
 
 /// When attempts and calls last showed that a node answers, or that it does not. 0: never.
 struct LastContact {
-  Micros last_answer{};
-  Micros last_failure{};
+  Micros last_answer{};   ///< when the node last answered
+  Micros last_failure{};  ///< when a call to it last failed
 };
 
 /// Owns the endpoint list, the operators' overrides and the fleet view that are laid over it, and the last
@@ -57,9 +60,11 @@
   /// Renumbers zones and machine kinds and returns the whole list.
   [[nodiscard]] EndpointListUpdate renumber(std::vector<std::string> zones, std::vector<std::string> kinds);
 
+  /// Returns all listed nodes.
   [[nodiscard]] const std::map<EndpointId, Node>& all() const { return known_nodes_; }
   /// Returns the node, or null if the list does not name it.
   [[nodiscard]] const Node* find(EndpointId id) const;
+  /// Returns the node of this name, or null if the list does not name it.
   [[nodiscard]] const Node* find(const std::string& name) const;
   /// Returns the name of a listed node, "" for any other.
   [[nodiscard]] std::string name_of(EndpointId id) const;
@@ -69,6 +74,7 @@
   [[nodiscard]] Role role_of(EndpointId id) const;
   /// Returns whether the node is listed and neither draining nor removed.
   [[nodiscard]] bool is_ready(EndpointId id) const;
+  /// Returns the number of nodes that get new attempts.
   [[nodiscard]] std::size_t ready_nodes() const;
   /// Keeps the node's latest load report, in the node's own words. Does nothing for an unlisted node.
   void record_load_report(EndpointId id, std::string load_report, Micros reported_at);
@@ -78,15 +84,18 @@
   /// Drains the node whatever discovery lists, until undrain. Changes no entry of the list by itself: call
   /// refresh_overlays afterwards.
   [[nodiscard]] OverrideResult drain(const std::string& name);
+  /// Ends what drain has begun, in the same way.
   [[nodiscard]] OverrideResult undrain(const std::string& name);
   /// Reads the overrides from a file and stores them there from now on. `lock` outlives this object.
   void load_overrides(std::string path, LockFile& lock);
   /// Reads the file again if another process has changed it; returns whether it has.
   [[nodiscard]] bool reload_overrides();
+  /// Returns whether an override drains the node.
   [[nodiscard]] bool is_drained_by_operator(const std::string& name) const;
 
   // ---- the fleet view ----
 
+  /// Replaces the fleet view; null: none. Call refresh_overlays afterwards.
   void set_fleet_view(std::shared_ptr<const FleetView> fleet_view);
   /// Returns the settings with the router count of the fleet view, where it has one.
   [[nodiscard]] Settings effective_settings() const;
@@ -101,8 +110,9 @@
 
   // ---- last contact ----
 
-  /// These do nothing for an unlisted node.
+  /// Records that the node has answered now. Does nothing for an unlisted node.
   void record_answer(EndpointId id);
+  /// Records that a call to the node has failed now. Does nothing for an unlisted node.
   void record_failure(EndpointId id);
   /// Returns whether the node has failed at the last contact.
   [[nodiscard]] bool suspected(EndpointId id) const;
--- a/src/core/router/observer_reporter.h
+++ b/src/core/router/observer_reporter.h
@@ -25,7 +25,9 @@
   /// Reports what an attempt that has ended says of its node. `node` is the node's entry in the registry.
   void report_attempt(const RequestState& request, const AttemptState& ended, const Node& node,
                       const AttemptCompleted& completed);
+  /// Counts a request that was accepted.
   void record_accepted() { demand_.record_accepted(); }
+  /// Counts a request that was rejected.
   void record_rejected() { demand_.record_rejected(); }
 
  private:
--- a/src/core/router/pending_release.h
+++ b/src/core/router/pending_release.h
@@ -17,18 +17,18 @@
 
 /// One release call under way. Destroying it closes the call.
 struct ReleaseCall {
-  std::uint64_t number = 0;  ///< unique within one ReservationReleaser
-  EndpointId endpoint = 0;
-  Micros sent_at{};
+  std::uint64_t number = 0;     ///< unique within one ReservationReleaser
+  EndpointId endpoint = 0;      ///< the node that is called
+  Micros sent_at{};             ///< when the call began
   bool during_attempt = false;  ///< a decode attempt of the request was under way when the call began
-  std::unique_ptr<Call> call;
+  std::unique_ptr<Call> call;   ///< the call under way
 };
 
 /// What a request has left reserved and has to be released. The release is finished once any node has
 /// acknowledged a call, and each holder whose prefill was cut without an answer has acknowledged one itself
 /// or has restarted.
 struct PendingRelease {
-  RequestId request = 0;
+  RequestId request = 0;                                ///< the request, which may not be open any more
   std::string id;                                       ///< the client's id, by which nodes know the request
   std::vector<ReservationHolder> holders;               ///< never empty while the release is pending
   Micros since{};                                       ///< when it was ordered
--- a/src/core/router/release_calls.cpp
+++ b/src/core/router/release_calls.cpp
@@ -90,7 +90,7 @@
 
 // With max_calls under way, the oldest call of another release is closed: a node that can be reached would
 // have answered it.
-bool ReservationReleaser::make_room_for_release(const PendingRelease& pending) {
+bool ReservationReleaser::reserve_call_slot(const PendingRelease& pending) {
   std::size_t calls = 0;
   PendingRelease* oldest = nullptr;
   for (PendingRelease& one : releases_) {
--- a/src/core/router/release_schedule.cpp
+++ b/src/core/router/release_schedule.cpp
@@ -11,7 +11,7 @@
 
 constexpr Micros::rep calls_per_timeout = 8;           // calls that start within the release timeout
 constexpr Micros::rep max_calls_under_way = 3;         // so long a call may last, in intervals between calls
-constexpr Micros::rep notify_others_timeouts = 8;      // release timeouts in which other nodes are called
+constexpr Micros::rep other_nodes_timeouts = 8;        // release timeouts in which other nodes are called
 constexpr Micros default_timeout = seconds(1);         // where the settings state none
 constexpr Micros min_call_period = milliseconds(160);  // for calls_per_timeout calls
 constexpr Micros max_interval = seconds(1);            // between two calls, once the timeout has passed
@@ -58,7 +58,7 @@
 // A holder that hangs may go on for a moment, complete its prefill and be cut off again. For a while the
 // other nodes are called in turn with it, since each of them passes a release on.
 bool ReleaseSchedule::notifies_other_nodes(const PendingRelease& pending) const {
-  return context_.now() - pending.since < release_timeout() * notify_others_timeouts;
+  return context_.now() - pending.since < release_timeout() * other_nodes_timeouts;
 }
 
 void ReleaseSchedule::limit_to_shutdown(PendingRelease& pending) const {
--- a/src/core/router/request_state.h
+++ b/src/core/router/request_state.h
@@ -38,6 +38,13 @@
 
 /// One attempt that is under way. Its request owns it. Destroying it cancels its timers and closes its call.
 struct AttemptState : AttemptHandler {
+  /// Prepares an attempt whose call is not made yet.
+  /// \param listener hears of the attempt and outlives it.
+  /// \param request the request that owns the attempt.
+  /// \param number the attempt's number within its request, from 0.
+  /// \param node the node that the attempt goes to; only read here.
+  /// \param role the node's role.
+  /// \param now the present time.
   AttemptState(AttemptListener& listener, RequestId request, std::uint16_t number, const Node& node,
                Role role, Micros now)
       : listener(listener),
@@ -49,33 +56,36 @@
         role(role),
         sent_at(now) {}
 
+  /// Passes this on to the listener, as do on_data and on_done.
   void on_request_written() override { listener.on_request_written(); }
+  /// Passes the event on.
   void on_data(std::string_view data) override { listener.on_attempt_data(*this, data); }
+  /// Passes the result on. The attempt is destroyed before this returns.
   void on_done(AttemptResult result) override { listener.on_attempt_done(*this, std::move(result)); }
 
   /// Returns whether it is certain that no node has heard of this attempt, and that none will once its call
   /// is destroyed.
   [[nodiscard]] bool not_sent() const { return call && call->not_sent(); }
 
-  AttemptListener& listener;
-  RequestId request;
-  std::uint16_t number;  ///< among the attempts of its request, from 0
-  EndpointId endpoint;
-  std::string node;           ///< the endpoint's name, which outlives the endpoint's place in the list
-  Micros process_started_at;  ///< the start of the node's process that the endpoint list stated
-  Role role;                  ///< the node's role when the attempt was sent
-  Micros sent_at;
+  AttemptListener& listener;     ///< hears of the attempt
+  RequestId request;             ///< the request that owns the attempt
+  std::uint16_t number;          ///< among the attempts of its request, from 0
+  EndpointId endpoint;           ///< the node that the attempt goes to
+  std::string node;              ///< the endpoint's name, which outlives the endpoint's place in the list
+  Micros process_started_at;     ///< the start of the node's process that the endpoint list stated
+  Role role;                     ///< the node's role when the attempt was sent
+  Micros sent_at;                ///< when the attempt was started
   bool streaming = false;        ///< the first event of the answer has arrived
   bool release_ordered = false;  ///< a release of what the prefill may leave was ordered as its call closed
-  std::unique_ptr<Call> call;
-  ScopedTimer timer;                 ///< the attempt's timeout; once it streams, the stream's idle timeout
+  std::unique_ptr<Call> call;    ///< the call to the node; null until it is made
+  ScopedTimer timer;             ///< the attempt's timeout; once it streams, the stream's idle timeout
   ScopedTimer start_deadline_timer;  ///< takes the attempt back if it has not been sent by then
   ScopedTimer reservation_timer;     ///< releases the reservation if the attempt has not taken it by then
 };
 
 /// A node that holds, or may hold, the KV cache of a request.
 struct ReservationHolder {
-  EndpointId endpoint = 0;
+  EndpointId endpoint = 0;            ///< the node
   Micros process_started_at{};        ///< the start of the node's process that the endpoint list stated
   Micros since{};                     ///< when this router saw the prefill end
   bool prefill_may_complete = false;  ///< the prefill was cut without an answer: a node that hangs may still
@@ -84,15 +94,17 @@
 
 /// One open request. RequestTable owns it.
 struct RequestState {
-  RequestId id = 0;
-  Prompt prompt;
-  Client* client = nullptr;  ///< null once the request is answered or the client has disconnected
-  Micros deadline{};         ///< the client gives up on the first event then
-  std::uint16_t attempt_count = 0;
-  std::uint32_t max_attempts = 1;
-  std::string request_class;
-  Key session_key = 0, shared_prefix_key = 0;
-  double prompt_tokens = 0, shared_prefix_tokens = 0;
+  RequestId id = 0;                 ///< the number of the request within this router
+  Prompt prompt;                    ///< what each attempt sends
+  Client* client = nullptr;         ///< null once the request is answered or the client has disconnected
+  Micros deadline{};                ///< the client gives up on the first event then
+  std::uint16_t attempt_count = 0;  ///< attempts that the Scheduler has asked for, sent or not
+  std::uint32_t max_attempts = 1;   ///< the limit of attempts when the request was accepted
+  std::string request_class;        ///< name of the class that the request was accepted with
+  Key session_key = 0;              ///< key of the session; 0: none
+  Key shared_prefix_key = 0;        ///< key of the prefix that the prompt shares with others; 0: none
+  double prompt_tokens = 0;         ///< length of the prompt
+  double shared_prefix_tokens = 0;  ///< length of the shared prefix
   std::shared_ptr<RequestCounts> counts;  ///< of the class that the request was accepted with
   bool not_idempotent = false;            ///< the class must not run twice
   bool may_have_run = false;              ///< an attempt that would have answered may have run
@@ -114,7 +126,9 @@
   [[nodiscard]] bool awaits_result() const {
     return attempt && attempt->call && !attempt->streaming && !attempt->not_sent();
   }
+  /// Returns whether the result of a prefill is awaited: no node holds the KV cache yet.
   [[nodiscard]] bool awaits_prefill_result() const { return !has_reservation && awaits_result(); }
+  /// Returns whether the first event of a decode is awaited: a node holds the KV cache.
   [[nodiscard]] bool awaits_decode_result() const { return has_reservation && awaits_result(); }
   /// Forgets that `endpoint` may hold what a cut prefill has left.
   void forget_orphaned_reservation(EndpointId endpoint) {
--- a/src/core/router/request_table.h
+++ b/src/core/router/request_table.h
@@ -16,23 +16,27 @@
 
 /// What a request keeps from the moment it is accepted, whatever the settings become.
 struct AcceptedTerms {
-  std::string request_class;
-  std::uint32_t max_attempts = 1;
-  std::shared_ptr<RequestCounts> counts;
+  std::string request_class;              ///< name of the class
+  std::uint32_t max_attempts = 1;         ///< the limit of attempts
+  std::shared_ptr<RequestCounts> counts;  ///< of the class
 };
 
 /// Owns the requests that are open: not answered, or answered with an attempt still under way. Finds them by
 /// the router's id and by the client's, and keeps their deadlines.
 class RequestTable {
  public:
+  /// The open requests by their ids.
   using Requests = std::unordered_map<RequestId, std::unique_ptr<RequestState>>;
 
   /// Returns the request, or null if it is not open.
   [[nodiscard]] RequestState* find(RequestId id);
+  /// Returns the request, or null if it is not open.
   [[nodiscard]] const RequestState* find(RequestId id) const;
   /// Returns whether a request with this id of the client's is open.
   [[nodiscard]] bool has_client_id(const std::string& client_id) const;
+  /// Returns all open requests.
   [[nodiscard]] const Requests& all() const { return requests_; }
+  /// Returns whether no request is open.
   [[nodiscard]] bool empty() const { return requests_.empty(); }
   /// Returns the number of requests whose client waits for the end of its answer.
   [[nodiscard]] std::size_t waiting_clients() const { return waiting_clients_; }
--- a/src/core/router/reservation_releaser.cpp
+++ b/src/core/router/reservation_releaser.cpp
@@ -73,7 +73,7 @@
     return;
   // The prefill node is late, so another node is called beside it.
   const Node* other = targets_.other_target(*pending);
-  if (other && make_room_for_release(*pending))
+  if (other && reserve_call_slot(*pending))
     send_release(*pending, *other);
 }
 
@@ -115,7 +115,7 @@
     return drop_release(pending);
   }
   const Node* node = targets_.next_target(pending);
-  if (!node || waits_for_holder(pending, node->id) || !make_room_for_release(pending))
+  if (!node || waits_for_holder(pending, node->id) || !reserve_call_slot(pending))
     return schedule_release(pending, now + retry_pause);
   send_release(pending, *node);
   schedule_release(pending, now + schedule_.retry_interval(pending));
--- a/src/core/router/reservation_releaser.h
+++ b/src/core/router/reservation_releaser.h
@@ -59,7 +59,7 @@
   [[nodiscard]] bool waits_for_attempt(const PendingRelease& pending) const;
   void postpone_release(PendingRelease& pending, const RequestState& request);
   [[nodiscard]] bool waits_for_holder(const PendingRelease& pending, EndpointId endpoint) const;
-  [[nodiscard]] bool make_room_for_release(const PendingRelease& pending);
+  [[nodiscard]] bool reserve_call_slot(const PendingRelease& pending);
 
   const RouterContext& context_;
   RequestTable& requests_;
--- a/src/core/router/router_context.h
+++ b/src/core/router/router_context.h
@@ -12,9 +12,9 @@
 /// References to what the Router owns or was given. The Router outlives every class that holds them.
 struct RouterContext {
   const Settings& settings;  ///< the settings in force; Router::update_settings replaces their value
-  const Clock& clock;
-  Timers& timers;
-  NodeTransport& transport;
+  const Clock& clock;        ///< the core's clock
+  Timers& timers;            ///< the timers of the router
+  NodeTransport& transport;  ///< makes the calls to nodes
   /// Call it after a change that may have moved the next timer or made the router idle.
   std::function<void()> notify_change;
 
--- a/src/core/router/stream_handoff.h
+++ b/src/core/router/stream_handoff.h
@@ -20,13 +20,14 @@
  public:
   /// The classes that a hand-over reads and changes. All of them outlive the StreamHandoff.
   struct Collaborators {
-    RequestTable& requests;
-    NodeRegistry& nodes;
-    AttemptRunner& attempts;
-    EventDispatcher& events;
-    Scheduler& scheduler;
-    RequestMetrics& metrics;
+    RequestTable& requests;   ///< the open requests, with their streams
+    NodeRegistry& nodes;      ///< load reports of nodes
+    AttemptRunner& attempts;  ///< goes on with adopted streams
+    EventDispatcher& events;  ///< takes the ends of transferred streams and adopted load reports
+    Scheduler& scheduler;     ///< what it has learned is exchanged
+    RequestMetrics& metrics;  ///< counts adopted streams with their classes
   };
+  /// `context` outlives this object.
   StreamHandoff(const RouterContext& context, Collaborators collaborators);
 
   /// Offers each stream that stands between two events to `transfer`, which returns whether it has sent the
@@ -34,14 +35,15 @@
   void transfer_streams(const std::function<bool(const TransferredStream&)>& transfer);
   /// Goes on with a stream that another process has transferred. Returns false if a request with the same
   /// client id is open, or if the node transport cannot go on with the connection; then `client` is not kept.
+  /// \param stream the stream and its two connections.
   /// \param client hears the rest of the answer.
   /// \param id is set before `client` hears anything.
   [[nodiscard]] bool adopt_stream(const TransferredStream& stream, Client& client, RequestId& id);
 
-  /// Returns what there is to tell of ready nodes.
+  /// Returns what this process has learned of ready nodes.
   [[nodiscard]] HandoverState handover_state() const;
-  /// Takes in what another process told. It may be a little old, or of nodes that are listed differently by
-  /// now: those parts are left out.
+  /// Applies what the process before this one has learned. Parts that are too old by now, or that concern
+  /// nodes which are listed differently, are left out.
   void apply_handover_state(const HandoverState& handover_state);
 
  private:
