--- a/tests/formats/formats_test.cpp
+++ b/tests/formats/formats_test.cpp
@@ -23,7 +23,7 @@
   TemporaryFolder folder;
   std::string path = folder.file("bans");
   LockFile lock{folder.file("lock")};
-  Bans bans;
+  AdminOverrides bans;
   void holds(const std::string& text) { std::ofstream(path, std::ios::binary) << text; }
 };
 
@@ -31,33 +31,33 @@
   BansFile file;
   file.holds(text_fixture("bans.json"));
 
-  file.bans.keep_in(file.path, file.lock);
+  file.bans.load_from(file.path, file.lock);
 
-  EXPECT_TRUE(file.bans.out("lettura-1"));
-  EXPECT_TRUE(file.bans.out("scrittura/\"città\"-2"));
-  EXPECT_FALSE(file.bans.out("lettura-3"));
-  EXPECT_FALSE(file.bans.out("scrittura-4"));
+  EXPECT_TRUE(file.bans.is_drained("lettura-1"));
+  EXPECT_TRUE(file.bans.is_drained("scrittura/\"città\"-2"));
+  EXPECT_FALSE(file.bans.is_drained("lettura-3"));
+  EXPECT_FALSE(file.bans.is_drained("scrittura-4"));
 }
 
 TEST(Formats, ReadsBackWhenNodesWerePutBack) {
   BansFile file;
   file.holds(text_fixture("bans.json"));
 
-  file.bans.keep_in(file.path, file.lock);
+  file.bans.load_from(file.path, file.lock);
 
-  EXPECT_EQ(file.bans.back("lettura-3"), first_put_back);
-  EXPECT_EQ(file.bans.back("scrittura-4"), second_put_back);
-  EXPECT_EQ(file.bans.back("lettura-1"), std::nullopt);
+  EXPECT_EQ(file.bans.undrained_at("lettura-3"), first_put_back);
+  EXPECT_EQ(file.bans.undrained_at("scrittura-4"), second_put_back);
+  EXPECT_EQ(file.bans.undrained_at("lettura-1"), std::nullopt);
 }
 
 TEST(Formats, WritesTheFileOfBansAsBefore) {
   BansFile file;
-  file.bans.keep_in(file.path, file.lock);
+  file.bans.load_from(file.path, file.lock);
 
   for (const char* name : {"lettura-1", "scrittura/\"città\"-2", "lettura-3", "scrittura-4"})
-    ASSERT_TRUE(file.bans.change(name, true, first_put_back));
-  ASSERT_TRUE(file.bans.change("lettura-3", false, first_put_back));
-  ASSERT_TRUE(file.bans.change("scrittura-4", false, second_put_back));
+    ASSERT_TRUE(file.bans.set_override(name, true, first_put_back));
+  ASSERT_TRUE(file.bans.set_override("lettura-3", false, first_put_back));
+  ASSERT_TRUE(file.bans.set_override("scrittura-4", false, second_put_back));
 
   std::ifstream written(file.path, std::ios::binary);
   EXPECT_EQ(std::string(std::istreambuf_iterator<char>(written), {}), text_fixture("bans.json"));
@@ -130,9 +130,9 @@
   TemporaryFolder folder;
   std::string path = folder.file("streams");
   net::Loop loop;
-  std::vector<PassedStream> streams;
+  std::vector<TransferredStream> streams;
   std::vector<HandoverState> states;
-  ops::Handover handover{loop, path, [this](const PassedStream& stream) { streams.push_back(stream); },
+  ops::Handover handover{loop, path, [this](const TransferredStream& stream) { streams.push_back(stream); },
                          [this](const HandoverState& state) { states.push_back(state); }};
   ~Successor() {
     for (const auto& stream : streams) {
@@ -151,13 +151,13 @@
   successor.handover.finish();
 
   ASSERT_EQ(successor.streams.size(), 1u);
-  const PassedStream& stream = successor.streams[0];
+  const TransferredStream& stream = successor.streams[0];
   EXPECT_EQ(stream.id, "request-7f_31");
-  EXPECT_EQ(stream.kind, "estratto");
+  EXPECT_EQ(stream.request_class, "estratto");
   EXPECT_EQ(stream.node, "scrittura-2");
   EXPECT_EQ(stream.attempt, 513);
-  EXPECT_TRUE(stream.client.closes);
-  EXPECT_FALSE(stream.call.closes);
+  EXPECT_TRUE(stream.client.close_after_response);
+  EXPECT_FALSE(stream.call.close_after_response);
 }
 
 TEST(Formats, ReadsBackAnAnswerAfterWhichOnlyTheCallCloses) {
@@ -170,8 +170,8 @@
 
   ASSERT_EQ(successor.streams.size(), 1u);
   EXPECT_EQ(successor.streams[0].id, "request-7f_31");
-  EXPECT_FALSE(successor.streams[0].client.closes);
-  EXPECT_TRUE(successor.streams[0].call.closes);
+  EXPECT_FALSE(successor.streams[0].client.close_after_response);
+  EXPECT_TRUE(successor.streams[0].call.close_after_response);
 }
 
 TEST(Formats, ReadsBackTheConnectionsOfAPassedStreamInTheirOrder) {
@@ -188,7 +188,7 @@
 }
 
 // What arrives where `stream` is passed on, its connections closed again after they were compared.
-std::string passed_text(const PassedStream& stream) {
+std::string passed_text(const TransferredStream& stream) {
   TemporaryFolder folder;
   DatagramSocket socket(folder.file("streams"));
   EXPECT_TRUE(ops::Handover::send(folder.file("streams"), stream));
@@ -203,10 +203,10 @@
   return datagram.text;
 }
 
-PassedStream stream_to_pass(const TwoDescriptors& connections) {
-  PassedStream stream;
+TransferredStream stream_to_pass(const TwoDescriptors& connections) {
+  TransferredStream stream;
   stream.id = "request-7f_31";
-  stream.kind = "estratto";
+  stream.request_class = "estratto";
   stream.node = "scrittura-2";
   stream.attempt = 513;
   stream.client.fd = connections.first();
@@ -216,16 +216,16 @@
 
 TEST(Formats, WritesAPassedStreamAsBefore) {
   const TwoDescriptors connections;
-  PassedStream stream = stream_to_pass(connections);
-  stream.client.closes = true;
+  TransferredStream stream = stream_to_pass(connections);
+  stream.client.close_after_response = true;
 
   EXPECT_EQ(passed_text(stream), line_fixture("handover_stream.json"));
 }
 
 TEST(Formats, WritesAnAnswerAfterWhichOnlyTheCallClosesAsBefore) {
   const TwoDescriptors connections;
-  PassedStream stream = stream_to_pass(connections);
-  stream.call.closes = true;
+  TransferredStream stream = stream_to_pass(connections);
+  stream.call.close_after_response = true;
 
   EXPECT_EQ(passed_text(stream), line_fixture("handover_stream_call_closes.json"));
 }
@@ -240,15 +240,15 @@
   const auto& nodes = successor.states[0].nodes;
   ASSERT_EQ(nodes.size(), 2u);
   EXPECT_EQ(nodes[0].node, "lettura-1");
-  EXPECT_EQ(nodes[0].load, "inflight=7,queue=2");
+  EXPECT_EQ(nodes[0].load_report, "inflight=7,queue=2");
   EXPECT_EQ(nodes[0].age, Micros(1234567));
-  EXPECT_TRUE(nodes[0].avoided);
-  EXPECT_EQ(nodes[0].sent, 0.0625);
+  EXPECT_TRUE(nodes[0].ejected);
+  EXPECT_EQ(nodes[0].work_rate, 0.0625);
   EXPECT_EQ(nodes[1].node, "scrittura-2");
-  EXPECT_EQ(nodes[1].load, "inflight=31,queue=0");
+  EXPECT_EQ(nodes[1].load_report, "inflight=31,queue=0");
   EXPECT_EQ(nodes[1].age, Micros(89));
-  EXPECT_FALSE(nodes[1].avoided);
-  EXPECT_EQ(nodes[1].sent, 1.7);
+  EXPECT_FALSE(nodes[1].ejected);
+  EXPECT_EQ(nodes[1].work_rate, 1.7);
 }
 
 TEST(Formats, ReadsBackTheReadRatesThatAreTold) {
@@ -258,8 +258,8 @@
   successor.handover.finish();
 
   ASSERT_EQ(successor.states.size(), 1u);
-  const std::vector<std::pair<Role, double>> read_rates{{Role::write, 0.125}, {Role::both, 2.3}};
-  EXPECT_EQ(successor.states[0].read_rates, read_rates);
+  const std::vector<std::pair<Role, double>> read_rates{{Role::decode, 0.125}, {Role::mixed, 2.3}};
+  EXPECT_EQ(successor.states[0].prefill_rates, read_rates);
 }
 
 TEST(Formats, WritesWhatIsToldOfNodesAsBefore) {
@@ -267,16 +267,16 @@
   DatagramSocket socket(folder.file("streams"));
   NodeReport first, second;
   first.node = "lettura-1";
-  first.load = "inflight=7,queue=2";
+  first.load_report = "inflight=7,queue=2";
   first.age = Micros(1234567);
-  first.avoided = true;
-  first.sent = 0.0625;
+  first.ejected = true;
+  first.work_rate = 0.0625;
   second.node = "scrittura-2";
-  second.load = "inflight=31,queue=0";
+  second.load_report = "inflight=31,queue=0";
   second.age = Micros(89);
-  second.sent = 1.7;
+  second.work_rate = 1.7;
 
-  ops::Handover::tell(folder.file("streams"), {{first, second}, {{Role::write, 0.125}, {Role::both, 2.3}}});
+  ops::Handover::tell(folder.file("streams"), {{first, second}, {{Role::decode, 0.125}, {Role::mixed, 2.3}}});
 
   EXPECT_EQ(socket.receive().text, line_fixture("handover_state.json"));
 }
