--- a/src/guide/binding.h
+++ b/src/guide/binding.h
@@ -1,5 +1,5 @@
-// An extension with what it gives the serving loop and wants to hear from it. Extensions know neither Guide
-// nor NodeObserver: what their snapshot answers and what they hear is taken up by name.
+// An extension with what it gives the serving loop and wants to hear from it. Extensions know neither
+// FleetView nor NodeObserver: what their snapshot answers and what they hear is taken up by name.
 #pragma once
 
 #include <functional>
@@ -19,26 +19,27 @@
       guide;  // its newest; another pointer where it has changed
 };
 
-// The Guide of a snapshot that has any of lay(node), kept(session, shared), lost(node).
+// The FleetView of a snapshot that has any of overlay(node), cache_locations(session, shared),
+// cache_lost_at(node).
 template <class Snapshot>
 class Says final : public FleetView {
  public:
   explicit Says(std::shared_ptr<const Snapshot> of) : of_(std::move(of)) {}
   NodeOverlay overlay(const Node& node) const override {
-    if constexpr (requires(const Snapshot& s) { s.lay(node); })
-      return of_->lay(node);
+    if constexpr (requires(const Snapshot& s) { s.overlay(node); })
+      return of_->overlay(node);
     else
       return {};
   }
   std::vector<CacheLocation> cache_locations(Key session, Key shared) const override {
-    if constexpr (requires(const Snapshot& s) { s.kept(session, shared); })
-      return of_->kept(session, shared);
+    if constexpr (requires(const Snapshot& s) { s.cache_locations(session, shared); })
+      return of_->cache_locations(session, shared);
     else
       return {};
   }
   Micros cache_lost_at(const Node& node) const override {
-    if constexpr (requires(const Snapshot& s) { s.lost(node); })
-      return of_->lost(node);
+    if constexpr (requires(const Snapshot& s) { s.cache_lost_at(node); })
+      return of_->cache_lost_at(node);
     else
       return {};
   }
@@ -54,24 +55,26 @@
   explicit Hears(Extension& extension) : extension_(extension) {}
   void on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
                         Micros now) override {
-    if constexpr (requires(Extension & r) { r.kept(node, session, shared, tokens, shared_tokens, now); })
-      extension_.kept(node, session, shared, tokens, shared_tokens, now);
+    if constexpr (requires(Extension & r) {
+                    r.on_prefix_cached(node, session, shared, tokens, shared_tokens, now);
+                  })
+      extension_.on_prefix_cached(node, session, shared, tokens, shared_tokens, now);
   }
   void on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) override {
-    if constexpr (requires(Extension & r) { r.found(node, session, shared, tokens, now); })
-      extension_.found(node, session, shared, tokens, now);
+    if constexpr (requires(Extension & r) { r.on_cache_hit(node, session, shared, tokens, now); })
+      extension_.on_cache_hit(node, session, shared, tokens, now);
   }
   void on_cache_lost(const Node& node, Micros now) override {
-    if constexpr (requires(Extension & r) { r.lost(node, now); })
-      extension_.lost(node, now);
+    if constexpr (requires(Extension & r) { r.on_cache_lost(node, now); })
+      extension_.on_cache_lost(node, now);
   }
   void on_endpoints(const std::vector<Node>& nodes, Micros now) override {
-    if constexpr (requires(Extension & r) { r.listed(nodes, now); })
-      extension_.listed(nodes, now);
+    if constexpr (requires(Extension & r) { r.on_endpoints(nodes, now); })
+      extension_.on_endpoints(nodes, now);
   }
   void on_demand(const Demand& demand, Micros now) override {
-    if constexpr (requires(Extension & r) { r.demand(demand, now); })
-      extension_.demand(demand, now);
+    if constexpr (requires(Extension & r) { r.on_demand(demand, now); })
+      extension_.on_demand(demand, now);
   }
 
  private:
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -34,8 +34,8 @@
   // has come.
   Pools(Options options, std::uint64_t seed);
 
-  void listed(const std::vector<Node>& nodes, Micros now);
-  void demand(const NodeObserver::Demand& seen, Micros now);
+  void on_endpoints(const std::vector<Node>& nodes, Micros now);
+  void on_demand(const NodeObserver::Demand& seen, Micros now);
   // Whether this process answers as keeper. On from the start on. Off while another process of the same name
   // may answer; once on again it begins without memory.
   void keep(bool on, Micros now);
--- a/src/pools/extension/pools.cpp
+++ b/src/pools/extension/pools.cpp
@@ -74,7 +74,7 @@
     replaced_ = true;
 }
 
-void Pools::listed(const std::vector<Node>& nodes, Micros now) {
+void Pools::on_endpoints(const std::vector<Node>& nodes, Micros now) {
   stock_ = take_stock(nodes, options_.settings, options_.writers);
   std::erase_if(pools_, [this](const auto& one) { return !stock_.writers.contains(one.first); });
   for (const auto& [name, writers] : stock_.writers) {
@@ -89,7 +89,7 @@
   refresh(now);
 }
 
-void Pools::demand(const NodeObserver::Demand& seen, Micros now) {
+void Pools::on_demand(const NodeObserver::Demand& seen, Micros now) {
   own_.add(seen, now);
 }
 
--- a/src/pools/rights/rights.cpp
+++ b/src/pools/rights/rights.cpp
@@ -7,7 +7,7 @@
   return at != settings.regions.end() && (at->second.keepers.empty() || at->second.reserve.contains(pool));
 }
 
-FleetView::NodeOverlay Rights::lay(const Node& node) const {
+FleetView::NodeOverlay Rights::overlay(const Node& node) const {
   if (!frame_->writers.contains(node.kind))
     return {};
   const std::string* home = frame_->settings.region_of(node.zone);
--- a/src/pools/rights/rights.h
+++ b/src/pools/rights/rights.h
@@ -27,7 +27,7 @@
       : frame_(std::move(frame)), pools_(std::move(pools)) {}
 
   // Readers and nodes outside all regions are left as they are.
-  FleetView::NodeOverlay lay(const Node& node) const;
+  FleetView::NodeOverlay overlay(const Node& node) const;
   const std::map<PoolName, Entry>& pools() const { return pools_; }
 
  private:
--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -118,8 +118,7 @@
     // file turned kinds about it may, for a node that has left: it knows its role by the new list. The core
     // knows the old one.
     void heard(const Choice& choice) {
-      play.digest_.add(play.clock_.at, choice.id, choice.stage, choice.avoided, choice.chosen,
-                       choice.refused);
+      play.digest_.add(play.clock_.at, choice.id, choice.stage, choice.excluded, choice.chosen, choice.shed);
       const auto name = names.find(choice.id);
       if (name == names.end() || choice.chosen == 0 || !play.kinds_fixed_)
         return;
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -127,7 +127,7 @@
 // An extension that hears of nodes and says of each that it is away once a loss was told of it.
 struct Talker : peers::Extension {
   struct Away {
-    FleetView::NodeOverlay lay(const Node&) const { return {true, Micros(0), Micros::max()}; }
+    FleetView::NodeOverlay overlay(const Node&) const { return {true, Micros(0), Micros::max()}; }
   };
   peers::Topic topic() const override { return peers::Topic::tiers; }
   void viewed(Micros, const peers::View& view) override {
@@ -146,7 +146,7 @@
   }
   Micros next_due() const override { return due; }
   nlohmann::json describe(Micros) const override { return nlohmann::json::object(); }
-  void lost(const Node&, Micros) { told = true; }
+  void on_cache_lost(const Node&, Micros) { told = true; }
   std::string other;
   std::shared_ptr<const Away> guide;
   bool told = false;
@@ -174,7 +174,7 @@
 }
 
 struct Broken : Talker {
-  void lost(const Node&, Micros) { throw std::runtime_error("a slip"); }
+  void on_cache_lost(const Node&, Micros) { throw std::runtime_error("a slip"); }
 };
 
 TEST_F(World, a_fault_on_the_thread_of_the_peers_ends_them_and_not_what_serves) {
--- a/tests/pools/digests_main.cpp
+++ b/tests/pools/digests_main.cpp
@@ -24,10 +24,10 @@
     if (!one->pools)
       continue;
     NodeObserver::Demand demand;
-    demand.own = (one->site == "n" ? north : south) / 3 * world.settings.fill / 4;
-    demand.writers = 4;
-    demand.taken = 10;
-    one->pools->demand(demand, one->local());
+    demand.own_load = (one->site == "n" ? north : south) / 3 * world.settings.fill / 4;
+    demand.decode_nodes = 4;
+    demand.accepted_requests = 10;
+    one->pools->on_demand(demand, one->local());
   }
 }
 
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -26,7 +26,7 @@
     demand.own_load = writers / 4;
     demand.decode_nodes = 4;
     demand.accepted_requests = 10;
-    one->pools->demand(demand, one->local());
+    one->pools->on_demand(demand, one->local());
   }
 }
 void drive(World& world, Micros from, Micros until, double north, double south) {
@@ -62,7 +62,7 @@
   std::vector<Micros> started;
   for (auto& one : world.processes)
     if (one->site == "s")
-      started.push_back(one->pools->rights()->lay(test::node("n", 1, 0)).started_at - one->skew);
+      started.push_back(one->pools->rights()->overlay(test::node("n", 1, 0)).started_at - one->skew);
   for (const Micros at : started) {
     EXPECT_GT(at, World::base + 30s);
     EXPECT_LT(at - started[0] < 0s ? started[0] - at : at - started[0], 1500ms);
@@ -73,7 +73,7 @@
   EXPECT_EQ(told["pools"][1]["epoch"], 1);
   world.run(119s);
   for (std::size_t i = 0; i < started.size(); ++i)
-    EXPECT_EQ(world.processes[3 + i]->pools->rights()->lay(test::node("n", 1, 0)).started_at -
+    EXPECT_EQ(world.processes[3 + i]->pools->rights()->overlay(test::node("n", 1, 0)).started_at -
                   world.processes[3 + i]->skew,
               started[i]);
   world.run(300s);
@@ -85,13 +85,13 @@
   World world(test::two_regions(), 2);
   world.run(10s);
   const auto rights = world.processes[0]->pools->rights();
-  EXPECT_FALSE(rights->lay(test::node("s", 1, 0, "reader")).drained);
-  EXPECT_FALSE(rights->lay(test::node("elsewhere", 1, 0)).drained);
-  EXPECT_TRUE(rights->lay(test::node("s", 1, 0)).drained);
-  EXPECT_TRUE(rights->lay(test::node("s", 0, 0)).drained);   // another region's reserve
-  EXPECT_TRUE(rights->lay(test::node("n", 77, 0)).drained);  // a pool that was just listed
-  EXPECT_EQ(rights->lay(test::node("n", 0, 0)).expires_at, Micros::max());
-  EXPECT_LT(rights->lay(test::node("n", 1, 0)).expires_at, Micros::max());
+  EXPECT_FALSE(rights->overlay(test::node("s", 1, 0, "reader")).drained);
+  EXPECT_FALSE(rights->overlay(test::node("elsewhere", 1, 0)).drained);
+  EXPECT_TRUE(rights->overlay(test::node("s", 1, 0)).drained);
+  EXPECT_TRUE(rights->overlay(test::node("s", 0, 0)).drained);   // another region's reserve
+  EXPECT_TRUE(rights->overlay(test::node("n", 77, 0)).drained);  // a pool that was just listed
+  EXPECT_EQ(rights->overlay(test::node("n", 0, 0)).expires_at, Micros::max());
+  EXPECT_LT(rights->overlay(test::node("n", 1, 0)).expires_at, Micros::max());
 }
 
 // A region that is cut off keeps its own, and gets back what it had lent; the borrower stops in time.
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -98,7 +98,7 @@
         Pools::Options{settings, one.name, one.site, {"writer"}, 4s, one.start}, rng());
     one.seen_as_alive.clear();
     show(one);
-    one.pools->listed(nodes, one.local());
+    one.pools->on_endpoints(nodes, one.local());
     wake(one, one.life);
   }
   void crash(Process& one) {
@@ -108,7 +108,7 @@
   void list() {
     for (auto& one : processes)
       if (one->pools)
-        one->pools->listed(nodes, one->local());
+        one->pools->on_endpoints(nodes, one->local());
   }
 
   void at(Micros when, std::function<void()> what) { queue.push({when, serial++, std::move(what)}); }
@@ -129,7 +129,7 @@
     for (auto& one : processes) {
       if (!one->pools)
         continue;
-      const auto laid = one->pools->rights()->lay(node(name.site, static_cast<int>(name.cell), 0));
+      const auto laid = one->pools->rights()->overlay(node(name.site, static_cast<int>(name.cell), 0));
       if (!laid.drained && laid.expires_at > one->local())
         ++by[*settings.region_of(one->site)];
     }
--- a/tests/tiers/digests_main.cpp
+++ b/tests/tiers/digests_main.cpp
@@ -31,7 +31,7 @@
     net.run(Micros(static_cast<Micros::rep>(random() % 3'000'000)));
     const auto kind = random() % 12;
     if (kind == 0)
-      net.at(router).lost(net.device(device), net.now());
+      net.at(router).on_cache_lost(net.device(device), net.now());
     else if (kind == 1)
       net.restart_device(device, [seed](std::size_t at) { return (at + seed) % 2 == 0; });
     else if (kind == 2)
@@ -41,9 +41,9 @@
     else if (kind == 4)
       net.heal();
     else
-      net.at(router).kept(net.device(device), session, 7, 8000, 500, net.now());
+      net.at(router).on_prefix_cached(net.device(device), session, 7, 8000, 500, net.now());
     for (std::size_t at = 0; at < net.size(); ++at)
-      for (const auto& hint : net.at(at).map()->kept(session, 7))
+      for (const auto& hint : net.at(at).map()->cache_locations(session, 7))
         digest.add(at, hint.node, hint.tokens, hint.confidence);
   }
   digest.add(net.digest().value());
