--- a/tests/acceptance/evidence_test.cpp
+++ b/tests/acceptance/evidence_test.cpp
@@ -18,17 +18,18 @@
 // minutes.
 TEST(Evidence, FullWritersAreAskedAgainSoon) {
   const Settings s = reporting();
-  Bed bed(s);
-  bed.list({host(1, reader_kind), host(2, reader_kind), host(8, writer_kind), host(9, writer_kind)});
-  bed.serve(bed.request(2000), 60ms);
+  SchedulerFixture fixture(s);
+  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(8, decode_kind), host(9, decode_kind)});
+  fixture.serve(fixture.request(2000), 60ms);
   for (int i = 0; i < 5; ++i)
     for (const EndpointId id : {8, 9})
-      bed.feed(HealthResult{id, Outcome::ok, 1ms, {1, 0}});
-  EXPECT_EQ(Bed::sent(bed.feed(bed.request(2000))), 0u) << "full as they are";
-  const Micros longest = s.classes[0].deadline, from = bed.now;
-  while (!Bed::sent(bed.feed(bed.request(2000))) && bed.now < from + 20 * longest)
-    bed.now += 500ms;
-  EXPECT_LE(bed.now - from, 2 * longest);
+      fixture.handle(HealthResult{id, Outcome::ok, 1ms, {1, 0}});
+  EXPECT_EQ(SchedulerFixture::sent_to(fixture.handle(fixture.request(2000))), 0u) << "full as they are";
+  const Micros longest = s.classes[0].deadline, from = fixture.now;
+  while (!SchedulerFixture::sent_to(fixture.handle(fixture.request(2000))) &&
+         fixture.now < from + 20 * longest)
+    fixture.now += 500ms;
+  EXPECT_LE(fixture.now - from, 2 * longest);
 }
 
 // Danger: a session whose text is kept at a jammed reader. It is asked first for the reads that it saves, and
@@ -36,15 +37,16 @@
 TEST(Evidence, AJammedHomeIsNoReasonToRefuse) {
   for (const float tokens : {2000.f, 4000.f, 8000.f, 16000.f})
     for (const float queue : {10.f, 20.f, 25.f, 30.f, 40.f, 60.f}) {
-      Bed bed(reporting());
-      bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(8, writer_kind),
-                host(9, writer_kind)});
+      SchedulerFixture fixture(reporting());
+      fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(3, prefill_kind), host(8, decode_kind),
+                    host(9, decode_kind)});
       for (int i = 0; i < 30; ++i)
-        bed.serve(bed.request(2000), 120ms);
-      const EndpointId home = bed.serve(bed.request(tokens, 0, 77), Micros(static_cast<long>(60 * tokens)));
+        fixture.serve(fixture.request(2000), 120ms);
+      const EndpointId home =
+          fixture.serve(fixture.request(tokens, 0, 77), Micros(static_cast<long>(60 * tokens)));
       for (const EndpointId id : {1, 2, 3})
-        bed.feed(HealthResult{id, Outcome::ok, 1ms, {0, id == home ? queue : 0}});
-      EXPECT_NE(Bed::sent(bed.feed(bed.request(tokens + 300, 0, 77))), 0u)
+        fixture.handle(HealthResult{id, Outcome::ok, 1ms, {0, id == home ? queue : 0}});
+      EXPECT_NE(SchedulerFixture::sent_to(fixture.handle(fixture.request(tokens + 300, 0, 77))), 0u)
           << tokens << " tokens, " << queue << " thousand waiting where they are kept, two readers idle";
     }
 }
@@ -52,32 +54,32 @@
 // Danger: a table that is full and gives up the smallest key: those who come now are forgotten at once, and
 // the table ends up with the largest keys there ever were.
 TEST(Evidence, SessionsOfNowAreRemembered) {
-  Bed bed;
-  bed.list({host(1, reader_kind), host(2, reader_kind), host(3, reader_kind), host(8, writer_kind),
-            host(9, writer_kind)});
+  SchedulerFixture fixture;
+  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(3, prefill_kind), host(8, decode_kind),
+                host(9, decode_kind)});
   std::mt19937_64 random(1);
   for (int i = 0; i < 40000; ++i) {  // more than are remembered
-    const Request r = bed.request(2000, 0, random());
-    const EndpointId at = Bed::sent(bed.feed(r));
-    bed.feed(ClientDisconnected{r.id});
-    bed.complete(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
-    bed.alarms.clear();
-    bed.now += 1ms;
+    const Request r = fixture.request(2000, 0, random());
+    const EndpointId at = SchedulerFixture::sent_to(fixture.handle(r));
+    fixture.handle(ClientDisconnected{r.id});
+    fixture.complete(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
+    fixture.timers.clear();
+    fixture.now += 1ms;
   }
   int known = 0;
   for (int i = 0; i < 100; ++i) {
     const Key key = random();
-    const EndpointId at = bed.serve(bed.request(2000, 0, key), 50ms);
+    const EndpointId at = fixture.serve(fixture.request(2000, 0, key), 50ms);
     for (int k = 0; k < 10; ++k)
-      bed.serve(bed.request(2000, 0, random()), 50ms);
+      fixture.serve(fixture.request(2000, 0, random()), 50ms);
     double match = 0;
-    bed.scheduler.set_choice_observer([&](const Choice& choice) {
+    fixture.scheduler.set_choice_observer([&](const Choice& choice) {
       for (const auto& one : choice.candidates)
         if (one.endpoint == at)
           match = std::max(match, one.recorded_match);
     });
-    bed.serve(bed.request(2300, 0, key), 50ms);
-    bed.scheduler.set_choice_observer({});
+    fixture.serve(fixture.request(2300, 0, key), 50ms);
+    fixture.scheduler.set_choice_observer({});
     known += match > 1000;
   }
   EXPECT_GE(known, 90);
--- a/tests/acceptance/floors_test.cpp
+++ b/tests/acceptance/floors_test.cpp
@@ -22,8 +22,8 @@
   Fleet() : bed_(stated()) {
     std::vector<Endpoint> hosts;
     for (EndpointId id = 1; id <= 5; ++id) {
-      hosts.push_back(host(id, reader_kind));
-      hosts.push_back(host(10 + id, writer_kind));
+      hosts.push_back(host(id, prefill_kind));
+      hosts.push_back(host(10 + id, decode_kind));
     }
     bed_.list(hosts);
     for (int i = 0; i < 40; ++i)
@@ -43,8 +43,8 @@
     for (EndpointId id = 1; id <= 5; ++id) {
       const float unread = static_cast<float>(wait() * 20), held = static_cast<float>(load());
       for (int i = 0; i < 6; ++i) {
-        bed_.feed(HealthResult{id, Outcome::ok, 1ms, {0, unread}});
-        bed_.feed(HealthResult{10 + id, Outcome::ok, 1ms, {held, 0}});
+        bed_.handle(HealthResult{id, Outcome::ok, 1ms, {0, unread}});
+        bed_.handle(HealthResult{10 + id, Outcome::ok, 1ms, {held, 0}});
       }
     }
   }
@@ -52,12 +52,12 @@
   bool taken(const Drawn& drawn) {
     Request r = bed_.request(static_cast<float>(drawn.tokens), drawn.cls, drawn.session);
     r.tenant_index = drawn.tenant;
-    const EndpointId at = Bed::sent(bed_.feed(r));
+    const EndpointId at = SchedulerFixture::sent_to(bed_.handle(r));
     if (at) {
-      bed_.feed(ClientDisconnected{r.id});
+      bed_.handle(ClientDisconnected{r.id});
       bed_.complete(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
     }
-    bed_.alarms.clear();
+    bed_.timers.clear();
     return at != 0;
   }
   Drawn draw_request() {
@@ -77,7 +77,7 @@
     return s;
   }
   std::mt19937_64 random_{7};
-  Bed bed_;
+  SchedulerFixture bed_;
 };
 
 template <class Holds>
