--- a/tests/module/support.h
+++ b/tests/module/support.h
@@ -1,4 +1,5 @@
-// A Scheduler driven by hand for tests: the fixture puts events to it, collects actions and keeps due timers. No I/O.
+// A Scheduler driven by hand for tests: the fixture puts events to it, collects actions and keeps due timers.
+// No I/O.
 #pragma once
 
 #include <gtest/gtest.h>
