--- a/src/estimation/rendezvous_hash.cpp
+++ b/src/estimation/rendezvous_hash.cpp
@@ -93,6 +93,7 @@
 // Ranks all prefill nodes by rendezvous hashing without weights.
 std::vector<RankedNode> rank_equally(Key prefix_key, const std::vector<WeightedNode>& prefill_nodes) {
   std::vector<RankedNode> ranked;
+  ranked.reserve(prefill_nodes.size());
   for (const WeightedNode& node : prefill_nodes)
     ranked.emplace_back(hash_of_pair(prefix_key, node.id), node.id);
   return ranked;
