--- a/src/estimation/conversions.h
+++ b/src/estimation/conversions.h
@@ -1,6 +1,6 @@
 /// \file
-/// Conversions between durations and plain numbers, and the check of numbers that other processes report.
-/// Free of I/O and of state, so that any thread may call them.
+/// Conversions between durations and numbers, and sanitizing of numbers that other processes report. The
+/// functions are stateless and thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 /// The longest duration that from_microseconds() returns, in microseconds: about 67 minutes.
 inline constexpr double max_microseconds = 4e9;
 
-/// The largest number that clamp_reported_value() returns, in the unit of what is reported.
+/// The largest number that clamp_reported_value() returns, in the unit of the reported value.
 inline constexpr double max_reported_value = 1e7;
 
 /// Returns a duration as a number of microseconds.
@@ -21,16 +21,16 @@
   return static_cast<double>(duration.count());
 }
 
-/// Returns the duration of so many microseconds, without the fraction: 0 for a negative number, and at most
-/// max_microseconds. `microseconds` must not be NaN, which no integer can represent: the conversion would be
-/// undefined behavior.
+/// Returns a number of microseconds as a duration, without the fraction: 0 for a negative number, and at most
+/// max_microseconds. `microseconds` must not be NaN: the conversion to an integer would be undefined
+/// behavior.
 inline Micros from_microseconds(double microseconds) {
   const double clamped = std::clamp(microseconds, 0.0, max_microseconds);
   return Micros(static_cast<Micros::rep>(clamped));
 }
 
-/// Returns a number that another process reported, at most max_reported_value. Returns 0 for NaN, infinity
-/// and negative numbers: one such value would otherwise spoil every average that it enters.
+/// Returns a number that another process reported, limited to max_reported_value. Returns 0 for NaN, infinity
+/// and negative numbers, which would otherwise corrupt every average that they are added to.
 inline double clamp_reported_value(float value) {
   const bool usable = std::isfinite(value) && value > 0;
   return usable ? std::min<double>(value, max_reported_value) : 0;
--- a/src/estimation/decaying_average.h
+++ b/src/estimation/decaying_average.h
@@ -1,6 +1,6 @@
 /// \file
-/// Averages of samples that one router takes itself. None of them reads a clock: the caller passes the time,
-/// which must not go back. Free of I/O. None of them locks: an object is for one thread at a time.
+/// Averages of samples. They read no clock: the caller passes the time, which must not decrease. Not
+/// thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -11,26 +11,26 @@
 
 namespace lemonroute::estimation {
 
-/// The usual weight of a new sample against the average so far, 0 to 1.
+/// Default weight of a new sample against the average so far, 0 to 1.
 inline constexpr double usual_sample_weight = 0.25;
 
-/// The most samples that DecayingAverage::samples counts; more do not make an average more certain.
+/// Upper limit of DecayingAverage::samples. More samples do not make an average more reliable.
 inline constexpr double max_samples = 20;
 
-/// An exponentially weighted moving average (EWMA) that also knows how old it is and how many samples it
-/// rests on. Its unit is that of the samples.
+/// An exponentially weighted moving average (EWMA) with its age and its number of samples. Its unit is that
+/// of the samples.
 struct DecayingAverage {
-  /// The average; 0, or what it was initialized with, before the first sample.
+  /// The average; the initial value before the first sample.
   double value = 0;
-  /// When the latest sample was added; 0 before the first.
+  /// Time of the latest sample; 0 before the first.
   Micros last_sample_at{};
-  /// Whether `value` stands for anything. While it is false, the first sample replaces `value`.
+  /// Whether `value` is meaningful. While false, the first sample replaces `value`.
   bool known = false;
-  /// How many whole samples were added, at most max_samples.
+  /// Sum of the evidence of all samples, at most max_samples.
   double samples = 0;
 
-  /// Adds a sample. `weight` is that of the sample against the average so far, 0 to 1. `evidence` is how much
-  /// of a whole sample it is for `samples`, 0 to 1.
+  /// Adds a sample. `weight` is its weight against the average so far, 0 to 1. `evidence` is what it adds to
+  /// `samples`: 1 for a whole sample, less for a partial one.
   void add(double sample, Micros now, double weight = usual_sample_weight, double evidence = 1) {
     value = known ? value + weight * (sample - value) : sample;
     last_sample_at = now;
@@ -38,32 +38,34 @@
     samples = std::min(samples + evidence, max_samples);
   }
 
-  /// Returns how fresh the average is: 1 at the latest sample, less by a factor of e for each `fade` since,
-  /// and 0 while nothing is known. `fade` must be above 0.
-  double freshness(Micros now, Micros fade) const {
+  /// Returns the freshness of the average: 1 at the latest sample, decreasing by a factor of e per
+  /// `time_constant`, and 0 while nothing is known. `time_constant` must be above 0.
+  double freshness(Micros now, Micros time_constant) const {
     if (!known)
       return 0;
     const double age = to_microseconds(now - last_sample_at);
-    return std::exp(-age / to_microseconds(fade));
+    return std::exp(-age / to_microseconds(time_constant));
   }
 
-  /// Returns the average, fading to 0 while no sample comes. `fade` is that of freshness().
-  double decayed_value(Micros now, Micros fade) const { return value * freshness(now, fade); }
+  /// Returns the average multiplied by freshness(), so that it decays to 0 without new samples.
+  double decayed_value(Micros now, Micros time_constant) const {
+    return value * freshness(now, time_constant);
+  }
 
-  /// Returns the weight of this average against a more general one, from 0 (included) to 1 (excluded): few or
-  /// old samples prove little. `fade` is that of freshness().
-  double confidence(Micros now, Micros fade) const {
-    const double evidence = samples * freshness(now, fade);
+  /// Returns the weight of this average against a more general one, in [0, 1): low for few or old samples.
+  /// `time_constant` is as in freshness().
+  double confidence(Micros now, Micros time_constant) const {
+    const double evidence = samples * freshness(now, time_constant);
     return evidence / (evidence + 1);
   }
 };
 
-/// The weighted mean of values that are all at hand, with no regard to time.
+/// The weighted mean of a set of values, regardless of time.
 struct WeightedMean {
-  /// The least total weight that gives a mean. A quotient of two tiny sums would be noise.
+  /// Minimum total weight for a mean. The quotient of two tiny sums would be noise.
   static constexpr double min_total_weight = 1e-3;
 
-  /// The sum of all values, each times its weight.
+  /// The sum of all values, each multiplied by its weight.
   double sum = 0;
   /// The sum of all weights.
   double total_weight = 0;
--- a/src/estimation/prefix_popularity.cpp
+++ b/src/estimation/prefix_popularity.cpp
@@ -5,18 +5,18 @@
 namespace lemonroute::estimation {
 namespace {
 
-// How many arrivals with the usual share are assumed beside those that were counted.
+// Number of arrivals with the usual share that are assumed in addition to the counted ones.
 constexpr double assumed_arrivals = 10;
 
-// The pairs of arrivals that are assumed beside those that were counted, and those of them that have the same
-// prefix: one in twenty. They matter for the first few requests only.
+// Pairs of arrivals that are assumed in addition to the counted ones, and how many of them have the same
+// prefix. They affect only the first few requests.
 constexpr double assumed_pairs = 20;
 constexpr double assumed_pairs_with_same_prefix = 1;
 
-// Prefixes with a lower count are forgotten when counts are halved.
+// Prefixes with a lower count are dropped when the counts are halved.
 constexpr double min_count = 0.5;
 
-// Pairs among so many arrivals, each counted twice. Halved counts may be below 1 and have no pair.
+// Returns the number of ordered pairs among arrivals. A halved count below 1 has no pairs.
 double pairs_among(double arrivals) {
   return arrivals * std::max(0.0, arrivals - 1);
 }
@@ -49,7 +49,7 @@
 
 double PrefixPopularity::share(Key prefix) const {
   const auto found = arrivals_by_prefix_.find(prefix);
-  // Without the request that this is asked for.
+  // The request that share() is called for is not counted.
   const double others = found == arrivals_by_prefix_.end() ? 0 : std::max(0.0, found->second - 1);
   const double assumed = assumed_arrivals * usual_share();
   return std::min(1.0, (others + assumed) / (total_arrivals_ + assumed_arrivals));
--- a/src/estimation/rendezvous_hash.cpp
+++ b/src/estimation/rendezvous_hash.cpp
@@ -15,12 +15,12 @@
 struct ZoneCapacity {
   double prefill = 0;           // relative capacity of its prefill nodes
   double decode = 0;            // relative capacity of its decode nodes
-  double share_of_traffic = 0;  // share of the traffic of all zones that it can serve, 0 to 1
+  double share_of_traffic = 0;  // share of the total traffic that it can serve, 0 to 1
 };
 
 using ZoneCapacities = std::map<std::uint32_t, ZoneCapacity>;
 
-// A node's rank, higher is better, and the node.
+// The rank of a node, where higher is better, and its id.
 using RankedNode = std::pair<double, EndpointId>;
 
 // Lower bounds that keep logarithms and quotients finite.
@@ -28,11 +28,12 @@
 constexpr double min_capacity = 1e-9;
 constexpr double min_weight = 1e-6;
 
-// How many nodes a prefix gets for each node that its traffic would fill: each is then half full of it.
+// Number of nodes for a prefix per node that its traffic would fill, so that its traffic half fills each of
+// them.
 constexpr double nodes_per_full_load = 2;
 
-// A zone serves what the weaker of its two stages can: a KV cache that finds no decode node in its zone has
-// to cross to another one.
+// A zone can serve as much traffic as the weaker of its two stages: without a decode node in its zone, a KV
+// cache has to be transferred to another zone.
 ZoneCapacities capacities_by_zone(const std::vector<WeightedNode>& prefill_nodes,
                                   const std::vector<WeightedNode>& decode_nodes) {
   ZoneCapacities zones;
@@ -58,10 +59,10 @@
   return hash_to_unit_interval(hash64(prefix_key ^ hash64(id)));
 }
 
-// Whether the prefix stays in the router's zone. A zone with few nodes and much traffic would be overloaded
-// if all did. The traffic of this router comes from its zone; that of the others is assumed to be spread
-// evenly over the zones. The prefixes beyond what the zone can serve, chosen by hash and so the same for each
-// of its routers, go elsewhere.
+// Returns whether the prefix stays in the router's zone. A zone with few nodes and much traffic would be
+// overloaded if all prefixes stayed. The traffic of this router originates in its zone, and that of the other
+// routers is assumed to be spread evenly over the zones. Prefixes beyond the capacity of the zone go to other
+// zones; they are chosen by hash and therefore the same for all routers of the zone.
 bool stays_in_zone(Key prefix_key, RouterLocation location, const ZoneCapacities& zones) {
   const auto found = zones.find(location.zone);
   if (found == zones.end() || found->second.prefill <= 0)
@@ -72,8 +73,8 @@
 }
 
 // Ranks the prefill nodes of the router's zone, or those of all other zones, by weighted rendezvous hashing.
-// A node's weight is its part of what its zone can serve: decode nodes that are too few for their zone's
-// prefill nodes lower it.
+// The weight of a node is its part of the traffic that its zone can serve, so a lack of decode nodes in the
+// zone lowers it.
 std::vector<RankedNode> rank_by_capacity(Key prefix_key, RouterLocation location, const ZoneCapacities& zones,
                                          const std::vector<WeightedNode>& prefill_nodes) {
   const bool in_own_zone = stays_in_zone(prefix_key, location, zones);
@@ -99,7 +100,7 @@
   return ranked;
 }
 
-// Keeps the best nodes: as many as the prefix's traffic would half fill, and at least one.
+// Keeps the best nodes: as many as the traffic of the prefix would half fill, and at least one.
 void keep_best(std::vector<RankedNode>& ranked, double share) {
   const auto candidates = static_cast<double>(ranked.size());
   const double wanted = std::ceil(nodes_per_full_load * share * candidates);
@@ -131,7 +132,7 @@
     return {};
   const ZoneCapacities zones = capacities_by_zone(prefill_nodes, decode_nodes);
   std::vector<RankedNode> ranked = rank_by_capacity(prefix_key, location, zones, prefill_nodes);
-  if (ranked.empty())  // the prefix should leave the zone, and no other zone has prefill nodes
+  if (ranked.empty())  // the prefix does not stay in the zone, but no other zone has prefill nodes
     ranked = rank_equally(prefix_key, prefill_nodes);
   keep_best(ranked, share);
   return order_by_session(session_key, ranked);
--- a/src/estimation/running_median.h
+++ b/src/estimation/running_median.h
@@ -1,6 +1,5 @@
 /// \file
-/// The median of the latest samples. Free of I/O and of time. It does not lock: an object is for one thread
-/// at a time.
+/// The median of the latest samples. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -10,21 +9,21 @@
 
 namespace lemonroute::estimation {
 
-/// The usual value among the latest 16 samples, which a few extreme samples do not move. It is the lower
-/// median of an even number of samples and the value just below the median of an odd number. Of up to three
-/// samples it is the least, because the first samples may be too high: they may have waited in a queue.
+/// The approximate median of the latest 16 samples, robust against a few extreme samples. For an even number
+/// of samples it is the lower median, and for an odd number the value just below the median. For up to three
+/// samples it is the minimum, because the first samples may include time in a queue and be too high.
 class RunningMedian {
  public:
-  /// Returns whether there is a sample, added or assumed.
+  /// Returns whether there is any sample, from add() or assume().
   bool known() const { return !latest_.empty(); }
 
-  /// Returns whether there are fewer than four samples, which is too few to rely on.
+  /// Returns whether there are fewer than four samples, which is too few for a reliable median.
   bool has_few_samples() const { return latest_.size() < few_samples; }
 
   /// Returns the median in the unit of the samples, or 0 before the first sample.
   double value() const { return median_; }
 
-  /// Adds a sample; the oldest beyond 16 goes.
+  /// Adds a sample, and drops the oldest if there are more than 16.
   void add(double sample) {
     latest_.push_back(sample);
     if (latest_.size() > max_kept_samples)
@@ -36,8 +35,8 @@
     median_ = *median;
   }
 
-  /// Takes over a value that another router measured, as if it were eight old samples; later samples replace
-  /// them one by one. Only to be called while has_few_samples(): add() drops one sample at a time, so that
+  /// Adopts a value that another router measured, as if it were eight old samples; later samples replace them
+  /// one by one. Must only be called while has_few_samples(): add() drops one sample at a time, so otherwise
   /// more than 16 samples would be kept from then on.
   void assume(double value) {
     latest_.insert(latest_.begin(), assumed_samples, value);
--- a/src/estimation/sliding_window_sum.h
+++ b/src/estimation/sliding_window_sum.h
@@ -1,6 +1,6 @@
 /// \file
-/// A sum over the last moments. It reads no clock: the caller passes the time, which must not go back. Free
-/// of I/O. It does not lock: an object is for one thread at a time.
+/// A sum over a sliding time window. It reads no clock: the caller passes the time, which must not decrease.
+/// Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -10,16 +10,16 @@
 
 namespace lemonroute::estimation {
 
-/// The sum of the work that was added within a window of time that ends now. The unit of work is the
-/// caller's.
+/// The sum of the work that was added within a time window that ends now. The caller chooses the unit of
+/// work.
 class SlidingWindowSum {
  public:
-  /// Adds work. Nothing is dropped here: without calls of sum() the memory grows with every call.
+  /// Adds work. Only sum() drops old entries: without calls of it, memory grows with every addition.
   void add(double work, Micros now) { entries_.emplace_back(now, work); }
 
-  /// Returns the sum of the work of the last `window` before `now`, 0 if there is none. Drops older work for
-  /// good, so that a longer window in a later call does not see it. The time taken grows with the number of
-  /// additions in the window.
+  /// Returns the sum of the work within `window` before `now`, 0 if there is none. Drops older work
+  /// permanently, so a longer window in a later call does not include it. The running time grows with the
+  /// number of entries in the window.
   double sum(Micros now, Micros window) {
     while (!entries_.empty() && now - entries_.front().first > window)
       entries_.pop_front();
@@ -29,11 +29,11 @@
     return total;
   }
 
-  /// Returns whether no work is left, as of the latest call of sum().
+  /// Returns whether no entry is left after the latest call of sum().
   bool empty() const { return entries_.empty(); }
 
  private:
-  std::deque<std::pair<Micros, double>> entries_;  // when it was added and how much, oldest first
+  std::deque<std::pair<Micros, double>> entries_;  // time and amount of each addition, oldest first
 };
 
 }  // namespace lemonroute::estimation
