--- a/src/module/active_settings.cpp
+++ b/src/module/active_settings.cpp
@@ -11,12 +11,12 @@
 namespace lemonroute::decisions {
 namespace {
 
-// Columns of a load report, named by the platform.
+// Names of load report columns in the configuration of the platform.
 constexpr const char* kv_cache_share_column = "x0";
 constexpr const char* queued_kilotokens_column = "x1";
 constexpr double tokens_per_kilotoken = 1000;
 
-// Used without classes, or where no class has a deadline.
+// Memory duration without classes, or where no class has a deadline.
 constexpr Micros default_memory_duration = std::chrono::seconds(10);
 
 std::shared_ptr<const ClassSettings> unknown_class() {
--- a/src/module/active_settings.h
+++ b/src/module/active_settings.h
@@ -1,5 +1,5 @@
 /// \file
-/// The settings in force, with the figures that follow from them. Owned by Context; changed only by
+/// The current settings and the values derived from them. Owned by Context; changed only by
 /// Scheduler::update_settings, between two events. Used on the serving thread only.
 #pragma once
 
@@ -15,22 +15,22 @@
 
 namespace lemonroute::decisions {
 
-/// The settings of this router, and what is derived from them once for each change.
+/// The settings of this router, and the values derived from them at each update.
 class ActiveSettings {
  public:
   /// Replaces all settings.
   void update(Settings settings);
 
-  /// Returns the settings as they were given to update(). The reference stays valid; its values change there.
+  /// Returns the settings last passed to update(). The reference stays valid, but update() changes its
+  /// values.
   [[nodiscard]] const Settings& values() const { return values_; }
 
-  /// Returns the terms of a request class. A class index beyond the settings gets the strictest terms: such a
-  /// request must not run twice. The terms stay valid for as long as the caller holds them, also when the
-  /// settings change.
+  /// Returns the settings of a request class. An unknown class gets the strictest settings: its requests must
+  /// not run twice. The returned settings do not change when update() is called.
   [[nodiscard]] std::shared_ptr<const ClassSettings> class_settings(std::uint16_t class_index) const;
 
-  /// Returns how long evidence on a node's health and load lasts: the time constant of its exponential decay,
-  /// which is the longest deadline of all classes. Always above 0.
+  /// Returns the time constant by which evidence on the health and load of nodes decays exponentially: the
+  /// longest deadline of all classes. Always above 0.
   [[nodiscard]] Micros memory_duration() const { return memory_duration_; }
 
   /// Returns the largest priority weight of all classes, or 0 without classes.
--- a/src/module/admission_controller.cpp
+++ b/src/module/admission_controller.cpp
@@ -13,18 +13,18 @@
 using estimation::from_microseconds;
 using estimation::to_microseconds;
 
-// Part of the allowed wait that an estimated wait may use: real waits are longer, since this router learns of
-// other routers' attempts late.
+// Part of the allowed wait that an estimated wait may use. Actual waits are longer than estimated, because
+// this router learns late of the attempts of other routers.
 constexpr double wait_safety_factor = 0.8;
-// Load that stands for a fleet without decode nodes; it is above every limit.
+// Load of a fleet without decode nodes; above every limit.
 constexpr double load_without_nodes = 1e9;
-// Part of the limits that holds for a request of priority weight 0. The rest is added in proportion to the
-// square root of the request's weight against the largest weight of all classes.
+// Part of the limits that applies to a request of priority weight 0. The rest is added in proportion to the
+// square root of the request's weight relative to the largest weight of all classes.
 constexpr double guaranteed_limit_share = 0.5;
-constexpr double min_priority_weight = 1e-9;  // keeps the ratio of two weights defined
-// The tokens in flight change with every request, so their mean follows a sample slowly.
+constexpr double min_priority_weight = 1e-9;  // avoids a division by 0
+// Low, because the tokens in flight change with every request.
 constexpr double in_flight_sample_weight = estimation::usual_sample_weight / 4;
-// The least Retry-After, as a part of the time for which evidence lasts: an earlier retry would find the same
+// The minimum Retry-After is the memory duration divided by this: an earlier retry would find the same
 // estimates.
 constexpr int retry_after_divisor = 20;
 
@@ -42,9 +42,9 @@
   return tokens;
 }
 
-// The lowest load of a decode node by the time the request is prefilled: its present load, and its part of
-// the prompts that are being prefilled. Each other router is assumed to prefill as much as this one does on
-// average.
+// Returns the lowest load of any decode node by the time the request is prefilled: the present load, the
+// prompt of the request, and an even part of all prompts in prefill. Each other router is assumed to prefill
+// as much as this one does on average.
 double AdmissionController::projected_min_decode_load(const RequestState& request) {
   const double in_flight = prefill_tokens_in_flight();
   mean_prefill_in_flight_.add(in_flight, context_.now(), in_flight_sample_weight);
@@ -66,17 +66,18 @@
   const double relative_weight =
       request.class_settings->priority_weight /
       std::max(min_priority_weight, context_.active_settings().max_priority_weight());
-  const double value =
+  const double relative_priority =
       relative_weight * (request.over_quota ? context_.settings().over_quota_priority_weight : 1);
-  const double share = guaranteed_limit_share + (1 - guaranteed_limit_share) * std::sqrt(value);
+  const double share = guaranteed_limit_share + (1 - guaranteed_limit_share) * std::sqrt(relative_priority);
   const double objective = request.latency_objective;
-  const double time_to_wait = std::max(objective - selection.prefill_time, objective / 2);
-  return {.wait = wait_safety_factor * time_to_wait * share, .load = full_load * share};
+  const double allowed_wait = std::max(objective - selection.prefill_time, objective / 2);
+  return {.wait = wait_safety_factor * allowed_wait * share, .load = full_load * share};
 }
 
-// The wait that a request is judged by, in microseconds. Where nodes report no load, the wait at decode nodes
-// is the recent time to first token. Both estimates have to decay with their age: a router that believes in
-// long waits sheds everything, so it sends nothing and would never measure shorter waits.
+// Returns the estimated wait of a request in microseconds. Where nodes report no load, the recent time to
+// first token stands for the wait at decode nodes. Both estimates must decay with age: a router that
+// estimates long waits sheds all requests, so it would send nothing and never measure that waits are shorter
+// again.
 double AdmissionController::estimated_wait(const Selection& selection) const {
   const double decode_wait =
       context_.settings().report_x0_is_memory ? 0 : estimators_.decode_loads.recent_time_to_first_token();
@@ -86,8 +87,8 @@
 bool AdmissionController::should_shed(const RequestState& request, const Selection& selection) {
   const double load = projected_min_decode_load(request);
   const bool resumes_stream = (request.request.flags & RequestFlag::resumed_stream) != 0;
-  if (!estimators_.prefill_times.knows_any_rate() ||
-      resumes_stream)  // a resumed stream has been worked on already
+  // Shedding a resumed stream would waste the work already done for it.
+  if (!estimators_.prefill_times.knows_any_time_per_token() || resumes_stream)
     return false;
   const Limits limits = limits_for(request, selection);
   const double wait = estimated_wait(selection);
@@ -107,8 +108,8 @@
   const Settings& settings = context_.settings();
   if (!settings.retry_after_allowed)
     return Micros(0);
-  const double least = to_microseconds(context_.memory_duration()) / retry_after_divisor;
-  return std::min(settings.max_retry_after, from_microseconds(std::max(queue_wait, least)));
+  const double min_delay = to_microseconds(context_.memory_duration()) / retry_after_divisor;
+  return std::min(settings.max_retry_after, from_microseconds(std::max(queue_wait, min_delay)));
 }
 
 }  // namespace lemonroute::decisions
--- a/src/module/admission_controller.h
+++ b/src/module/admission_controller.h
@@ -1,6 +1,6 @@
 /// \file
-/// Admission control: which requests are shed before their prefill, and when their clients should retry.
-/// It owns the average of this router's prefills in flight. Used on the serving thread only.
+/// Admission control: decides which requests are shed before their prefill, and when their clients should
+/// retry. Owns the average of this router's prefills in flight. Used on the serving thread only.
 #pragma once
 
 #include "estimation/decaying_average.h"
@@ -13,7 +13,7 @@
 
 namespace lemonroute::decisions {
 
-/// Sheds requests that would miss their latency objective or find every decode node full.
+/// Sheds requests that would miss their latency objective or for which all decode nodes would be full.
 class AdmissionController {
  public:
   /// Keeps the references, which must outlive it.
@@ -22,13 +22,12 @@
       : context_(context), nodes_(nodes), requests_(requests), estimators_(estimators) {}
 
   /// Returns whether to reject a request instead of sending it to `selection`, and reports a rejection to the
-  /// observer of choices. A request is judged by its wait, never by the length of its own prefill, and not
-  /// before a prefill rate is known. The lower a request's priority, the shorter the wait and the lower the
-  /// load that it is shed for.
+  /// choice observer. A request is shed for its wait or for the load of decode nodes, never for the length of
+  /// its own prefill, and never before a prefill was measured. The lower its priority, the lower the limits.
   [[nodiscard]] bool should_shed(const RequestState& request, const Selection& selection);
 
-  /// Returns the Retry-After for a rejected request that would wait for `queue_wait` microseconds, or 0 for
-  /// none.
+  /// Returns the Retry-After for a rejected request with an estimated wait of `queue_wait` microseconds, or 0
+  /// if the settings allow none.
   [[nodiscard]] Micros retry_after(double queue_wait) const;
 
  private:
@@ -47,7 +46,7 @@
   const RequestTable& requests_;
   const Estimators& estimators_;
   estimation::DecayingAverage mean_prefill_in_flight_{
-      0, {}, true};  // prompt tokens, as of each request shed or not
+      0, {}, true};  // prompt tokens; sampled at each admission check
 };
 
 }  // namespace lemonroute::decisions
--- a/src/module/attempt_policy.cpp
+++ b/src/module/attempt_policy.cpp
@@ -14,17 +14,18 @@
 
 // Attempts that a request needs for its two stages: one to prefill and one to decode.
 constexpr std::size_t attempts_of_two_stages = 2;
-// Part of the latency objective that a decode node is expected to take while no time to first token is known.
+// Until a time to first token is known, a decode node is expected to take the latency objective divided by
+// this.
 constexpr double unknown_first_token_divisor = 4;
 
-// Whether an outcome shows that the request did not run: nothing was sent, the node did not admit it, or it
-// was a prefill.
+// Returns whether an outcome proves that the request did not run: nothing was sent, the node did not admit
+// it, or the attempt was a prefill.
 bool has_not_run(Outcome outcome) {
   return outcome == Outcome::rejected_over_capacity || outcome == Outcome::not_applicable ||
          outcome == Outcome::connect_failed || outcome == Outcome::prefill_done;
 }
 
-// Whether a request that may have run may be rejected as "not served, may be sent again".
+// Returns whether a request that may have run may still be rejected with "not served, may be sent again".
 bool may_run_twice_anywhere(const ClassSettings& terms) {
   switch (terms.idempotency) {
     case Idempotency::idempotent:
@@ -78,7 +79,7 @@
   }
   if (request.has_reservation)
     parts_.reservations.release_reservation(request);
-  // A prefill is of use only if an attempt is left for the decode.
+  // A prefill is useless unless another attempt is left for the decode.
   const bool is_mixed = selection && parts_.nodes.role_of(selection->endpoint) == Role::mixed;
   if (!is_mixed && request.attempts.size() + attempts_of_two_stages > request.max_attempts)
     return complete_request(request, FailureAnswer::reject_if_not_run);
@@ -110,7 +111,7 @@
   attempt.started = true;
   attempt.first_token_at = context_.now();
   parts_.reservations.record_no_reservation(*request);
-  parts_.reservations.cancel_attempts(*request);  // a hedged attempt that was slower
+  parts_.reservations.cancel_attempts(*request);  // slower hedged attempts
   if (Node* const node = parts_.nodes.find(attempt.endpoint))
     parts_.outcomes.record_first_result(*node, attempt, to_microseconds(event.elapsed));
 }
@@ -147,22 +148,22 @@
     request.ended = true;
 }
 
-// Continues a request that has no attempt outstanding and is not answered yet.
+// Continues an unanswered request that has no outstanding attempt.
 void AttemptPolicy::retry_or_fail(RequestState& request, const AttemptCompleted& completed) {
   if (completed.outcome == Outcome::prefill_done)
     return start_decode(request);
   if (context_.now() >= request.deadline || completed.outcome == Outcome::not_applicable)
     return complete_request(request, FailureAnswer::fail);
-  // A request that must not run twice and may have run fails: neither this router nor its client may repeat
-  // it.
+  // A request that is not idempotent and may have run must fail: neither this router nor its client may
+  // repeat it.
   if (request.class_settings->idempotency == Idempotency::not_idempotent && request.first_executed_attempt)
     return complete_request(request, FailureAnswer::fail);
   const bool cache_was_lost =
       completed.outcome == Outcome::rejected_over_capacity && completed.cached_tokens == reservation_lost;
   if (request.has_reservation && !cache_was_lost)
     return start_decode(request, completed.endpoint);
-  // A node that does not respond and has most of the prompt cached still has the lowest score. It is
-  // excluded, so that the request does not use all its attempts there.
+  // A node that stops responding but has most of the prompt cached keeps the lowest score. It is excluded, so
+  // that the request does not spend all its attempts there.
   start_prefill(request, completed.outcome == Outcome::cancelled ? completed.endpoint : 0);
 }
 
@@ -189,9 +190,9 @@
   parts_.starter.start_overdue_timer(*ref, to_microseconds(context_.now() - attempt.sent_at));
 }
 
-// Whether a request may be sent elsewhere after its outstanding attempt is cancelled: where attempts may be
-// cancelled, nothing runs twice that must not, and the attempts left suffice for both stages, or for the
-// decode alone.
+// Returns whether a request may be sent elsewhere after its outstanding attempt is cancelled: cancellation is
+// allowed, the request cannot run twice against its idempotency, and enough attempts are left for both
+// stages, or for the decode if the prefill is done.
 bool AttemptPolicy::may_start_over(const RequestState& request, const Attempt& attempt) const {
   const std::size_t attempts_needed = request.has_reservation ? 1 : attempts_of_two_stages;
   const bool may_repeat = parts_.nodes.role_of(attempt.endpoint) == Role::prefill ||
@@ -200,9 +201,9 @@
          request.attempts.size() + attempts_needed <= request.max_attempts;
 }
 
-// Whether another node would answer in less time than the overdue attempt has taken already, and before the
-// deadline. If so, the attempt's node is very slow or can't be reached. Where all nodes are slow, no other
-// node would be faster, and the attempts are left to finish.
+// Returns whether another node would respond in less time than the overdue attempt has taken so far, and
+// before the deadline. The node of the attempt is then very slow or unreachable. Where all nodes are slow, no
+// other node would be faster, and the attempt may finish.
 bool AttemptPolicy::should_cancel_overdue(const RequestState& request, const Attempt& attempt) {
   const double elapsed = to_microseconds(context_.now() - attempt.sent_at);
   const double remaining = to_microseconds(request.deadline - context_.now());
@@ -218,8 +219,8 @@
   return other && time_elsewhere < elapsed && remaining > time_elsewhere;
 }
 
-// The only place that rejects or fails a request. It does so at most once, rejects only what may be sent
-// again, and releases what the request holds (rules 1, 2 and 5 of the platform).
+// Rejects or fails a request; no other function does. Answers a request at most once, rejects it only if it
+// may be sent again, and releases its resources (rules 1, 2 and 5 of the platform).
 void AttemptPolicy::complete_request(RequestState& request, FailureAnswer answer, double queue_wait) {
   if (request.ended)
     return;
--- a/src/module/attempt_policy.h
+++ b/src/module/attempt_policy.h
@@ -1,6 +1,6 @@
 /// \file
-/// The life of a request: its attempts, one after another, what follows from their results and time-outs, and
-/// its one answer (rules 1 to 3 of the platform). The state is in RequestTable. Used on the serving thread
+/// The lifecycle of a request: its successive attempts, the reactions to their results and timeouts, and its
+/// single answer (rules 1 to 3 of the platform). RequestTable holds the state. Used on the serving thread
 /// only.
 #pragma once
 
@@ -19,17 +19,17 @@
 
 namespace lemonroute::decisions {
 
-/// The parts that AttemptPolicy drives. All references live as long as the Scheduler.
+/// The parts that AttemptPolicy uses. All references are valid as long as the Scheduler.
 struct AttemptPolicyParts {
   NodeRegistry& nodes;                ///< finds an attempt's node and its role
   RequestTable& requests;             ///< holds all open requests
-  Estimators& estimators;             ///< counts arrivals, and knows the usual time to first token
-  PrefillSelector& prefill_selector;  ///< chooses for the first stage
-  DecodeSelector& decode_selector;    ///< chooses for the second stage
+  Estimators& estimators;             ///< count arrivals and know the usual time to first token
+  PrefillSelector& prefill_selector;  ///< chooses a node for the first stage
+  DecodeSelector& decode_selector;    ///< chooses a node for the second stage
   AdmissionController& admission;     ///< sheds requests before their first attempt
-  TenantQuota& quota;                 ///< asked once for each request
+  TenantQuota& quota;                 ///< checked once for each request
   ReservationTracker& reservations;   ///< cancels attempts and releases KV caches
-  OutcomeRecorder& outcomes;          ///< told of each result
+  OutcomeRecorder& outcomes;          ///< receives each result
   AttemptStarter& starter;            ///< sends each attempt
 };
 
@@ -39,22 +39,23 @@
   /// Keeps the references, which must outlive it.
   AttemptPolicy(Context& context, const AttemptPolicyParts& parts) : context_(context), parts_(parts) {}
 
-  /// Takes a request: sends its first attempt, or rejects it.
+  /// Accepts a request: sends its first attempt, or rejects it.
   void handle(const Request& request);
-  /// Notes that an attempt streams, and cancels the request's other attempts.
+  /// Records that an attempt has begun to stream, and cancels the request's other attempts.
   void handle(const FirstTokenReceived& event);
-  /// Continues a request whose attempt has ended, or, if the request has ended, releases what it holds.
+  /// Continues a request whose attempt has ended. If the request has ended, releases its resources instead.
   void handle(const AttemptCompleted& completed);
   /// Ends a request without an answer.
   void handle(const ClientDisconnected& event);
-  /// Cancels the attempt that the timer was set for, if it is overdue and another node would be sooner.
+  /// Cancels the overdue attempt of the timer if another node would be faster; otherwise starts the timer
+  /// again.
   void handle(const TimerFired& event);
 
  private:
   /// How a request that was not served is answered.
   enum class FailureAnswer {
-    reject_if_not_run,  ///< "not served, may be sent again", provided that it can't have run
-    fail,               ///< "failed", whether it can have run or not
+    reject_if_not_run,  ///< "not served, may be sent again" if that is safe, else "failed"
+    fail,               ///< "failed" in all cases
   };
 
   void describe_request(RequestState& state) const;
--- a/src/module/attempt_starter.h
+++ b/src/module/attempt_starter.h
@@ -1,6 +1,6 @@
 /// \file
-/// Starts attempts. It is the only place that sends a request to a node, and checks the platform's rules 1 to
-/// 4 whatever was chosen before. It owns no state. Used on the serving thread only.
+/// Starts attempts. No other class sends a request to a node. Rules 1 to 4 of the platform are checked here,
+/// even if the choice of the node has checked them before. Owns no state. Used on the serving thread only.
 #pragma once
 
 #include "module/context.h"
@@ -21,20 +21,20 @@
                  const EndpointFilter& filter)
       : context_(context), nodes_(nodes), requests_(requests), estimators_(estimators), filter_(filter) {}
 
-  /// Sends a request to the endpoint selected. Returns false, and does nothing, where a rule forbids the
-  /// attempt. `expected_time` is in microseconds, from now to the attempt's first result.
+  /// Sends a request to the selected endpoint. Returns false without any effect if a rule forbids the
+  /// attempt. `expected_time` is the time from now to the first result of the attempt, in microseconds.
   [[nodiscard]] bool start_attempt(RequestState& request, const Selection& selection, double expected_time);
 
-  /// Sets the timer that makes AttemptPolicy check in `delay` microseconds whether the attempt is overdue. A
-  /// shorter delay than the timers' resolution is raised to it.
+  /// Starts the timer after which AttemptPolicy checks whether the attempt is overdue. `delay` is in
+  /// microseconds, and at least the resolution of timers is used.
   void start_overdue_timer(const AttemptRef& attempt, double delay);
 
  private:
   [[nodiscard]] bool is_allowed(const RequestState& request, const Node& node) const;
   [[nodiscard]] Attempt describe_attempt(const RequestState& request, const Node& node,
-                                         const Selection& selection, double prefill_rate,
+                                         const Selection& selection, double time_per_token,
                                          double expected_time) const;
-  void record_attempt(const RequestState& request, Node& node, const Attempt& attempt, double prefill_rate);
+  void record_attempt(const RequestState& request, Node& node, const Attempt& attempt, double time_per_token);
 
   Context& context_;
   NodeRegistry& nodes_;
--- a/src/module/choice_explainer.cpp
+++ b/src/module/choice_explainer.cpp
@@ -15,15 +15,15 @@
   if (!context_.observes_choices())
     return;
   const Selection shown = exclusion_reason ? Selection{.score = 0} : selection;
-  const double rate = estimators_.prefill_times.prefill_rate(node);
+  const double time_per_token = estimators_.prefill_times.prefill_time_per_token(node);
   const bool prefills = choice_.stage == Role::prefill;
   choice_.candidates.push_back({
       .endpoint = node.id(),
       .exclusion_reason = exclusion_reason,
-      .recorded_match = prefills ? estimators_.prefix_cache.recorded_match(node, request) : 0,
-      .assumed_match = shown.assumed_match,
-      .prefill_rate = rate,
-      .queued_tokens = estimators_.prefill_times.queued_tokens(node, rate),
+      .recorded_match = prefills ? estimators_.prefix_cache.recorded_cached_tokens(node, request) : 0,
+      .assumed_match = shown.assumed_cached_tokens,
+      .prefill_rate = time_per_token,
+      .queued_tokens = estimators_.prefill_times.queued_tokens(node, time_per_token),
       .load = estimators_.decode_loads.load(node),
       .latency_ratio = estimators_.decode_loads.latency_ratio(node),
       .failure_ratio = estimators_.outliers.failure_ratio(node),
--- a/src/module/choice_explainer.h
+++ b/src/module/choice_explainer.h
@@ -1,6 +1,6 @@
 /// \file
-/// Explains choices to their observer (`expect` and diagnosis). It owns the explanation that is being built,
-/// and does nothing while nobody observes choices. Used on the serving thread only.
+/// Explains choices to the choice observer, for `expect` and for diagnosis. Owns the explanation under
+/// construction. Does nothing without an observer. Used on the serving thread only.
 #pragma once
 
 #include "lemonroute/explanations.h"
@@ -21,12 +21,12 @@
   /// Begins the explanation of a choice. `excluded` is the endpoint that must not be chosen, or 0.
   void begin(const RequestState& request, Role stage, EndpointId excluded);
 
-  /// Adds a node. `exclusion_reason` says why it can't be chosen, in static storage, and the selection is
-  /// ignored then; it is null where the node can be chosen.
+  /// Adds a node. `exclusion_reason` states why the node is not eligible, in static storage; the selection is
+  /// ignored then. It is null for an eligible node.
   void add(const Node& node, const RequestState& request, const Selection& selection,
            const char* exclusion_reason);
 
-  /// Passes the explanation to its observer. `chosen` is the endpoint chosen, or 0.
+  /// Passes the explanation to the observer. `chosen` is the chosen endpoint, or 0.
   void report(EndpointId chosen);
 
  private:
--- a/src/module/decode_load_estimator.cpp
+++ b/src/module/decode_load_estimator.cpp
@@ -13,7 +13,7 @@
 
 // Weight of a load report against earlier ones. It is high because a report is a measurement, not a sample.
 constexpr double load_report_weight = 0.5;
-// Averages over all decode nodes get samples from each node, so each sample gets a lower weight.
+// Lower than for one node, because averages over all decode nodes get samples from each node.
 constexpr double fleet_sample_weight = estimation::usual_sample_weight / 4;
 
 }  // namespace
@@ -25,7 +25,7 @@
     const Attempt& attempt = requests_.attempt(ref);
     const double token_interval =
         std::max(1.0, to_microseconds(request.class_settings->inter_token_objective));
-    double output_tokens = 0;  // estimated by the time since the stream started
+    double output_tokens = 0;  // estimated from the time since the stream began
     if (attempt.started)
       output_tokens = std::min(estimation::clamp_reported_value(request.request.max_output_tokens),
                                to_microseconds(context_.now() - attempt.first_token_at) / token_interval);
@@ -74,7 +74,7 @@
   if (!report.kv_cache_share || node.role() == Role::prefill)
     return;
   load_was_reported_ = true;
-  // Queued prompts are not in memory yet, but will be.
+  // Queued prompts will use memory as soon as they are admitted.
   const double queued_share = report.queued_tokens.value_or(0) / node.kv_cache_tokens_or_default();
   const double reported_load = *report.kv_cache_share + queued_share;
   node.decode.other_routers_load_.add(std::max(0.0, reported_load - own_load(node)), context_.now(),
@@ -93,9 +93,9 @@
     load.add(node.decode.other_routers_load_.value, load_confidence(node));
     newest_report = std::max(newest_report, node.decode.other_routers_load_.last_sample_at);
   }
-  // A weighted mean stays the same when all its weights decay alike, so the age of the newest report has to
-  // reduce it. Otherwise a router that sheds everything because nodes look full would send nothing, get no
-  // reports, and never learn that the nodes are free again.
+  // A weighted mean does not change when all its weights decay equally, so the age of the newest report
+  // reduces it in addition. Otherwise a router that sheds all requests because nodes look full would send
+  // nothing, get no reports, and never learn that the nodes have capacity again.
   const double age = to_microseconds(context_.now() - newest_report);
   const double recency = std::min(1.0, std::exp(1 - age / to_microseconds(context_.memory_duration())));
   return recency * load.value();
--- a/src/module/decode_load_estimator.h
+++ b/src/module/decode_load_estimator.h
@@ -1,7 +1,7 @@
 /// \file
-/// How full and how slow a node is as a decode node. It owns DecodeHistory of each node, the averages of each
-/// role, and what decode nodes as a whole do: their time to first token and how often they reject. Used on
-/// the serving thread only.
+/// Estimates the load and the latency of decode nodes. Owns DecodeHistory of each node, the averages of each
+/// role, and the time to first token and rejection ratio over all decode nodes. Used on the serving thread
+/// only.
 #pragma once
 
 #include <optional>
@@ -16,17 +16,17 @@
 
 namespace lemonroute::decisions {
 
-/// Load from which a decode node counts as full: the share of its KV cache memory. The rest is left for
-/// answers that grow and for attempts of other routers that no report shows yet.
+/// Share of its KV cache memory in use from which a decode node counts as full. The rest is left for growing
+/// answers and for attempts of other routers that are not in a load report yet.
 inline constexpr double full_load = 0.9;
 
 /// Differences of load up to this share of KV cache memory are within the error of the estimates.
 inline constexpr double load_tolerance = 0.12;
 
-/// What a decode node did with an attempt.
+/// Whether a decode node admitted an attempt.
 enum class AdmissionResult {
-  admitted,  ///< it served the attempt
-  rejected,  ///< for lack of capacity
+  admitted,  ///< the node served the attempt
+  rejected,  ///< the node had no capacity for it
 };
 
 /// Estimates the load of decode nodes from this router's own streams and from load reports.
@@ -37,28 +37,28 @@
                       const OutlierDetector& outliers)
       : context_(context), nodes_(nodes), requests_(requests), outliers_(outliers) {}
 
-  /// Returns the share of the node's KV cache memory in use: by this router's streams, and by the other
-  /// routers' as reported. The less recent evidence there is from the node, the more the average of its role
-  /// counts instead. May exceed 1.
+  /// Returns the share of the node's KV cache memory in use: by this router's streams, and by other routers
+  /// as reported. The less recent evidence from the node there is, the more the average of its role counts
+  /// instead. May exceed 1.
   [[nodiscard]] double load(const Node& node) const;
-  /// Returns how much recent evidence on other routers' load there is from the node itself, 0 to 1.
+  /// Returns the confidence in the node's own reports of other routers' load, 0 to 1.
   [[nodiscard]] double load_confidence(const Node& node) const;
 
-  /// Returns the node's time to first token against the usual one, at least 1.
+  /// Returns the ratio of the node's time to first token to the usual one, at least 1.
   [[nodiscard]] double latency_ratio(const Node& node) const;
   /// Returns the decode nodes' usual time to first token in microseconds, or nothing before the first one.
   [[nodiscard]] std::optional<double> usual_time_to_first_token() const;
-  /// Returns that time in microseconds as far as it is recent: it decays to 0 while no stream starts.
+  /// Returns usual_time_to_first_token() decayed by age: it falls to 0 while no stream starts.
   [[nodiscard]] double recent_time_to_first_token() const;
 
-  /// Learns from a stream that started `elapsed` microseconds after its attempt was sent.
+  /// Records a stream that began `elapsed` microseconds after its attempt was sent.
   void record_time_to_first_token(Node& node, double elapsed);
-  /// Learns whether a decode node admitted an attempt.
+  /// Records whether a decode node admitted an attempt.
   void record_admission(AdmissionResult result);
-  /// Learns from a load report how much memory other routers use at the node.
+  /// Records from a load report how much memory other routers use at the node.
   void record_load_report(Node& node, const LoadReport& report);
 
-  /// Computes the averages of each role anew.
+  /// Recomputes the averages of each role.
   void refresh_pool_averages();
 
  private:
@@ -72,7 +72,7 @@
 
   estimation::DecayingAverage time_to_first_token_;           // microseconds, over all decode nodes
   estimation::DecayingAverage rejection_ratio_{0, {}, true};  // of attempts at decode nodes, 0 to 1
-  bool load_was_reported_ = false;                            // by any decode node, ever
+  bool load_was_reported_ = false;                            // by any decode node so far
   RoleTable<double> mean_other_routers_load_;                 // share of KV cache memory, over ready nodes
 };
 
--- a/src/module/decode_selector.cpp
+++ b/src/module/decode_selector.cpp
@@ -6,7 +6,7 @@
 namespace lemonroute::decisions {
 namespace {
 
-// Added to the score of a node that the request was sent to before: as much as a full memory adds.
+// Added to the score of a node that the request was sent to before. A full memory adds as much.
 constexpr double retry_penalty = 1;
 
 // Orders by proximity first, then by score.
@@ -41,7 +41,7 @@
     return nullptr;
   };
   const auto eligible = filter_.eligible_endpoints(request, Role::decode, excluded, score_node);
-  // A node may be chosen for its proximity only as long as that does not fill it up.
+  // Proximity may only decide between nodes that would not become full.
   const double tolerance = std::clamp(full_load - lowest_score, 0.0, load_tolerance);
   std::optional<Selection> best;
   for (const Selection& selection : eligible) {
--- a/src/module/decode_selector.h
+++ b/src/module/decode_selector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Chooses the node that streams an answer: the nearest to the KV cache among the least loaded. It owns no
+/// Chooses the node that streams an answer: of the least loaded nodes, the nearest to the KV cache. Owns no
 /// state. Used on the serving thread only.
 #pragma once
 
@@ -23,8 +23,8 @@
                  const EndpointFilter& filter, ChoiceExplainer& explainer)
       : nodes_(nodes), estimators_(estimators), pools_(pools), filter_(filter), explainer_(explainer) {}
 
-  /// Returns the endpoint chosen, or nothing where none is eligible. `excluded` is an endpoint not to choose,
-  /// or 0.
+  /// Returns the chosen endpoint, or nothing if none is eligible. `excluded` is an endpoint that must not be
+  /// chosen, or 0.
   [[nodiscard]] std::optional<Selection> choose(const RequestState& request, EndpointId excluded = 0);
 
  private:
--- a/src/module/endpoint_filter.cpp
+++ b/src/module/endpoint_filter.cpp
@@ -16,13 +16,13 @@
   if (terms.retry_scope == RetryScope::all)
     return true;
   const Node* const first_node = nodes_.find(first.endpoint);
-  if (!first_node)  // its zone and its cell are not known any more
+  if (!first_node)  // its zone and cell are unknown after its removal
     return false;
   return terms.retry_scope == RetryScope::zone ? first_node->zone() == node.zone()
                                                : first_node->cell() == node.cell();
 }
 
-// The texts appear in explanations; operators and expectation files match them.
+// The texts appear in explanations. Operators and expectation files match them.
 const char* EndpointFilter::exclusion_reason(const Node& node, const RequestState& request, Role stage,
                                              EndpointId excluded) const {
   if (!node.is_ready())
@@ -34,11 +34,11 @@
     return "of the other role";
   if (node.id() == excluded)
     return "the attempt before was there";
-  const bool answers = stage == Role::decode || node.role() == Role::mixed;
-  if (answers && !may_repeat_at(node, request))
+  const bool streams_answer = stage == Role::decode || node.role() == Role::mixed;
+  if (streams_answer && !may_repeat_at(node, request))
     return "may not do what may have run";
   // AttemptStarter checks the same condition. If a node passed here and failed there, the request would be
-  // rejected although another node may be able to serve it.
+  // rejected although another node might serve it.
   if (!estimators_.slow_start.admits(node, estimators_.workload.estimated_work(request)))
     return "cold, its part is used up";
   return nullptr;
--- a/src/module/estimators.h
+++ b/src/module/estimators.h
@@ -1,7 +1,6 @@
 /// \file
-/// The estimators: what this router knows of nodes and requests. It owns them all; each has its own private
-/// state. Classes that choose get them as const and change nothing; OutcomeRecorder and AttemptStarter tell
-/// them what has happened.
+/// All estimators of the state of nodes and requests. Each has private state. The selectors read them as
+/// const; OutcomeRecorder and AttemptStarter update them.
 #pragma once
 
 #include "module/context.h"
@@ -17,7 +16,7 @@
 
 namespace lemonroute::decisions {
 
-/// All estimators of one Scheduler. Each may read those declared before it.
+/// Owns the estimators of one Scheduler. Each may read those declared before it.
 struct Estimators {
   /// Keeps the references, which must outlive it.
   Estimators(Context& context, const NodeRegistry& nodes, const RequestTable& requests)
@@ -28,17 +27,17 @@
         decode_loads(context, nodes, requests, outliers),
         slow_start(context, nodes, workload, prefill_times),
         prefix_cache(context, nodes, slow_start) {}
-  /// Neither copied nor moved, since the estimators refer to each other.
+  /// Not copyable or movable, because the estimators refer to each other.
   Estimators(const Estimators&) = delete;
   /// See the copy constructor.
   Estimators& operator=(const Estimators&) = delete;
 
   OutlierDetector outliers;             ///< how often attempts fail at a node
-  WorkloadStatistics workload;          ///< what requests are like
-  MixedPrefillThrottle mixed_prefills;  ///< how much prefill a mixed node may do
-  PrefillTimeEstimator prefill_times;   ///< how fast a node prefills, and its queue
-  DecodeLoadEstimator decode_loads;     ///< how full a node is as a decode node
-  SlowStartLimiter slow_start;          ///< how much a node that has just started may get
+  WorkloadStatistics workload;          ///< arrival rate and prompt lengths
+  MixedPrefillThrottle mixed_prefills;  ///< limits the prefills at mixed nodes
+  PrefillTimeEstimator prefill_times;   ///< time per prompt token and queue of a node
+  DecodeLoadEstimator decode_loads;     ///< load and latency of a node as a decode node
+  SlowStartLimiter slow_start;          ///< limits the work sent to nodes in slow start
   PrefixCacheIndex prefix_cache;        ///< which prefixes a node has cached
 };
 
--- a/src/module/find_or_null.h
+++ b/src/module/find_or_null.h
@@ -1,10 +1,10 @@
 /// \file
-/// Looks a key up in a map.
+/// Map lookup that returns a pointer.
 #pragma once
 
 namespace lemonroute::decisions {
 
-/// Returns the address of the value at `key`, or null where the map has no such key. The pointer is valid
+/// Returns a pointer to the value of `key`, or null if the map does not contain it. The pointer is valid
 /// until the entry is erased.
 template <class Map>
 [[nodiscard]] auto* find_or_null(Map& map, const typename Map::key_type& key) {
--- a/src/module/mixed_prefill_throttle.cpp
+++ b/src/module/mixed_prefill_throttle.cpp
@@ -11,20 +11,21 @@
 
 using estimation::to_microseconds;
 
-// Part of a mixed node's time that prefills may use; the rest is left to the answers that it streams.
+// Part of a mixed node's time that prefills may use. The rest is left to its streams.
 constexpr double max_prefill_share = 0.75;
 
 }  // namespace
 
-// This router's prefills at all mixed nodes, in node-microseconds per microsecond.
+// Returns the prefill work that this router sends to all mixed nodes, in microseconds of work per
+// microsecond.
 double MixedPrefillThrottle::prefill_share() const {
   const double memory = to_microseconds(context_.memory_duration());
   const double age = to_microseconds(context_.now() - total_updated_at_);
   return total_work_ * std::exp(-age / memory) / memory;
 }
 
-// The share of one mixed node's time that this router may use. Routers do not exchange what they use; each
-// other router is assumed to prefill as much at mixed nodes as this one does.
+// Returns the share of one mixed node's time that this router may use. Routers do not exchange their use, so
+// each other router is assumed to prefill as much at mixed nodes as this one.
 double MixedPrefillThrottle::own_share_of_node() const {
   const std::uint32_t router_count = context_.settings().router_count;
   const double mixed_nodes = std::max(1.0, nodes_.ready_nodes(Role::mixed));
--- a/src/module/mixed_prefill_throttle.h
+++ b/src/module/mixed_prefill_throttle.h
@@ -1,8 +1,7 @@
 /// \file
-/// The share of its time that a mixed node may spend on prefills. While a mixed node reads a prompt, the
-/// answers that it streams make no progress; without a limit they would miss their inter-token objective. It
-/// owns MixedPrefillBacklog of each node and this router's total over all mixed nodes. Used on the serving
-/// thread only.
+/// Limits the time that mixed nodes spend on prefills. During a prefill the streams of a mixed node make no
+/// progress; without a limit they would miss their inter-token objective. Owns MixedPrefillBacklog of each
+/// node and this router's total over all mixed nodes. Used on the serving thread only.
 #pragma once
 
 #include "module/context.h"
@@ -10,7 +9,7 @@
 
 namespace lemonroute::decisions {
 
-/// Delays prefills at mixed nodes so that all routers together use only a part of each node's time for them.
+/// Delays prefills at mixed nodes, so that all routers together use only a part of each node's time for them.
 class MixedPrefillThrottle {
  public:
   /// Keeps the references, which must outlive it.
@@ -20,7 +19,7 @@
   /// Returns the microseconds until this router may start another prefill at a mixed node.
   [[nodiscard]] double wait(const Node& node) const;
 
-  /// Charges a prefill of `work` microseconds that this router sends to a mixed node.
+  /// Adds a prefill of `work` microseconds that this router sends to a mixed node.
   void charge(Node& node, double work);
 
  private:
--- a/src/module/node_registry.cpp
+++ b/src/module/node_registry.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Micros initial_poll_backoff = std::chrono::seconds(1);
-// The backoff is 8 s at most, since a node that was removed must not stay in use for long.
+// Limits the backoff to 8 s, because a removed node must not stay in use for long.
 constexpr int max_backoff_doublings = 3;
 
 }  // namespace
@@ -33,8 +33,8 @@
       node.endpoint_.state = EndpointState::removed;
   for (const auto& endpoint : update.endpoints)
     apply_endpoint(endpoint);
-  // Every choice visits all records. Records of nodes that have gone would accumulate and slow each choice
-  // down.
+  // Every choice visits all records, so records of removed nodes would slow down each choice as they
+  // accumulate.
   std::erase_if(nodes_, [](const auto& entry) {
     const Node& node = entry.second;
     return node.endpoint_.state == EndpointState::removed && node.outstanding_.empty();
@@ -43,7 +43,7 @@
 }
 
 void NodeRegistry::poll_again_later() {
-  // The backoff grows because the discovery service may be overloaded.
+  // The discovery service may be overloaded, so the backoff doubles with each failure.
   const int doublings = std::min(failed_polls_in_a_row_++, max_backoff_doublings);
   const double resolution = estimation::to_microseconds(context_.settings().min_batch_interval);
   const double backoff = estimation::to_microseconds(initial_poll_backoff) * (1 << doublings);
@@ -60,11 +60,11 @@
   const bool is_new_process =
       node.endpoint_.id != endpoint.id || node.endpoint_.started_at != endpoint.started_at;
   if (is_new_process) {
-    // Nothing learned of the old process holds for the new one, least of all its prefix cache.
-    Node fresh;
-    fresh.outstanding_ = std::move(node.outstanding_);
-    fresh.cache_records = CacheRecordValidity(context_.now());
-    node = std::move(fresh);
+    // What was learned of the old process does not apply to the new one, whose prefix cache is empty.
+    Node new_record;
+    new_record.outstanding_ = std::move(node.outstanding_);
+    new_record.cache_records = CacheRecordValidity(context_.now());
+    node = std::move(new_record);
   }
   node.endpoint_ = endpoint;
   apply_machine_kind(node);
--- a/src/module/node_registry.h
+++ b/src/module/node_registry.h
@@ -1,6 +1,6 @@
 /// \file
-/// The nodes that the endpoint list names, and when the list is fetched again. It owns the record of each
-/// node. Used on the serving thread only.
+/// The nodes of the endpoint list, and the polling of that list. Owns the record of each node. Used on the
+/// serving thread only.
 #pragma once
 
 #include <cstdint>
@@ -22,23 +22,22 @@
   /// Keeps the reference, which must outlive it.
   explicit NodeRegistry(Context& context) : context_(context) {}
 
-  /// Applies an update of the endpoint list. Where the list is polled, a failed poll is repeated with
-  /// backoff.
+  /// Applies an endpoint list update. A failed poll is repeated with backoff.
   void handle(const EndpointListUpdate& update);
 
-  /// Handles the expiry of the poll timer: polls the endpoint list, where it is polled at all.
+  /// Handles the expiry of the poll timer: polls the endpoint list if the settings say that it is polled.
   void handle_poll_timer();
 
-  /// Gives each node the role and the memory that the settings in force state for its machine kind.
+  /// Sets the role and the memory of each node from the current settings of its machine kind.
   void apply_machine_kinds();
 
   /// Returns all records by endpoint id.
   [[nodiscard]] const std::map<EndpointId, Node>& all() const { return nodes_; }
 
-  /// Returns a node's record, or null where there is none. The pointer is valid until the next endpoint list
-  /// update.
+  /// Returns the record of a node, or null if there is none. The pointer is valid until the next endpoint
+  /// list update.
   [[nodiscard]] const Node* find(EndpointId endpoint) const;
-  /// The same, for those who change the record.
+  /// The same, with write access.
   [[nodiscard]] Node* find(EndpointId endpoint);
 
   /// Returns a node's role; an unknown node counts as mixed.
--- a/src/module/outcome_recorder.cpp
+++ b/src/module/outcome_recorder.cpp
@@ -14,8 +14,8 @@
   return outcome == Outcome::ok || outcome == Outcome::prefill_done;
 }
 
-// Whether an outcome counts as a failure of the node. A stream that timed out after its first token does not:
-// the client's time was too short for the answer.
+// Returns whether an outcome counts as a failure of the node. A timeout after the first token does not: the
+// client's time was too short for the answer.
 bool is_node_failure(Outcome outcome, const Attempt& attempt) {
   switch (outcome) {
     case Outcome::error:
@@ -63,7 +63,7 @@
   if (served && attempt.stage == AttemptStage::prefill)
     record_prefill(request, attempt, node, completed);
   else if (!attempt.started && (served || (attempt.cancelled && !request.ended)))
-    // An attempt that was cancelled for being overdue would have taken at least this long.
+    // An attempt that was cancelled as overdue would have taken at least this long.
     record_first_result(node, attempt, to_microseconds(completed.elapsed));
   const bool rejected =
       outcome == Outcome::rejected_over_capacity && completed.cached_tokens != reservation_lost;
--- a/src/module/outcome_recorder.h
+++ b/src/module/outcome_recorder.h
@@ -1,6 +1,6 @@
 /// \file
-/// Tells the estimators what an attempt or a health check has shown of its node. It owns no state. Used on
-/// the serving thread only.
+/// Passes the results of attempts and health checks to the estimators. Owns no state. Used on the serving
+/// thread only.
 #pragma once
 
 #include <vector>
@@ -13,21 +13,21 @@
 
 namespace lemonroute::decisions {
 
-/// Turns results into samples for the estimators.
+/// Converts results into samples for the estimators.
 class OutcomeRecorder {
  public:
   /// Keeps the references, which must outlive it.
   OutcomeRecorder(const Context& context, RequestTable& requests, Estimators& estimators)
       : context_(context), requests_(requests), estimators_(estimators) {}
 
-  /// Records that an attempt has had its first result, `elapsed` microseconds after it was sent.
+  /// Records the first result of an attempt, `elapsed` microseconds after the attempt was sent.
   void record_first_result(Node& node, const Attempt& attempt, double elapsed);
 
-  /// Records that an attempt has ended, and removes it from those outstanding at its node.
+  /// Records the end of an attempt, and removes it from the outstanding attempts of its node.
   void record_attempt_outcome(const RequestState& request, Attempt& attempt, Node& node,
                               const AttemptCompleted& completed);
 
-  /// Records a health check's result, and a load report that came with it.
+  /// Records the result of a health check and its load report, if any.
   void record_health_result(Node& node, const HealthResult& result);
 
  private:
--- a/src/module/outlier_detector.cpp
+++ b/src/module/outlier_detector.cpp
@@ -12,9 +12,9 @@
 
 using estimation::to_microseconds;
 
-// Weight of a failed attempt in the failure ratio. It is above the threshold, so that the first failure
-// ejects a node until the ratio has decayed: a node that refuses connections or answers with errors at once
-// looks idle and would attract traffic.
+// Weight of a failed attempt in the failure ratio. It exceeds the threshold, so that the first failure ejects
+// a node until the ratio has decayed: a node that refuses connections or returns errors at once looks idle
+// and would attract requests.
 constexpr double failure_weight = 0.4;
 constexpr double ejection_threshold = 0.35;  // failure ratio from which a node is ejected
 
--- a/src/module/outlier_detector.h
+++ b/src/module/outlier_detector.h
@@ -1,6 +1,6 @@
 /// \file
-/// Outlier detection: which nodes get no requests because attempts failed there, and how late attempts at a
-/// node are. It owns FailureHistory of each node and the number of outliers by role. Used on the serving
+/// Outlier detection: which nodes get no requests because attempts failed there, and how overdue the attempts
+/// at a node are. Owns FailureHistory of each node and the number of outliers by role. Used on the serving
 /// thread only.
 #pragma once
 
@@ -11,10 +11,10 @@
 
 namespace lemonroute::decisions {
 
-/// Whether a node did what it was asked.
+/// The result of an attempt or a health check, as far as the node is responsible for it.
 enum class NodeVerdict {
-  succeeded,  ///< it served the attempt, or the health check
-  failed,     ///< it did not, for a reason that lies with the node
+  succeeded,  ///< the node served the attempt or the health check
+  failed,     ///< the node failed
 };
 
 /// Tracks a failure ratio for each node and ejects the nodes where it is high.
@@ -28,19 +28,19 @@
   /// to 0 while no attempt is made.
   [[nodiscard]] double failure_ratio(const Node& node) const;
 
-  /// Returns whether the node is ejected: no request is sent there. An ejected node is back as soon as its
-  /// failure ratio has decayed below the threshold. No node is ejected while more than half of the ready
-  /// nodes of its role are over the threshold, since the others could not take the whole load.
+  /// Returns whether the node is ejected: no request is sent there. The ejection ends when the failure ratio
+  /// has decayed below the threshold. No node is ejected while more than half of the ready nodes of its role
+  /// are over the threshold, because the others could not serve the whole load.
   [[nodiscard]] bool is_ejected(const Node& node) const;
 
-  /// Counts the result of an attempt or of a health check at a node.
+  /// Records the result of an attempt or a health check at a node.
   void record_outcome(Node& node, NodeVerdict verdict);
 
-  /// Returns by how much the latest of the attempts that wait for their first result at the node exceeds its
-  /// time: elapsed time against Attempt::overdue_after, 0 without attempts of that stage.
+  /// Returns the largest ratio of elapsed time to Attempt::overdue_after among the attempts of a stage that
+  /// await their first result at the node, or 0 without such attempts.
   [[nodiscard]] double overdue_ratio(const Node& node, AttemptStage stage) const;
 
-  /// Counts the outliers of each role anew.
+  /// Recounts the outliers of each role.
   void refresh_pool_averages();
 
  private:
--- a/src/module/prefill_selector.h
+++ b/src/module/prefill_selector.h
@@ -1,6 +1,6 @@
 /// \file
-/// Chooses the node that reads a prompt, by Mooncake's Algorithm 1: the lowest estimated wait and prefill
-/// time of what is not cached. It owns no state. Used on the serving thread only.
+/// Chooses the prefill node by Mooncake's Algorithm 1: the lowest sum of estimated wait and prefill time of
+/// the uncached tokens. Owns no state. Used on the serving thread only.
 #pragma once
 
 #include <optional>
@@ -24,13 +24,14 @@
                   const EndpointFilter& filter, ChoiceExplainer& explainer)
       : context_(context), estimators_(estimators), pools_(pools), filter_(filter), explainer_(explainer) {}
 
-  /// Returns the endpoint with the lowest score, or nothing where none is eligible. `excluded` is an endpoint
-  /// not to choose, or 0.
+  /// Returns the endpoint with the lowest score, or nothing if none is eligible. `excluded` is an endpoint
+  /// that must not be chosen, or 0.
   [[nodiscard]] std::optional<Selection> choose(const RequestState& request, EndpointId excluded = 0);
 
-  /// Returns the idle prefill node that would be done first, if it meets the latency objective. It is for a
-  /// request whose prefix is cached at a node with a long queue: its session would be rejected turn after
-  /// turn beside idle nodes. Relies on the averages that choose() has refreshed for the same event.
+  /// Returns the idle prefill node that would finish first, if it meets the latency objective. Used for a
+  /// request whose prefix is cached at a node with a long queue: otherwise every turn of its session would be
+  /// rejected although other nodes are idle. Requires that choose() has refreshed the averages in the same
+  /// event.
   [[nodiscard]] std::optional<Selection> choose_idle(const RequestState& request);
 
  private:
--- a/src/module/prefill_time_estimator.cpp
+++ b/src/module/prefill_time_estimator.cpp
@@ -17,33 +17,34 @@
 
 // Weight of a load report against earlier ones. It is high because a report is a measurement, not a sample.
 constexpr double load_report_weight = 0.5;
-// The cached parts of prompts differ widely, so their mean follows a sample slowly.
+// Low, because the cached parts of prompts vary widely.
 constexpr double uncached_share_weight = usual_sample_weight / 4;
-// A prefill of at least this part of the usual prompt is a whole sample; a shorter one measures mostly
+// A prefill of at least this part of the usual prompt length is a whole sample. A shorter one measures mostly
 // overhead.
 constexpr double whole_sample_share = 1.0 / 2;
-// Overhead of each prefill beyond its tokens: as long as this part of the usual prompt takes.
+// Overhead of each prefill, as a part of the usual prompt length.
 constexpr double min_step_share = 1.0 / 32;
-constexpr double max_sample_factor = 4;  // a node's sample counts as so many times the usual rate at most
-// Evidence on queues becomes stale four times as fast as evidence on a node's health.
+// Upper limit of a node's sample, as a multiple of the usual time per token.
+constexpr double max_sample_factor = 4;
+// Evidence on queues decays four times as fast as evidence on a node's health.
 constexpr int queue_memory_divisor = 4;
 
 }  // namespace
 
-double PrefillTimeEstimator::rate_confidence(const Node& node) const {
-  return node.prefill.rate_.confidence(context_.now(), context_.memory_duration());
+double PrefillTimeEstimator::prefill_time_per_token_confidence(const Node& node) const {
+  return node.prefill.time_per_token_.confidence(context_.now(), context_.memory_duration());
 }
 
-double PrefillTimeEstimator::prefill_rate(const Node& node) const {
-  const double confidence = rate_confidence(node);
-  const double usual = pools_[node.role()].rate;
-  const double learned = confidence * node.prefill.rate_.value + (1 - confidence) * usual;
+double PrefillTimeEstimator::prefill_time_per_token(const Node& node) const {
+  const double confidence = prefill_time_per_token_confidence(node);
+  const double usual = pools_[node.role()].time_per_token;
+  const double learned = confidence * node.prefill.time_per_token_.value + (1 - confidence) * usual;
   return std::max(learned, usual * outliers_.overdue_ratio(node, AttemptStage::prefill));
 }
 
-double PrefillTimeEstimator::own_queued_tokens(const Node& node, double rate) const {
+double PrefillTimeEstimator::own_queued_tokens(const Node& node, double time_per_token) const {
   double tokens = 0;
-  const Attempt* head = nullptr;  // the prefill that the node is taken to be working on
+  const Attempt* head = nullptr;  // the prefill that is assumed to be in progress
   for (const AttemptRef& ref : node.outstanding()) {
     const Attempt& attempt = requests_.attempt(ref);
     if (attempt.stage != AttemptStage::prefill || attempt.started)
@@ -55,31 +56,31 @@
   if (!head)
     return 0;
   const Micros head_started_at = std::max(node.prefill.last_prefill_done_, head->sent_at);
-  const double head_done_tokens = to_microseconds(context_.now() - head_started_at) / rate;
+  const double head_done_tokens = to_microseconds(context_.now() - head_started_at) / time_per_token;
   return tokens - std::min(head->uncached_tokens, head_done_tokens);
 }
 
-double PrefillTimeEstimator::queued_tokens(const Node& node, double rate) const {
+double PrefillTimeEstimator::queued_tokens(const Node& node, double time_per_token) const {
   const auto& reported = node.prefill.other_routers_queued_tokens_;
   const Micros memory = context_.memory_duration() / queue_memory_divisor;
   const double freshness = reported.freshness(context_.now(), memory);
   const double usual = pools_[node.role()].other_routers_queued_tokens;
-  return own_queued_tokens(node, rate) + freshness * reported.value + (1 - freshness) * usual;
+  return own_queued_tokens(node, time_per_token) + freshness * reported.value + (1 - freshness) * usual;
 }
 
 double PrefillTimeEstimator::queue_wait(const Node& node) const {
-  const double rate = prefill_rate(node);
-  const double wait = queued_tokens(node, rate) * rate;
+  const double time_per_token = prefill_time_per_token(node);
+  const double wait = queued_tokens(node, time_per_token) * time_per_token;
   return node.role() == Role::mixed ? std::max(wait, mixed_prefills_.wait(node)) : wait;
 }
 
-std::optional<double> PrefillTimeEstimator::usual_rate(Role role) const {
-  const auto* const rate = find_or_null(usual_rate_, role);
-  return rate ? std::optional(rate->value()) : std::nullopt;
+std::optional<double> PrefillTimeEstimator::usual_time_per_token(Role role) const {
+  const auto* const time_per_token = find_or_null(usual_time_per_token_, role);
+  return time_per_token ? std::optional(time_per_token->value()) : std::nullopt;
 }
 
 double PrefillTimeEstimator::overall_confidence() const {
-  return last_usual_rate_.confidence(context_.now(), context_.memory_duration());
+  return last_usual_time_per_token_.confidence(context_.now(), context_.memory_duration());
 }
 
 void PrefillTimeEstimator::record_prefill_time(Node& node, const Attempt& attempt, double elapsed) {
@@ -93,15 +94,15 @@
   const double sample = elapsed / tokens;
   const double weight =
       std::min(1.0, attempt.uncached_tokens / std::max(1.0, usual_prompt * whole_sample_share));
-  estimation::RunningMedian& rate_of_role = usual_rate_[node.role()];
-  if (rate_of_role.has_few_samples() || weight > usual_sample_weight)
-    rate_of_role.add(sample);
-  const double usual = rate_of_role.value();
-  last_usual_rate_.add(usual, context_.now(), 1);
+  estimation::RunningMedian& usual_of_role = usual_time_per_token_[node.role()];
+  if (usual_of_role.has_few_samples() || weight > usual_sample_weight)
+    usual_of_role.add(sample);
+  const double usual = usual_of_role.value();
+  last_usual_time_per_token_.add(usual, context_.now(), 1);
   if (!queue_is_reported)
     unreported_queue_[node.role()].add(elapsed / usual - tokens, context_.now(), usual_sample_weight);
-  node.prefill.rate_.add(std::min(sample, max_sample_factor * usual), context_.now(),
-                         usual_sample_weight * weight, weight);
+  node.prefill.time_per_token_.add(std::min(sample, max_sample_factor * usual), context_.now(),
+                                   usual_sample_weight * weight, weight);
   node.prefill.last_prefill_done_ = context_.now();
 }
 
@@ -112,7 +113,7 @@
 void PrefillTimeEstimator::record_load_report(Node& node, const LoadReport& report) {
   if (!report.queued_tokens || node.role() == Role::decode)
     return;
-  // Nodes report whole prompts, the parts that they have cached included.
+  // Nodes report the tokens of whole prompts, cached ones included.
   double own_tokens = 0;
   for (const AttemptRef& ref : node.outstanding()) {
     const Attempt& attempt = requests_.attempt(ref);
@@ -123,24 +124,27 @@
   node.prefill.other_routers_queued_tokens_.add(others, context_.now(), load_report_weight);
 }
 
-std::vector<std::pair<Role, double>> PrefillTimeEstimator::usual_rates() const {
-  std::vector<std::pair<Role, double>> rates;
-  for (const auto& [role, rate] : usual_rate_)
-    rates.emplace_back(role, rate.value());
-  return rates;
+std::vector<std::pair<Role, double>> PrefillTimeEstimator::usual_times_per_token() const {
+  std::vector<std::pair<Role, double>> times_per_token;
+  for (const auto& [role, time_per_token] : usual_time_per_token_)
+    times_per_token.emplace_back(role, time_per_token.value());
+  return times_per_token;
 }
 
-void PrefillTimeEstimator::adopt_usual_rates(Micros now, const std::vector<std::pair<Role, double>>& rates) {
-  for (const auto& [role, rate] : rates) {
-    if (!std::isfinite(rate) || rate <= 0 || !usual_rate_[role].has_few_samples())
+void PrefillTimeEstimator::adopt_usual_times_per_token(
+    Micros now, const std::vector<std::pair<Role, double>>& times_per_token) {
+  for (const auto& [role, time_per_token] : times_per_token) {
+    if (!std::isfinite(time_per_token) || time_per_token <= 0 ||
+        !usual_time_per_token_[role].has_few_samples())
       continue;
-    usual_rate_[role].assume(rate);
-    last_usual_rate_.add(rate, now, 1);
+    usual_time_per_token_[role].assume(time_per_token);
+    last_usual_time_per_token_.add(time_per_token, now, 1);
   }
 }
 
-// What the first class's objective allows per prompt token. It only ranks nodes while no rate is known.
-double PrefillTimeEstimator::rate_while_unknown() const {
+// Returns the time per prompt token that the first class's objective allows. It only ranks nodes until a
+// prefill was measured.
+double PrefillTimeEstimator::default_time_per_token() const {
   const auto& classes = context_.settings().classes;
   if (classes.empty())
     return 1;
@@ -148,7 +152,7 @@
 }
 
 double PrefillTimeEstimator::mean_other_routers_queue(Role role) const {
-  // The mean is taken over square roots, so that one node with a long queue does not dominate it.
+  // The mean is taken over square roots, so that one long queue does not dominate it.
   WeightedMean queue_root;
   for (const auto& [id, node] : nodes_.all()) {
     if (!node.is_ready() || node.role() != role)
@@ -173,8 +177,9 @@
 void PrefillTimeEstimator::refresh_pool_averages() {
   for (const Role role : all_roles) {
     PoolAverages& pool = pools_[role];
-    const double last_rate = last_usual_rate_.known ? last_usual_rate_.value : rate_while_unknown();
-    pool.rate = usual_rate(role).value_or(last_rate);
+    const double last_usual =
+        last_usual_time_per_token_.known ? last_usual_time_per_token_.value : default_time_per_token();
+    pool.time_per_token = usual_time_per_token(role).value_or(last_usual);
     pool.other_routers_queued_tokens = mean_other_routers_queue(role);
   }
   for (const Role role : {Role::prefill, Role::mixed})
--- a/src/module/prefix_cache_index.cpp
+++ b/src/module/prefix_cache_index.cpp
@@ -8,15 +8,15 @@
 namespace lemonroute::decisions {
 namespace {
 
-// A prefill that found less than its expected tokens divided by this has missed the cache. It is
-// kvcache_balancing_threshold of Mooncake's algorithm.
+// A prefill that found fewer than its expected cached tokens divided by this counts as a miss. It corresponds
+// to kvcache_balancing_threshold of Mooncake's algorithm.
 constexpr double mismatch_factor = 2;
-constexpr int max_misses_in_a_row = 2;  // one miss may be an ordinary eviction
+constexpr int max_misses_in_a_row = 2;  // a single miss may be a normal eviction
 // Part of the prompt beyond the shared prefix that is assumed to be cached for a session that this router has
 // not seen.
 constexpr double unseen_session_cached_share = 0.5;
-// Least capacity of a node in slow start for the ranking by hash, against a warm node, so that
-// its share is never 0.
+// Minimum capacity of a node in slow start against a warm node in the ranking by hash, so that its share is
+// never 0.
 constexpr double min_relative_capacity = 1e-3;
 
 }  // namespace
@@ -25,7 +25,7 @@
   popularity_.record_arrival(request.request.shared_prefix_key);
 }
 
-double PrefixCacheIndex::recorded_match(const Node& node, const RequestState& request) const {
+double PrefixCacheIndex::recorded_cached_tokens(const Node& node, const RequestState& request) const {
   const Micros valid_since = node.cache_records.valid_since_;
   const double shared = shared_prefixes_.cached_tokens(request.request.shared_prefix_key, node.id(),
                                                        valid_since, context_.now());
@@ -60,7 +60,7 @@
   if (!key)
     return {};
   const Settings& settings = context_.settings();
-  // Mixed nodes keep prefixes only where there are no prefill nodes.
+  // Mixed nodes get prefixes only if there are no prefill nodes.
   const Role prefilling_role = nodes_.ready_nodes(Role::prefill) > 0 ? Role::prefill : Role::mixed;
   std::vector<estimation::WeightedNode> prefill_nodes;
   std::vector<estimation::WeightedNode> decode_nodes;
--- a/src/module/request_state.h
+++ b/src/module/request_state.h
@@ -1,6 +1,6 @@
 /// \file
-/// The state of one open request and of its attempts. RequestTable owns it. AttemptPolicy and the classes
-/// that it drives (AttemptStarter, OutcomeRecorder, ReservationTracker) change it; all others read it.
+/// The state of one open request and its attempts. RequestTable owns it. AttemptPolicy, AttemptStarter,
+/// OutcomeRecorder and ReservationTracker change it; all other classes only read it.
 #pragma once
 
 #include <algorithm>
@@ -15,13 +15,13 @@
 
 namespace lemonroute::decisions {
 
-/// What an attempt asks of its node first.
+/// The first stage that an attempt requests from its node.
 enum class AttemptStage {
-  prefill,  ///< read the prompt; a mixed node then streams the answer as well
+  prefill,  ///< prefill the prompt; a mixed node then streams the answer as well
   decode,   ///< fetch the KV cache of an earlier prefill and stream the answer
 };
 
-/// Names one attempt of one request.
+/// Identifies one attempt of one request.
 struct AttemptRef {
   RequestId request = 0;      ///< an open request
   std::uint16_t attempt = 0;  ///< index into RequestState::attempts
@@ -29,38 +29,38 @@
 
 /// One attempt, outstanding or ended.
 struct Attempt {
-  EndpointId endpoint = 0;                    ///< that it was sent to
-  AttemptStage stage = AttemptStage::decode;  ///< what it asks of the node first
-  Micros sent_at{};                           ///< on the Scheduler's clock
-  Micros first_token_at{};                    ///< on the Scheduler's clock; valid once `started`
+  EndpointId endpoint = 0;                    ///< endpoint that it was sent to
+  AttemptStage stage = AttemptStage::decode;  ///< first stage at the node
+  Micros sent_at{};                           ///< time on the Scheduler's clock
+  Micros first_token_at{};                    ///< time on the Scheduler's clock; valid if `started`
   double queue_ahead = 0;                     ///< prompt tokens queued at the node when the attempt was sent
   double other_routers_queue = 0;             ///< the part of `queue_ahead` that other routers have sent
-  double uncached_tokens = 0;                 ///< prompt tokens that the node has to read
-  double expected_cached_tokens = 0;          ///< prompt tokens that the node should have cached, as recorded
-  double overdue_after = 1;                   ///< microseconds after `sent_at`
-  bool outstanding = true;                    ///< its AttemptCompleted has not come yet
+  double uncached_tokens = 0;                 ///< prompt tokens that the node has to compute
+  double expected_cached_tokens = 0;          ///< prompt tokens cached at the node according to the records
+  double overdue_after = 1;                   ///< microseconds after `sent_at` from which it is overdue
+  bool outstanding = true;                    ///< its AttemptCompleted has not arrived yet
   bool started = false;                       ///< its first token has arrived
   bool cancelled = false;                     ///< a CancelAttempt was emitted for it
 };
 
-/// A request, from its arrival until it is answered and holds nothing at any node.
+/// A request, from its arrival until it is answered and has no attempts or KV cache left at any node.
 struct RequestState {
-  Request request{};  ///< as it arrived
-  /// The terms in force when the request arrived; a change of settings does not change them.
+  Request request{};  ///< the event with which it arrived
+  /// The class settings at the arrival of the request. A settings update does not change them.
   std::shared_ptr<const ClassSettings> class_settings{};
-  std::uint32_t max_attempts = 1;       ///< Settings::max_attempts when the request arrived
-  double prompt_tokens = 0;             ///< Request::prompt_tokens, made finite and at least 0
+  std::uint32_t max_attempts = 1;       ///< Settings::max_attempts at its arrival
+  double prompt_tokens = 0;             ///< Request::prompt_tokens, sanitized: finite and at least 0
   double shared_prefix_tokens = 0;      ///< at most `prompt_tokens`
   Micros deadline{};                    ///< on the Scheduler's clock
   double latency_objective = 0;         ///< microseconds to the first token
-  bool over_quota = false;              ///< it exceeded its tenant's quota when it arrived
-  bool ended = false;                   ///< answered, or its client has left
+  bool over_quota = false;              ///< it exceeded the quota of its tenant at its arrival
+  bool ended = false;                   ///< it was answered, or its client has disconnected
   bool has_reservation = false;         ///< a prefill node holds its KV cache
   EndpointId reservation_endpoint = 0;  ///< that prefill node; valid while `has_reservation`
   std::optional<std::size_t> first_executed_attempt{};  ///< the first attempt that may have run
-  std::vector<Attempt> attempts{};                      ///< all so far, in the order in which they were sent
+  std::vector<Attempt> attempts{};                      ///< all attempts so far, in the order of sending
 
-  /// Returns how many attempts have not ended.
+  /// Returns the number of outstanding attempts.
   [[nodiscard]] std::ptrdiff_t outstanding_attempts() const {
     return std::ranges::count_if(attempts, &Attempt::outstanding);
   }
--- a/src/module/role_table.h
+++ b/src/module/role_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// A fixed table with one value for each Role. It owns its values and has no other state.
+/// A table with one value for each Role.
 #pragma once
 
 #include <array>
@@ -9,16 +9,16 @@
 
 namespace lemonroute::decisions {
 
-/// All roles, in the order in which they are visited.
+/// All roles, in the order of iteration.
 inline constexpr std::array<Role, 3> all_roles = {Role::prefill, Role::decode, Role::mixed};
 
-/// One `Value` for each Role, value-initialised.
+/// One `Value` for each Role, value-initialized.
 template <class Value>
 class RoleTable {
  public:
-  /// Returns the value of a role. The reference is valid as long as the table.
+  /// Returns the value of a role. The reference is valid as long as the table exists.
   [[nodiscard]] Value& operator[](Role role) { return values_[static_cast<std::size_t>(role)]; }
-  /// The same, to be read only.
+  /// The same, read-only.
   [[nodiscard]] const Value& operator[](Role role) const { return values_[static_cast<std::size_t>(role)]; }
 
  private:
--- a/src/module/scheduler.cpp
+++ b/src/module/scheduler.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// Implements the public interface of the decision module by the parts that SchedulerCore owns.
+/// Implements the public interface of the decision module with the parts of SchedulerCore.
 ///
-/// The ordinary path is Mooncake's Algorithm 1: the prefill node with the lowest estimated wait and prefill
-/// time of what is not cached; then a near, least loaded decode node; early rejection when waiting would miss
-/// the latency objective or every decode node looks full. Comments where the code departs from that path say
-/// what would go wrong otherwise.
+/// Requests follow Mooncake's Algorithm 1: first the prefill node with the lowest sum of estimated wait and
+/// prefill time of the uncached tokens, then the nearest of the least loaded decode nodes. A request is
+/// rejected early if its wait would miss the latency objective or if all decode nodes are full. Where the
+/// code departs from the algorithm, comments state what would go wrong otherwise.
 #include "lemonroute/scheduler.h"
 
 #include <utility>
@@ -34,14 +34,14 @@
 }
 
 LearnedRates Scheduler::learned_rates(Micros now) const {
-  return {.prefill_rates = core_->estimators.prefill_times.usual_rates(),
+  return {.prefill_rates = core_->estimators.prefill_times.usual_times_per_token(),
           .work_rates = core_->estimators.slow_start.work_rates(now)};
 }
 
-// A process that takes over under load would measure its first prefills with their waits, take them for the
-// nodes' rate and shed everything. It adopts its predecessor's rates instead.
+// A process that takes over under load would measure its first prefills together with their waits,
+// overestimate the time per token and shed all requests. It adopts the rates of its predecessor instead.
 void Scheduler::adopt_learned_rates(Micros now, const LearnedRates& learned_rates) {
-  core_->estimators.prefill_times.adopt_usual_rates(now, learned_rates.prefill_rates);
+  core_->estimators.prefill_times.adopt_usual_times_per_token(now, learned_rates.prefill_rates);
   for (const auto& [endpoint, rate] : learned_rates.work_rates)
     if (decisions::Node* const node = core_->nodes.find(endpoint))
       core_->estimators.slow_start.adopt_work_rate(*node, rate, now);
--- a/src/module/scheduler_core.cpp
+++ b/src/module/scheduler_core.cpp
@@ -22,7 +22,7 @@
   attempts.handle(event);
 }
 
-// The module never reserves capacity ahead of an attempt, so no update can concern it.
+// The module never reserves capacity ahead of an attempt, so it ignores these updates.
 void SchedulerCore::dispatch(const ReservationUpdate& /*update*/) {}
 
 void SchedulerCore::dispatch(const AttemptCompleted& completed) {
@@ -45,11 +45,11 @@
     outcomes.record_health_result(*node, result);
 }
 
-// Decisions follow from what this router observes itself; the module neither sends nor reads messages of
-// other routers.
+// Decisions rely on the observations of this router alone: the module neither sends nor reads peer messages.
 void SchedulerCore::dispatch(const PeerMessage& /*message*/) {}
 
-// Nodes' own counts of cached tokens correct the records; see PrefixCacheIndex::verify_cached_tokens.
+// Ignored: the nodes' own counts of cached tokens correct the records, see
+// PrefixCacheIndex::verify_cached_tokens.
 void SchedulerCore::dispatch(const CacheInvalidated& /*event*/) {}
 
 }  // namespace lemonroute::decisions
--- a/src/module/scheduler_core.h
+++ b/src/module/scheduler_core.h
@@ -1,6 +1,6 @@
 /// \file
-/// The parts of one Scheduler: owns them and hands each event to the part that it concerns. Used on the
-/// serving thread only.
+/// Owns the parts of one Scheduler and dispatches each event to the responsible part. Used on the serving
+/// thread only.
 #pragma once
 
 #include <vector>
@@ -25,12 +25,11 @@
 
 namespace lemonroute::decisions {
 
-/// All parts of one Scheduler, in the order of their dependencies. They refer to each other, so a core stays
-/// where it was made.
+/// All parts of one Scheduler, in the order of their dependencies.
 struct SchedulerCore {
-  /// Has default settings and no nodes; see Scheduler::update_settings.
+  /// Starts with default settings and no nodes; see Scheduler::update_settings.
   SchedulerCore() = default;
-  /// Neither copied nor moved, since the parts refer to each other.
+  /// Not copyable or movable, because the parts refer to each other.
   SchedulerCore(const SchedulerCore&) = delete;
   /// See the copy constructor.
   SchedulerCore& operator=(const SchedulerCore&) = delete;
@@ -38,16 +37,16 @@
   /// Handles one event and appends the actions that follow from it to `actions`.
   void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
-  Context context;                                  ///< clock, settings, actions, and observer of choices
-  NodeRegistry nodes{context};                      ///< all nodes on record
+  Context context;                                  ///< clock, settings, actions and choice observer
+  NodeRegistry nodes{context};                      ///< records of all nodes
   RequestTable requests;                            ///< all open requests
-  Estimators estimators{context, nodes, requests};  ///< what is known of nodes and requests
-  PoolStatistics pools{estimators};                 ///< when averages over nodes are computed anew
-  ChoiceExplainer explainer{context, estimators};   ///< tells the observer of choices
-  EndpointFilter filter{context, nodes, estimators, explainer};  ///< which nodes may be chosen
-  /// Chooses for the first stage.
+  Estimators estimators{context, nodes, requests};  ///< estimates of the state of nodes and requests
+  PoolStatistics pools{estimators};                 ///< refreshes averages over nodes
+  ChoiceExplainer explainer{context, estimators};   ///< reports to the choice observer
+  EndpointFilter filter{context, nodes, estimators, explainer};  ///< decides which nodes are eligible
+  /// Chooses a node for the first stage.
   PrefillSelector prefill_selector{context, estimators, pools, filter, explainer};
-  /// Chooses for the second stage.
+  /// Chooses a node for the second stage.
   DecodeSelector decode_selector{nodes, estimators, pools, filter, explainer};
   /// Sheds requests before their first attempt.
   AdmissionController admission{context, nodes, requests, estimators};
--- a/src/module/slow_start_limiter.cpp
+++ b/src/module/slow_start_limiter.cpp
@@ -15,12 +15,11 @@
 using estimation::hash_to_unit_interval;
 using estimation::to_microseconds;
 
-// Share of a node's budget that is used. The rest covers the error of the load that warm nodes are taken to
-// bear.
+// Share of a node's budget that may be used. The rest covers the error in the estimated work rate of warm
+// nodes.
 constexpr double used_budget_share = 0.6;
-// Microseconds per prompt token that a prefill takes at least, for a budget that follows from the prefill
-// rate.
-constexpr double min_prefill_rate = 0.1;
+// Minimum microseconds per prompt token, where the budget is derived from the prefill time per token.
+constexpr double min_time_per_token = 0.1;
 
 }  // namespace
 
@@ -29,8 +28,8 @@
          context_.now() - node.process_started_at() < context_.settings().slow_start_duration;
 }
 
-// Prompt tokens that this router may send to a node in slow start within one window. A router process that
-// has just started does not know what its predecessor sent, so its first window counts as used.
+// Returns the prompt tokens that this router may send to a node in slow start within one window. A new router
+// process does not know what its predecessor has sent, so the budget of its first window counts as used.
 double SlowStartLimiter::window_budget(const Node& node) const {
   const Settings& settings = context_.settings();
   const bool first_window = context_.now() - context_.first_event_at() < settings.overload_window;
@@ -50,10 +49,10 @@
   return has_turn(node, work, budget);
 }
 
-// Whether this router sends the one request that an empty window admits. All routers together send one
-// request in a window; a hash of node, router and window decides which router does. A router that receives
-// less than one request per window would miss most of its turns, so its turns are drawn for each request
-// instead.
+// Returns whether this router may send the one request that an empty window admits. All routers together
+// should send one request per window; a hash of node, router and window decides which router has the turn. A
+// router that receives less than one request per window would miss most of its turns, so its turns are drawn
+// for each request instead.
 bool SlowStartLimiter::has_turn(const Node& node, double work, double budget) const {
   const Settings& settings = context_.settings();
   const double arriving_work = workload_.arrival_rate() * to_microseconds(settings.overload_window);
@@ -100,13 +99,13 @@
   for (const Role role : all_roles)
     if (work_rate[role].total_weight > 0)
       warm_work_rate_[role] = work_rate[role].value();
-  // When the last warm node drains while its successors are in slow start, the last known work rate of its
-  // role stays in force. For prefill nodes the rate measured by prefills replaces it, because the successors
-  // would otherwise get next to no work.
-  const auto usual_rate = prefill_times_.usual_rate(Role::prefill);
-  if (work_rate[Role::prefill].total_weight <= 0 && usual_rate)
+  // When the last warm node drains while its successors are in slow start, the last known work rate of the
+  // role stays in use. For prefill nodes the measured time per token replaces it, because the successors
+  // would otherwise get almost no work.
+  const auto usual_time_per_token = prefill_times_.usual_time_per_token(Role::prefill);
+  if (work_rate[Role::prefill].total_weight <= 0 && usual_time_per_token)
     warm_work_rate_[Role::prefill] =
-        1 / std::max(min_prefill_rate, *usual_rate) / context_.settings().router_count;
+        1 / std::max(min_time_per_token, *usual_time_per_token) / context_.settings().router_count;
 }
 
 }  // namespace lemonroute::decisions
--- a/src/module/slow_start_limiter.h
+++ b/src/module/slow_start_limiter.h
@@ -1,8 +1,8 @@
 /// \file
-/// Slow start: how much work this router may send to a node whose process has just started (rule 4 of the
-/// platform: such a node collapses under more than a part of a warm node's load). It owns SentWorkHistory of
-/// each node and the work rate of warm nodes by role. Work is counted in prompt tokens. Used on the serving
-/// thread only.
+/// Slow start: limits the work that this router sends to a node whose process has just started (rule 4 of the
+/// platform: such a node can serve only a part of a warm node's load and fails under more). Owns
+/// SentWorkHistory of each node and the work rate of warm nodes by role. Work is counted in prompt tokens.
+/// Used on the serving thread only.
 #pragma once
 
 #include <utility>
@@ -24,22 +24,21 @@
                    const PrefillTimeEstimator& prefill_times)
       : context_(context), nodes_(nodes), workload_(workload), prefill_times_(prefill_times) {}
 
-  /// Returns whether the node's process has started so recently that it can't bear a warm node's load.
+  /// Returns whether the node's process started less than Settings::slow_start_duration ago.
   [[nodiscard]] bool in_slow_start(const Node& node) const;
 
-  /// Returns whether `work` prompt tokens may be sent to the node now. Always true for a node out of slow
-  /// start.
+  /// Returns whether `work` prompt tokens may be sent to the node now. Always true for a warm node.
   ///
-  /// A node in slow start gets a part of the load that warm nodes of its role demonstrably bear, counted over
-  /// Settings::overload_window and divided by the routers. Into an empty window one request is admitted, to
-  /// warm the node up; where this router's part is less than one request, a hash decides whose turn it is.
+  /// A node in slow start gets a part of the measured work rate of warm nodes of its role, summed over
+  /// Settings::overload_window. An empty window admits one request, so that the node warms up; if this
+  /// router's part is less than one request, a hash decides which router has the turn.
   [[nodiscard]] bool admits(const Node& node, double work) const;
 
   /// Counts an attempt sent to a node. `work` is the mean work of its class and counts towards the budget of
   /// the window; `prompt_tokens` is its own work and counts towards the node's work rate.
   void record_sent(Node& node, double work, double prompt_tokens);
-  /// Takes an attempt that did not run out of the node's work rate. The attempt is sent again, so a node that
-  /// rejects attempts would otherwise seem to bear several times the load that it does.
+  /// Subtracts an attempt that did not run from the work rate of its node. The attempt is sent again, so a
+  /// node that rejects attempts would otherwise seem to serve several times its actual load.
   void record_not_run(Node& node, double prompt_tokens);
 
   /// Returns the work rate of each ready node that has one, in prompt tokens per microsecond.
@@ -47,7 +46,8 @@
   /// Adopts a node's work rate from another process, unless this one has sent work there within the window.
   void adopt_work_rate(Node& node, double rate, Micros now);
 
-  /// Computes the work rate of warm nodes anew. Relies on PrefillTimeEstimator::usual_rate.
+  /// Recomputes the work rate of warm nodes. Requires an up-to-date
+  /// PrefillTimeEstimator::usual_time_per_token.
   void refresh_pool_averages();
 
  private:
--- a/src/module/tenant_quota.cpp
+++ b/src/module/tenant_quota.cpp
@@ -8,8 +8,8 @@
 namespace lemonroute::decisions {
 namespace {
 
-// A bucket holds the requests of this many seconds, so that a tenant whose mean rate is within the quota does
-// not exceed it when its requests arrive unevenly.
+// Capacity of a bucket in seconds of the quota, so that a tenant whose mean rate is within the quota does not
+// exceed it when its requests arrive unevenly.
 constexpr double burst_seconds = 2;
 constexpr double min_burst = 2;  // requests
 
--- a/src/module/tenant_quota.h
+++ b/src/module/tenant_quota.h
@@ -1,6 +1,6 @@
 /// \file
-/// The tenants' quotas. It owns a token bucket for each tenant, which holds this router's part of the
-/// tenant's quota. Used on the serving thread only.
+/// The quotas of tenants. Owns a token bucket for each tenant, which holds this router's part of the quota.
+/// Used on the serving thread only.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace lemonroute::decisions {
 
-/// Tells which requests exceed their tenant's quota. Such requests are served with a lower priority, not
-/// rejected.
+/// Determines which requests exceed the quota of their tenant. Such requests get a lower priority; they are
+/// not rejected for it.
 class TenantQuota {
  public:
   /// Keeps the reference, which must outlive it.
   explicit TenantQuota(const Context& context) : context_(context) {}
 
-  /// Follows a change of the settings. Tenants that stay, by their names, keep the fill of their buckets.
+  /// Applies a settings update. Tenants whose names remain keep the fill level of their buckets.
   void update_tenants();
 
   /// Counts a request and returns whether it exceeds its tenant's quota. An unknown tenant has no quota.
--- a/src/module/workload_statistics.cpp
+++ b/src/module/workload_statistics.cpp
@@ -8,7 +8,7 @@
 namespace lemonroute::decisions {
 namespace {
 
-// Prompt lengths vary widely from one request to the next, so each sample gets a low weight.
+// Low, because prompt lengths vary widely from one request to the next.
 constexpr double prompt_sample_weight = estimation::usual_sample_weight / 4;
 
 }  // namespace
--- a/src/module/workload_statistics.h
+++ b/src/module/workload_statistics.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the requests of this router are like: how much work arrives, how long prompts are, and how much work
-/// one request of a class is. It owns these averages; work is counted in prompt tokens. Used on the serving
+/// Statistics on the requests of this router: the arrival rate, the usual prompt length, and the mean work
+/// per request of each class. Owns these averages. Work is counted in prompt tokens. Used on the serving
 /// thread only.
 #pragma once
 
@@ -29,16 +29,16 @@
   [[nodiscard]] double arrival_rate() const;
   /// Returns the mean prompt length of recent attempts in tokens, or 0 before the first attempt.
   [[nodiscard]] double usual_prompt_tokens() const { return usual_prompt_tokens_.value; }
-  /// Returns whether there was an attempt.
+  /// Returns whether any attempt was recorded.
   [[nodiscard]] bool knows_usual_prompt() const { return usual_prompt_tokens_.known; }
-  /// Returns the mean prompt length of recent attempts of the request's class in tokens, or 0 before the
-  /// first.
+  /// Returns the mean prompt length in tokens of recent attempts of the request's class, or 0 before the
+  /// first attempt.
   [[nodiscard]] double mean_work_of_class(const RequestState& request) const;
-  /// Returns the work that a request counts as towards the budget of a node in slow start: its prompt's
-  /// length, and at least the mean of its class.
+  /// Returns the work that a request uses of the budget of a node in slow start: the length of its prompt,
+  /// and at least the mean of its class.
   [[nodiscard]] double estimated_work(const RequestState& request) const;
 
-  /// Drops the averages of classes that the settings in force do not have.
+  /// Discards the averages of classes that are not in the current settings.
   void forget_removed_classes();
 
  private:
