--- a/tests/module/retune_test.cpp
+++ b/tests/module/retune_test.cpp
@@ -1,4 +1,4 @@
-// New settings while requests run: what was learned stays, and terms hold from a request's beginning.
+// Settings updates while requests are open: learned state is kept, and open requests keep their settings.
 #include <gtest/gtest.h>
 
 #include "support.h"
@@ -6,65 +6,70 @@
 namespace lemonroute::test {
 namespace {
 
-TEST(Retune, KeepsWhatWasLearnedOfTexts) {
+TEST(SettingsUpdate, KeepsPrefixCacheRecords) {
   SchedulerFixture fixture;
-  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(3, prefill_kind), host(9, decode_kind)});
+  fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(2, prefill_kind),
+                            make_endpoint(3, prefill_kind), make_endpoint(9, decode_kind)});
   const Key session = 77;
-  const EndpointId home = fixture.serve(fixture.request(8000, 0, session));
-  Settings other = settings();
-  std::swap(other.classes[0], other.classes[2]);
-  other.max_attempts = 3;
-  fixture.scheduler.update_settings(other);
+  const EndpointId cache_node = fixture.serve(fixture.make_request(8000, 0, session));
+  Settings updated = settings();
+  std::swap(updated.classes[0], updated.classes[2]);  // class 2 is idempotent now
+  updated.max_attempts = 3;
+  fixture.scheduler.update_settings(updated);
   for (int i = 0; i < 3; ++i)
-    EXPECT_EQ(fixture.serve(fixture.request(8000, 2, session)), home);
+    EXPECT_EQ(fixture.serve(fixture.make_request(8000, 2, session)), cache_node);
 }
 
-// When the last warm reader has left, the cold ones are given what the learned rate says they can bear, no
-// more.
-TEST(ColdReaders, AloneGetAPartOfWhatReadsHaveShown) {
+// When no warm prefill node is left, the budget of a node in slow start follows from the measured prefill
+// rate.
+TEST(SlowStartWithoutWarmNodes, BudgetFollowsFromMeasuredPrefillRate) {
   SchedulerFixture fixture;
-  fixture.list({host(1, prefill_kind), host(9, decode_kind)});
+  fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(9, decode_kind)});
   for (int i = 0; i < 12; ++i)
-    fixture.serve(fixture.request(4000), 200ms);  // 50 us a token
-  Endpoint cold = host(2, prefill_kind);
-  cold.started_at = fixture.now;
-  fixture.list({cold, host(9, decode_kind)});
+    fixture.serve(fixture.make_request(4000), 200ms);  // 50 us per token
+  Endpoint new_node = make_endpoint(2, prefill_kind);
+  new_node.started_at = fixture.now;
+  fixture.update_endpoints({new_node, make_endpoint(9, decode_kind)});
   double tokens = 0;
   for (const Micros until = fixture.now + 2900ms; fixture.now < until;
        fixture.advance_to(fixture.now + 50ms)) {
-    const Request r = fixture.request(2000);
+    const Request r = fixture.make_request(2000);
     if (SchedulerFixture::sent_to(fixture.handle(r)) != 2)
       continue;
     tokens += r.prompt_tokens;
-    fixture.complete(r.id, 0, 2, Outcome::prefill_done, 100ms);
+    fixture.complete_attempt(r.id, 0, 2, Outcome::prefill_done, 100ms);
     fixture.handle(ClientDisconnected{r.id});
   }
-  const double bearable = 2.5 * 0.25 * 3 * 20000;  // multiple x present capacity x window
-  EXPECT_GT(tokens, bearable / 8);
-  EXPECT_LT(tokens, bearable * 0.6);
+  // overload_factor * slow_start_initial_capacity * overload_window in seconds * tokens per second
+  const double overload_tokens = 2.5 * 0.25 * 3 * 20000;
+  EXPECT_GT(tokens, overload_tokens / 8);
+  EXPECT_LT(tokens, overload_tokens * 0.6);
 }
 
-TEST(Retune, ARequestKeepsItsClassAndItsAttempts) {
+TEST(SettingsUpdate, OpenRequestKeepsItsClassAndAttemptLimit) {
   SchedulerFixture fixture;
-  fixture.list({host(1, prefill_kind), host(9, decode_kind)});
-  const Request old = fixture.request();
-  EndpointId at = SchedulerFixture::sent_to(fixture.handle(old));
+  fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(9, decode_kind)});
+  const Request open_request = fixture.make_request();
+  EndpointId sent_to = SchedulerFixture::sent_to(fixture.handle(open_request));
   Settings stricter = settings();
-  stricter.classes = {stricter.classes[2]};  // unsafe, where the request's class was safe
+  stricter.classes = {stricter.classes[2]};  // class 0 is not idempotent now
   stricter.max_attempts = 2;
   fixture.scheduler.update_settings(stricter);
   for (std::uint16_t i = 0; i < 3; ++i) {
-    ASSERT_EQ(at, 1u);
-    at = SchedulerFixture::sent_to(fixture.complete(old.id, i, 1, Outcome::error));
+    ASSERT_EQ(sent_to, 1u);
+    sent_to = SchedulerFixture::sent_to(fixture.complete_attempt(open_request.id, i, 1, Outcome::error));
   }
-  // The new ones: one read and one write at the most, and a write that may have run is not repeated.
-  const Request fresh = fixture.request();
-  ASSERT_EQ(SchedulerFixture::sent_to(fixture.handle(fresh)), 1u);
-  EXPECT_EQ(SchedulerFixture::sent_to(fixture.complete(fresh.id, 0, 1, Outcome::error)), 0u);
-  const Request next = fixture.request();
-  ASSERT_EQ(SchedulerFixture::sent_to(fixture.handle(next)), 1u);
-  ASSERT_EQ(SchedulerFixture::sent_to(fixture.complete(next.id, 0, 1, Outcome::prefill_done)), 9u);
-  EXPECT_TRUE(SchedulerFixture::find<FailRequest>(fixture.complete(next.id, 1, 9, Outcome::error)));
+  // New requests get one prefill and one decode at most, and a decode that may have run is not repeated.
+  const Request first_request = fixture.make_request();
+  ASSERT_EQ(SchedulerFixture::sent_to(fixture.handle(first_request)), 1u);
+  EXPECT_EQ(SchedulerFixture::sent_to(fixture.complete_attempt(first_request.id, 0, 1, Outcome::error)), 0u);
+  const Request second_request = fixture.make_request();
+  ASSERT_EQ(SchedulerFixture::sent_to(fixture.handle(second_request)), 1u);
+  ASSERT_EQ(
+      SchedulerFixture::sent_to(fixture.complete_attempt(second_request.id, 0, 1, Outcome::prefill_done)),
+      9u);
+  EXPECT_TRUE(SchedulerFixture::find_action<FailRequest>(
+      fixture.complete_attempt(second_request.id, 1, 9, Outcome::error)));
 }
 
 }  // namespace
