--- a/tests/estimation/estimation_test.cpp
+++ b/tests/estimation/estimation_test.cpp
@@ -1,4 +1,4 @@
-// How popular one router estimates shared prefixes to be, and at which prefill nodes it expects them.
+// Tests of the estimated popularity of shared prefixes, and of the prefill nodes chosen for them by hash.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace lemonroute::estimation {
 namespace {
 
-TEST(PrefixPopularity, GivesAnUnseenPrefixALargerShareWherePrefixesAreOftenShared) {
+TEST(PrefixPopularity, GivesUnseenPrefixLargerShareWherePrefixesAreOftenShared) {
   PrefixPopularity often_shared;
   PrefixPopularity never_shared;
   std::mt19937 random(1);
@@ -26,11 +26,11 @@
   often_shared.record_arrival(99);
   never_shared.record_arrival(99);
   EXPECT_GT(often_shared.share(99), 2 * never_shared.share(99))
-      << "a prefix not seen before, where prefixes are often shared";
+      << "an unseen prefix gets the usual share, which is larger where prefixes are often shared";
 }
 
-// At any time, also before it has settled, the estimate is above 0 and at most 1.
-TEST(PrefixPopularity, ComesCloseToTheTrueShareWhateverTheDistribution) {
+// The estimate is above 0 and at most 1 at all times, also before it has settled.
+TEST(PrefixPopularity, ApproachesTrueShareForAnyDistribution) {
   for (const double exponent : {0.6, 1.0, 1.3}) {
     std::vector<double> weights;
     for (int i = 1; i <= 40; ++i)
@@ -56,14 +56,14 @@
   }
 }
 
-TEST(PrefixPopularity, StaysWithinItsBoundWhenEveryArrivalHasANewPrefix) {
+TEST(PrefixPopularity, BoundsTrackedPrefixesWhenEveryArrivalHasNewPrefix) {
   PrefixPopularity popularity;
   for (Key key = 1; key < 100000; ++key)
     popularity.record_arrival(key);
   EXPECT_LE(popularity.tracked_prefixes(), 2 * PrefixPopularity::max_arrivals);
 }
 
-// Nodes with ids that tell their zone: from first_id * (zone + 1) on.
+// Returns nodes whose ids encode their zone: first_id * (zone + 1) and up.
 std::vector<WeightedNode> nodes_in_zones(const std::vector<int>& count_by_zone, EndpointId first_id = 100) {
   std::vector<WeightedNode> nodes;
   for (std::uint32_t zone = 0; zone < count_by_zone.size(); ++zone)
@@ -72,12 +72,12 @@
   return nodes;
 }
 
-// The zone of a node that nodes_in_zones() has made with ids from 100 on.
+// Returns the zone of a node from nodes_in_zones() with first_id 100.
 std::uint32_t zone_of(EndpointId id) {
   return id / 100 - 1;
 }
 
-// Of 1,000 prefixes, those that are expected in each zone.
+// Returns how many of 1,000 prefixes have their preferred node in each zone.
 std::vector<int> prefixes_by_zone(RouterLocation location, const std::vector<int>& prefill_by_zone,
                                   const std::vector<int>& decode_by_zone) {
   const auto prefill_nodes = nodes_in_zones(prefill_by_zone);
@@ -90,33 +90,34 @@
   return by_zone;
 }
 
-TEST(AffinityNodes, KeepsInTheZoneWhatItsPrefillAndDecodeNodesCanServe) {
-  struct Row {
-    const char* what;
+TEST(AffinityNodes, KeepPrefixesInZoneUpToCapacityOfItsNodes) {
+  struct ZoneCase {
+    const char* description;
     RouterLocation location;
     std::vector<int> prefill_by_zone;
     std::vector<int> decode_by_zone;
     std::vector<int> expected;
   };
-  const Row rows[] = {
-      {"each zone its share: all stay", {2, 300}, {10, 10, 12}, {9, 9, 9}, {0, 0, 1000}},
-      {"a fifth of what a third of the traffic needs", {0, 300}, {2, 14, 14}, {10, 10, 10}, {200, 400, 400}},
-      {"its decode nodes are gone", {1, 300}, {5, 5, 5}, {8, 0, 8}, {500, 0, 500}},
+  const ZoneCase cases[] = {
+      {"nodes for all of the zone's traffic", {2, 300}, {10, 10, 12}, {9, 9, 9}, {0, 0, 1000}},
+      {"nodes for a fifth of the zone's traffic", {0, 300}, {2, 14, 14}, {10, 10, 10}, {200, 400, 400}},
+      {"no decode node in the zone", {1, 300}, {5, 5, 5}, {8, 0, 8}, {500, 0, 500}},
       {"no prefill node in the zone", {3, 300}, {5, 5, 0}, {5, 5, 5}, {500, 500, 0}},
-      {"one of two routers has two thirds here", {1, 2}, {10, 10, 10}, {9, 9, 9}, {250, 500, 250}},
+      {"one of two routers: two thirds of the traffic", {1, 2}, {10, 10, 10}, {9, 9, 9}, {250, 500, 250}},
       {"the only router", {0, 1}, {10, 10}, {10, 10}, {500, 500}},
       {"the only zone", {0, 1}, {7}, {7}, {1000}},
       {"no decode node anywhere", {0, 300}, {5, 5}, {0, 0}, {1000, 0}},
       {"a zone without any node", {9, 300}, {6, 6}, {6, 6}, {500, 500}},
   };
-  for (const auto& row : rows) {
-    const auto found = prefixes_by_zone(row.location, row.prefill_by_zone, row.decode_by_zone);
+  for (const auto& zone_case : cases) {
+    const auto found =
+        prefixes_by_zone(zone_case.location, zone_case.prefill_by_zone, zone_case.decode_by_zone);
     for (std::size_t zone = 0; zone < found.size(); ++zone)
-      EXPECT_NEAR(found[zone], row.expected[zone], 60) << row.what << ", zone " << zone;
+      EXPECT_NEAR(found[zone], zone_case.expected[zone], 60) << zone_case.description << ", zone " << zone;
   }
 }
 
-TEST(AffinityNodes, KeepsLessInTheZoneWhenItsNodesAreInSlowStart) {
+TEST(AffinityNodes, KeepFewerPrefixesInZoneWhoseNodesAreInSlowStart) {
   auto prefill_nodes = nodes_in_zones({10, 10});
   for (auto& node : prefill_nodes)
     if (node.zone == 0)
@@ -130,22 +131,22 @@
   EXPECT_NEAR(in_zone, 400, 60);  // capacity 2.5 of 12.5, for half of the traffic
 }
 
-// With different shares the preferred node is the same for most sessions; the sessions of a prefix spread
-// evenly over its nodes; and there are as many nodes as the prefix would half fill.
-TEST(AffinityNodes, AgreesForMostSessionsAndSpreadsThemWhenTheShareDiffers) {
+// Routers that estimate different shares prefer the same node for most sessions. The sessions of a prefix
+// spread evenly over its nodes, and there are as many nodes as the prefix would half fill.
+TEST(AffinityNodes, SpreadSessionsAndAgreeForMostWhenEstimatedSharesDiffer) {
   const auto prefill_nodes = nodes_in_zones({16, 16});
   const auto decode_nodes = nodes_in_zones({9, 9}, 1000);
   std::map<EndpointId, int> sessions_by_node;
-  int agreed = 0;
+  int same_node = 0;
   for (Key session = 1; session <= 2000; ++session) {
     const auto for_small_share = affinity_nodes(42, session, 0.1, {0, 300}, prefill_nodes, decode_nodes);
     const auto for_large_share = affinity_nodes(42, session, 0.15, {0, 300}, prefill_nodes, decode_nodes);
     ASSERT_EQ(for_small_share.size(), 4u);  // 2 * 0.1 * 16, rounded up
     ASSERT_EQ(for_large_share.size(), 5u);
     ++sessions_by_node[for_small_share.front()];
-    agreed += for_small_share.front() == for_large_share.front();
+    same_node += for_small_share.front() == for_large_share.front();
   }
-  EXPECT_GT(agreed, 2000 * 0.75);
+  EXPECT_GT(same_node, 2000 * 0.75);
   for (const auto& [id, count] : sessions_by_node)
     EXPECT_NEAR(count, 500, 100);
   EXPECT_EQ(affinity_nodes(42, 1, 1, {0, 300}, prefill_nodes, decode_nodes).size(), 16u);
@@ -153,14 +154,14 @@
   EXPECT_TRUE(affinity_nodes(42, 1, 0.1, {0, 300}, {}, decode_nodes).empty());
 }
 
-TEST(AffinityNodes, MovesOnlyThePrefixesOfANodeThatIsGone) {
+TEST(AffinityNodes, MoveOnlyPrefixesOfRemovedNode) {
   const auto all_nodes = nodes_in_zones({12});
   auto remaining_nodes = all_nodes;
-  const EndpointId gone = remaining_nodes.back().id;
+  const EndpointId removed_node = remaining_nodes.back().id;
   remaining_nodes.pop_back();
   for (Key prefix = 1; prefix < 500; ++prefix) {
     const auto before = affinity_nodes(prefix, prefix, 0, {}, all_nodes, {}).front();
-    if (before != gone) {
+    if (before != removed_node) {
       EXPECT_EQ(affinity_nodes(prefix, prefix, 0, {}, remaining_nodes, {}).front(), before);
     }
   }
