--- a/src/module/slow_start_limiter.cpp
+++ b/src/module/slow_start_limiter.cpp
@@ -39,6 +39,7 @@
 }
 
 bool SlowStartLimiter::admits(const Node& node, double work) const {
+  // Computed for warm nodes too, because sum() drops old entries.
   const double sent_work =
       node.sent_work.recent_work_.sum(context_.now(), context_.settings().overload_window);
   if (!in_slow_start(node))
--- a/tests/module/mechanism_test.cpp
+++ b/tests/module/mechanism_test.cpp
@@ -175,7 +175,7 @@
   EXPECT_EQ(fixture.sent_to(fixture.handle(fixture.make_request(60000))), 1u);
 }
 
-TEST(LoadShedding, RejectsNothingBeforePrefillRateIsKnown) {
+TEST(LoadShedding, RejectsNothingBeforeFirstPrefillIsMeasured) {
   SchedulerFixture fixture;
   fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(9, decode_kind)},
                            EndpointListKind::from_cache);
--- a/tests/module/retune_test.cpp
+++ b/tests/module/retune_test.cpp
@@ -21,8 +21,8 @@
 }
 
 // When no warm prefill node is left, the budget of a node in slow start follows from the measured prefill
-// rate.
-TEST(SlowStartWithoutWarmNodes, BudgetFollowsFromMeasuredPrefillRate) {
+// time.
+TEST(SlowStartWithoutWarmNodes, BudgetFollowsFromMeasuredPrefillTime) {
   SchedulerFixture fixture;
   fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(9, decode_kind)});
   for (int i = 0; i < 12; ++i)
--- a/tests/module/rules_test.cpp
+++ b/tests/module/rules_test.cpp
@@ -213,7 +213,8 @@
     return std::any_of(open.attempts.begin(), open.attempts.end(),
                        [](auto& attempt) { return attempt.outstanding; });
   }
-  // Whether the attempt may have run or may still run, and its request is not idempotent without a key.
+  // Whether the attempt restricts retries: it may have run or may still run, and its request is not
+  // idempotent.
   bool restricts_retry(const OpenRequest& open, const SentAttempt& attempt) const {
     return attempt.role != Role::prefill && (attempt.may_have_run || attempt.outstanding) &&
            settings.classes[open.request.class_index].idempotency != Idempotency::idempotent;
--- a/tests/module/slow_start_test.cpp
+++ b/tests/module/slow_start_test.cpp
@@ -13,7 +13,7 @@
 namespace lemonroute::test {
 namespace {
 
-// Which router processes restart around the start of the new node.
+// Which router processes restart while nodes are in slow start.
 enum class RouterRestart {
   none,
   rolling,           // each at a random time while the node is in slow start; learned rates are handed over
@@ -198,12 +198,12 @@
   void start_attempt(std::uint32_t router, RequestId id, EndpointId node) {
     const std::uint16_t attempt = attempts_[id]++;
     const double work = prompt_tokens_[id] / mean_prompt_tokens;
-    const bool started_anew = now_ >= nodes_start_at_ && is_new(node);
+    const bool is_new_process = now_ >= nodes_start_at_ && is_new(node);
     const double age = std::chrono::duration<double>(now_ - nodes_start_at_).count();
-    if (started_anew && age < 10)
+    if (is_new_process && age < 10)
       record_sent_work(node, work);
     const double relative_capacity =
-        started_anew ? std::min(1.0, settings_.slow_start_initial_capacity + 0.1 * age) : 1;
+        is_new_process ? std::min(1.0, settings_.slow_start_initial_capacity + 0.1 * age) : 1;
     const double speed = capacity_ * (node >= first_other_node ? nodes_ / 2.0 : relative_capacity);
     auto& busy_until = busy_until_[node];
     busy_until = std::max(busy_until, now_);
