--- a/tests/core/class_test_support.h
+++ b/tests/core/class_test_support.h
@@ -1,5 +1,5 @@
-// What the unit tests of the classes behind Router share: a clock that stands still, a transport that does
-// nothing, and a registry of prefill nodes (their names begin with r) and decode nodes (with w).
+// Shared by the unit tests of the classes behind Router: a manual clock, a transport that does nothing, and a
+// registry of prefill nodes (names beginning with r) and decode nodes (names beginning with w).
 #pragma once
 
 #include <memory>
@@ -16,11 +16,11 @@
 using namespace std::chrono_literals;
 
 struct ManualClock : Clock {
-  Micros at = 1h;
-  Micros now() const override { return at; }
+  Micros time = 1h;
+  Micros now() const override { return time; }
 };
 
-struct IdleTransport : NodeTransport {
+struct NullTransport : NodeTransport {
   std::unique_ptr<Call> start_attempt(const Node&, const Prompt&, Micros, AttemptHandler&) override {
     return nullptr;
   }
@@ -45,25 +45,25 @@
   return node;
 }
 
-struct ClassFixture {
-  ClassFixture() {
+struct RouterClassFixture {
+  RouterClassFixture() {
     logging::set_level(logging::Level::error);
     settings.kind_role = {Role::prefill, Role::decode};
     settings.reservation_release_timeout = 800ms;
   }
-  EndpointListUpdate list(const std::vector<std::string>& names) {
-    std::vector<ListedNode> listed;
+  EndpointListUpdate list_nodes(const std::vector<std::string>& names) {
+    std::vector<ListedNode> entries;
     for (const std::string& name : names)
-      listed.push_back(listed_node(name));
-    return nodes.update(EndpointListKind::full, ++version, listed);
+      entries.push_back(listed_node(name));
+    return nodes.update(EndpointListKind::full, ++list_version, entries);
   }
   EndpointId id(const std::string& name) const { return nodes.id_of(name); }
 
   Settings settings;
   ManualClock clock;
   Timers timers;
-  IdleTransport transport;
-  std::uint32_t version = 0;
+  NullTransport transport;
+  std::uint32_t list_version = 0;
   RouterContext context{settings, clock, timers, transport, [] {}};
   NodeRegistry nodes{settings, {"a"}, {"r", "w"}, clock};
 };
--- a/tests/core/event_dispatcher_test.cpp
+++ b/tests/core/event_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// The queue of events, and the timer that cancels itself.
+// EventDispatcher and ScopedTimer.
 #include "core/router/event_dispatcher.h"
 
 #include <gtest/gtest.h>
@@ -13,42 +13,42 @@
 
 using namespace std::chrono_literals;
 
-// Notes what it hears, and queues a further event while it handles the first one.
-struct NotingHandler : EventHandler {
-  void before_event() override { heard.push_back("before"); }
+// Records its calls, and enqueues a second event while it handles the first one.
+struct RecordingHandler : EventHandler {
+  void before_event() override { calls.push_back("before"); }
   void handle_event(const Event& event) override {
     const std::uint32_t timer_id = std::get<TimerFired>(event).timer_id;
-    heard.push_back("begin " + std::to_string(timer_id));
+    calls.push_back("begin " + std::to_string(timer_id));
     if (timer_id == 1)
       events.enqueue(TimerFired{2});
-    heard.push_back("end " + std::to_string(timer_id));
+    calls.push_back("end " + std::to_string(timer_id));
   }
-  void after_last_event() override { heard.push_back("last"); }
-  std::vector<std::string> heard;
-  int changes = 0;
-  EventDispatcher events{*this, [this] { ++changes; }};
+  void after_last_event() override { calls.push_back("last"); }
+  std::vector<std::string> calls;
+  int change_callbacks = 0;
+  EventDispatcher events{*this, [this] { ++change_callbacks; }};
 };
 
-TEST(EventDispatcherTest, HandlesAnEventThatArrivesMeanwhileAfterTheFirstOne) {
-  NotingHandler handler;
+TEST(EventDispatcherTest, HandlesAnEventThatWasEnqueuedByAHandlerAfterTheCurrentOne) {
+  RecordingHandler handler;
   handler.events.enqueue(TimerFired{1});
   const std::vector<std::string> expected = {"before",  "begin 1", "end 1", "before",
                                              "begin 2", "end 2",   "last"};
-  EXPECT_EQ(handler.heard, expected);
-  EXPECT_EQ(handler.changes, 1);
+  EXPECT_EQ(handler.calls, expected);
+  EXPECT_EQ(handler.change_callbacks, 1);
 }
 
-TEST(EventDispatcherTest, AppendedEventWaitsForTheNextDelivery) {
-  NotingHandler handler;
+TEST(EventDispatcherTest, AppendedEventIsHandledWithTheNextEnqueuedOne) {
+  RecordingHandler handler;
   handler.events.append(TimerFired{3});
-  EXPECT_TRUE(handler.heard.empty());
+  EXPECT_TRUE(handler.calls.empty());
   handler.events.enqueue(TimerFired{4});
   const std::vector<std::string> expected = {"before",  "begin 3", "end 3", "before",
                                              "begin 4", "end 4",   "last"};
-  EXPECT_EQ(handler.heard, expected);
+  EXPECT_EQ(handler.calls, expected);
 }
 
-TEST(ScopedTimerTest, RunsOnlyTheJobThatWasSetLast) {
+TEST(ScopedTimerTest, RunsOnlyTheLastJobThatWasSet) {
   Timers timers;
   std::string ran;
   ScopedTimer timer;
@@ -59,7 +59,7 @@
   EXPECT_EQ(timer.due_at(), std::optional<Micros>(2s));
 }
 
-TEST(ScopedTimerTest, CancelsItsJobWhenItIsDestroyed) {
+TEST(ScopedTimerTest, CancelsItsJobOnDestruction) {
   Timers timers;
   bool ran = false;
   {
--- a/tests/core/grpc_front_test.cpp
+++ b/tests/core/grpc_front_test.cpp
@@ -1,4 +1,4 @@
-// Clients of the gRPC front that go, in each way that they can, and clients that take nothing.
+// Clients of the gRPC front that cancel, disconnect or close their connection, and clients that do not read.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -23,12 +23,12 @@
     server.add(front);
     peer = std::make_unique<Peer>(loop, Peer::dial(server.port()));
   }
-  void hello(const string& settings = {}) {
+  void exchange_settings(const string& settings = {}) {
     peer->send(preface + frame(SETTINGS, NONE, 0, settings));
     ASSERT_TRUE(peer->until([&] { return peer->find(SETTINGS, 0) != nullptr; }));
     peer->send(frame(SETTINGS, ACK, 0, ""));
   }
-  void ask(std::uint32_t stream) {
+  void send_request(std::uint32_t stream) {
     v1::GenerateRequest request;
     request.set_id("q" + std::to_string(stream));
     request.set_kind("k");
@@ -42,13 +42,13 @@
                                   {"content-type", "application/grpc"},
                                   {"te", "trailers"}})) +
                frame(DATA, END_STREAM, stream, grpc::frame(request.SerializeAsString())));
-    const auto before = nodes.begun.size();
-    ASSERT_TRUE(peer->until([&] { return nodes.begun.size() > before; }));
+    const auto attempts_before = nodes.begun.size();
+    ASSERT_TRUE(peer->until([&] { return nodes.begun.size() > attempts_before; }));
   }
-  // Its prompt is read, and a writer has it.
-  void read() { nodes.begun.back().attempt->on_done({Outcome::prefill_done, 0, {}, {}}); }
-  AttemptHandler& writer() { return *nodes.begun.back().attempt; }
-  bool gone() {
+  // Completes the prefill; the request is then at a decode node.
+  void finish_prefill() { nodes.begun.back().attempt->on_done({Outcome::prefill_done, 0, {}, {}}); }
+  AttemptHandler& decode_handler() { return *nodes.begun.back().attempt; }
+  bool all_requests_closed() {
     return peer->until([&] { return core.open_requests() == 0; });
   }
 
@@ -61,23 +61,23 @@
   std::unique_ptr<Peer> peer;
 };
 
-TEST_F(GrpcFront, AResetCallIsLetGoOf) {
-  hello();
-  ask(1);
-  read();
+TEST_F(GrpcFront, ResetStreamClosesItsRequest) {
+  exchange_settings();
+  send_request(1);
+  finish_prefill();
   peer->send(frame(RST_STREAM, NONE, 1, number(CANCEL)));
-  EXPECT_TRUE(gone());
+  EXPECT_TRUE(all_requests_closed());
   EXPECT_FALSE(nodes.begun.back().open);
   EXPECT_EQ(nodes.released.size(), 1u);
-  EXPECT_FALSE(server.idle());  // the connection stays
+  EXPECT_FALSE(server.idle());  // the connection stays open
 }
 
-TEST_F(GrpcFront, CallsOfAConnectionThatEndsAreLetGoOf) {
-  for (const bool half : {false, true}) {
+TEST_F(GrpcFront, ClosedConnectionClosesItsRequests) {
+  for (const bool half_close : {false, true}) {
     peer = std::make_unique<Peer>(loop, Peer::dial(server.port()));
-    hello();
-    ask(1);
-    half ? peer->end() : peer->drop();
+    exchange_settings();
+    send_request(1);
+    half_close ? peer->end() : peer->drop();
     for (int i = 0; i < 4000 && core.open_requests() > 0; ++i)
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
     EXPECT_EQ(core.open_requests(), 0u);
@@ -85,41 +85,42 @@
   }
 }
 
-// GOAWAY says that no more calls come; those that are open go on. With an error it says that the client has
-// given up.
-TEST_F(GrpcFront, GoawayEndsCallsOnlyWithAnError) {
-  hello();
-  ask(1);
+// GOAWAY without an error announces that no more calls follow, and open calls continue. With an error, the
+// client has abandoned its open calls.
+TEST_F(GrpcFront, GoawayClosesRequestsOnlyWithAnError) {
+  exchange_settings();
+  send_request(1);
   peer->send(frame(GOAWAY, NONE, 0, number(0) + number(NO_ERROR)));
   peer->settle();
   EXPECT_EQ(core.open_requests(), 1u);
-  read();
-  writer().on_data("a");
-  writer().on_done({Outcome::ok, 0, {}, {}});
+  finish_prefill();
+  decode_handler().on_data("a");
+  decode_handler().on_done({Outcome::ok, 0, {}, {}});
   EXPECT_TRUE(peer->until([&] { return peer->field(1, "grpc-status") == "0"; }));
 
   peer = std::make_unique<Peer>(loop, Peer::dial(server.port()));
-  hello();
-  ask(1);
+  exchange_settings();
+  send_request(1);
   peer->send(frame(GOAWAY, NONE, 0, number(0) + number(INTERNAL_ERROR)));
-  EXPECT_TRUE(gone());
+  EXPECT_TRUE(all_requests_closed());
   EXPECT_FALSE(nodes.begun.back().open);
 }
 
-// A client that takes nothing of its answer, by its window or by its socket, is heard all the same.
-TEST_F(GrpcFront, ACancelIsHeardFromAClientThatTakesNothing) {
-  for (const bool window : {true, false}) {
+// The front reads a cancellation from a client that reads none of its response, whether the HTTP/2
+// flow-control window or the socket buffer is full.
+TEST_F(GrpcFront, CancelIsReadFromAClientThatDoesNotRead) {
+  for (const bool window_full : {true, false}) {
     peer = std::make_unique<Peer>(loop, Peer::dial(server.port()));
-    hello(window ? setting(4, 0) : setting(4, 0x7fffffff));
-    if (!window)
+    exchange_settings(window_full ? setting(4, 0) : setting(4, 0x7fffffff));
+    if (!window_full)
       peer->send(frame(WINDOW_UPDATE, NONE, 0, number(0x7fff0000)));
-    ask(1);
-    read();
-    const string much(32 * 1024, 'x');
-    for (int i = 0; i < 2000; ++i) {  // far more than sockets hold
-      writer().on_data(much);
-      event_base_loop(loop.base(), EVLOOP_NONBLOCK);  // and the peer does not read
-      if (window && i == 4)
+    send_request(1);
+    finish_prefill();
+    const string chunk(32 * 1024, 'x');
+    for (int i = 0; i < 2000; ++i) {  // far more than the socket buffers hold
+      decode_handler().on_data(chunk);
+      event_base_loop(loop.base(), EVLOOP_NONBLOCK);  // without reading at the peer
+      if (window_full && i == 4)
         break;
     }
     EXPECT_TRUE(nodes.begun.back().open);
@@ -131,36 +132,37 @@
   }
 }
 
-// One stream's client takes nothing; the other stream's events pass it, on the same connection.
-TEST_F(GrpcFront, AStreamThatIsNotTakenHoldsNoOther) {
-  hello(setting(4, 100));
-  ask(1);
-  read();
-  AttemptHandler& slow = writer();
+// One stream has no flow-control window left; events of another stream on the same connection are still sent.
+TEST_F(GrpcFront, BlockedStreamDoesNotDelayOtherStreams) {
+  exchange_settings(setting(4, 100));
+  send_request(1);
+  finish_prefill();
+  AttemptHandler& blocked = decode_handler();
   for (int i = 0; i < 4; ++i)
-    slow.on_data(string(40000, 'x'));
+    blocked.on_data(string(40000, 'x'));
   peer->settle();
-  ask(3);
-  read();
-  AttemptHandler& quick = writer();
+  send_request(3);
+  finish_prefill();
+  AttemptHandler& other = decode_handler();
   peer->send(frame(WINDOW_UPDATE, NONE, 3, number(100000)));
   for (const char* text : {"one", "two", "three"}) {
-    quick.on_data(text);
+    other.on_data(text);
     EXPECT_TRUE(peer->until([&] { return peer->body(3).find(text) != string::npos; })) << text;
   }
   EXPECT_LE(peer->body(1).size(), 100u);
 }
 
-// The end of an answer is not lost to what the client sends while the connection ends.
-TEST_F(GrpcFront, AConnectionThatHasEndedIsNotReset) {
-  hello();
-  ask(1);
+// The server closes without a TCP reset, which could discard the end of a response, while the client still
+// sends.
+TEST_F(GrpcFront, ClosingConnectionIsNotReset) {
+  exchange_settings();
+  send_request(1);
   server.stop_accepting();
   peer->settle();
-  read();
-  writer().on_data("a");
-  writer().on_done({Outcome::ok, 0, {}, {}});
-  ASSERT_TRUE(peer->until([&] { return peer->closed; }));  // the end has come
+  finish_prefill();
+  decode_handler().on_data("a");
+  decode_handler().on_done({Outcome::ok, 0, {}, {}});
+  ASSERT_TRUE(peer->until([&] { return peer->closed; }));  // the server has closed its side
   EXPECT_EQ(peer->field(1, "grpc-status"), "0");
   for (int i = 0; i < 20; ++i)
     event_base_loop(loop.base(), EVLOOP_NONBLOCK);
@@ -170,7 +172,7 @@
     event_base_loop(loop.base(), EVLOOP_NONBLOCK);
   errno = 0;
   peer->send(frame(PING, NONE, 0, "late two"));
-  EXPECT_FALSE(peer->closed) << "reset";
+  EXPECT_FALSE(peer->closed) << "the server reset the connection";
   peer->drop();
   for (int i = 0; i < 4000 && !server.idle(); ++i)
     event_base_loop(loop.base(), EVLOOP_NONBLOCK);
--- a/tests/core/http_client_test.cpp
+++ b/tests/core/http_client_test.cpp
@@ -1,4 +1,5 @@
-// Calls to HTTP nodes that are let go of while their connection comes up: nothing of them is ever written.
+// Calls to HTTP nodes that are destroyed while their connection is being established: nothing of them is
+// written to the connection.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -12,62 +13,62 @@
 namespace lemonroute {
 namespace {
 
-struct Unheard : AttemptHandler {
+struct NullHandler : AttemptHandler {
   void on_request_written() override {}
   void on_data(std::string_view) override {}
   void on_done(AttemptResult) override {}
 };
 
-// In the turn of the loop in which the connection comes up, and then once more with one that is kept.
-TEST(HttpUnsent, WhatIsLetGoOfBeforeTheConnectionIsUpIsNotWritten) {
+// Destroys one call in the loop iteration in which the connection is established, then sends another one.
+TEST(HttpUnsentCall, IsNotWrittenWhenDestroyedBeforeTheConnectionIsEstablished) {
   logging::set_level(logging::Level::error);
-  std::signal(SIGPIPE,
-              SIG_IGN);  // as the program does: what is still tried on a socket that is shut down fails
-  const int door = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t size = sizeof at;
-  ASSERT_EQ(bind(door, reinterpret_cast<sockaddr*>(&at), size), 0);
-  ASSERT_EQ(listen(door, 8), 0);
-  getsockname(door, reinterpret_cast<sockaddr*>(&at), &size);
+  // As the program does, so that writes to a closed socket return an error.
+  std::signal(SIGPIPE, SIG_IGN);
+  const int listener = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t size = sizeof address;
+  ASSERT_EQ(bind(listener, reinterpret_cast<sockaddr*>(&address), size), 0);
+  ASSERT_EQ(listen(listener, 8), 0);
+  getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size);
   net::Loop loop;
   http::NodeClient client(loop, http::ClientLimits{});
   Node node;
-  node.address = "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
-  const auto begin = [&](const char* id, AttemptHandler& attempt) {
+  node.address = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
+  const auto start_attempt = [&](const char* id, AttemptHandler& attempt_handler) {
     return client.start_attempt(node, {id, "/", std::make_shared<std::string>("{}")}, std::chrono::seconds(3),
-                                attempt);
+                                attempt_handler);
   };
-  const auto turn = [&] {
+  const auto run_loop = [&] {
     for (int i = 0; i < 50; ++i)
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
   };
-  std::string came;
-  const auto take = [&] {
-    for (int fd; (fd = accept(door, nullptr, nullptr)) >= 0; close(fd)) {
+  std::string received;
+  const auto receive_all = [&] {
+    for (int fd; (fd = accept(listener, nullptr, nullptr)) >= 0; close(fd)) {
       char bytes[4096];
-      const auto got = recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
-      if (got > 0)
-        came.append(bytes, static_cast<std::size_t>(got));
+      const auto size_received = recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
+      if (size_received > 0)
+        received.append(bytes, static_cast<std::size_t>(size_received));
     }
   };
-  Unheard unheard;
-  auto gone = begin("gone", unheard);
-  EXPECT_TRUE(gone->not_sent());
-  loop.defer([&] { gone.reset(); });
-  turn();
-  take();
-  EXPECT_EQ(came, "");
-  auto stays = begin("stays", unheard);
-  turn();
-  EXPECT_FALSE(stays->not_sent());
-  take();
-  EXPECT_NE(came.find("Req-Id: stays"), std::string::npos);
-  EXPECT_EQ(came.find("gone"), std::string::npos);
-  stays.reset();
-  turn();
-  close(door);
+  NullHandler handler;
+  auto destroyed = start_attempt("destroyed", handler);
+  EXPECT_TRUE(destroyed->not_sent());
+  loop.defer([&] { destroyed.reset(); });
+  run_loop();
+  receive_all();
+  EXPECT_EQ(received, "");
+  auto kept = start_attempt("kept", handler);
+  run_loop();
+  EXPECT_FALSE(kept->not_sent());
+  receive_all();
+  EXPECT_NE(received.find("Req-Id: kept"), std::string::npos);
+  EXPECT_EQ(received.find("destroyed"), std::string::npos);
+  kept.reset();
+  run_loop();
+  close(listener);
 }
 
 }  // namespace
--- a/tests/core/release_targets_test.cpp
+++ b/tests/core/release_targets_test.cpp
@@ -1,4 +1,4 @@
-// Which node gets the next release call, and how soon.
+// ReleaseTargets and ReleaseSchedule: which node gets the next release call, and when.
 #include "core/router/release_targets.h"
 
 #include <gtest/gtest.h>
@@ -9,21 +9,21 @@
 namespace lemonroute::test {
 namespace {
 
-struct ReleaseTargetsTest : ::testing::Test, ClassFixture {
-  void hold_at(const std::string& name) {
+struct ReleaseTargetsTest : ::testing::Test, RouterClassFixture {
+  void add_holder(const std::string& name) {
     ReservationHolder holder;
     holder.endpoint = id(name);
     pending.holders.push_back(holder);
-    pending.since = clock.at;
-    pending.due_at = clock.at + settings.reservation_release_timeout;
+    pending.since = clock.time;
+    pending.due_at = clock.time + settings.reservation_release_timeout;
   }
-  std::string next() const {
+  std::string next_target_name() const {
     const Node* node = targets.next_target(pending);
     return node ? node->name : "none";
   }
-  // Counts a call to the node that is next, and returns its name.
+  // Records a call to the next target and returns its name.
   std::string call_next() {
-    const std::string name = next();
+    const std::string name = next_target_name();
     ++pending.tries;
     ++pending.calls_by_endpoint[id(name)];
     return name;
@@ -33,9 +33,9 @@
   ReleaseTargets targets{context, nodes, schedule};
 };
 
-TEST_F(ReleaseTargetsTest, CallsTheHolderFirstAndAtEveryFourthCall) {
-  (void)list({"r1", "w1", "w2", "w3"});
-  hold_at("r1");
+TEST_F(ReleaseTargetsTest, CallsTheHolderFirstAndWithEveryFourthCall) {
+  (void)list_nodes({"r1", "w1", "w2", "w3"});
+  add_holder("r1");
   std::vector<std::string> called;
   for (int call = 0; call < 5; ++call)
     called.push_back(call_next());
@@ -45,15 +45,15 @@
 }
 
 TEST_F(ReleaseTargetsTest, CallsTheOtherRoleBeforeTheHoldersRole) {
-  (void)list({"r1", "r2", "r3", "w1"});
-  hold_at("r1");
+  (void)list_nodes({"r1", "r2", "r3", "w1"});
+  add_holder("r1");
   EXPECT_EQ(call_next(), "r1");
   EXPECT_EQ(call_next(), "w1");
 }
 
 TEST_F(ReleaseTargetsTest, CallsASuspectedNodeLast) {
-  (void)list({"r1", "w1", "w2", "w3"});
-  hold_at("r1");
+  (void)list_nodes({"r1", "w1", "w2", "w3"});
+  add_holder("r1");
   nodes.record_failure(id("w1"));
   nodes.record_answer(id("w3"));
   EXPECT_EQ(call_next(), "r1");
@@ -62,59 +62,59 @@
   EXPECT_EQ(call_next(), "w1");
 }
 
-TEST_F(ReleaseTargetsTest, CallsAnUnlistedHolderNever) {
-  (void)list({"r1", "w1"});
-  hold_at("r1");
-  (void)list({"w1"});
+TEST_F(ReleaseTargetsTest, NeverCallsAnUnlistedHolder) {
+  (void)list_nodes({"r1", "w1"});
+  add_holder("r1");
+  (void)list_nodes({"w1"});
   EXPECT_EQ(call_next(), "w1");
 }
 
-TEST_F(ReleaseTargetsTest, CallsTheHolderWhereNoOtherNodeIsReady) {
-  (void)list({"r1"});
-  hold_at("r1");
+TEST_F(ReleaseTargetsTest, CallsTheHolderWhenNoOtherNodeIsReady) {
+  (void)list_nodes({"r1"});
+  add_holder("r1");
   EXPECT_EQ(call_next(), "r1");
   EXPECT_EQ(call_next(), "r1");
 }
 
 TEST_F(ReleaseTargetsTest, HasNoTargetWithoutNodes) {
-  (void)list({"r1"});
-  hold_at("r1");
-  (void)list({});
-  EXPECT_EQ(next(), "none");
+  (void)list_nodes({"r1"});
+  add_holder("r1");
+  (void)list_nodes({});
+  EXPECT_EQ(next_target_name(), "none");
 }
 
-TEST_F(ReleaseTargetsTest, TellsOnlyHoldersOnceTheOthersHaveBeenToldForLong) {
-  (void)list({"r1", "w1"});
-  hold_at("r1");
+TEST_F(ReleaseTargetsTest, CallsOnlyHoldersAfterNotifyingOtherNodesForEightTimeouts) {
+  (void)list_nodes({"r1", "w1"});
+  add_holder("r1");
   pending.arrived = true;
   pending.tries = 1;
-  EXPECT_EQ(next(), "w1");
-  clock.at += 8 * settings.reservation_release_timeout;
-  EXPECT_EQ(next(), "r1");
+  EXPECT_EQ(next_target_name(), "w1");
+  clock.time += 8 * settings.reservation_release_timeout;
+  EXPECT_EQ(next_target_name(), "r1");
 }
 
 TEST_F(ReleaseTargetsTest, StartsEightCallsWithinTheTimeout) {
-  (void)list({"r1"});
-  hold_at("r1");
+  (void)list_nodes({"r1"});
+  add_holder("r1");
   EXPECT_EQ(schedule.retry_interval(pending), Micros(100ms));
   EXPECT_EQ(schedule.release_due_at(1s), Micros(1400ms));
 }
 
-TEST_F(ReleaseTargetsTest, CallsSoonerAfterAHolderThatFailedAtTheLastContact) {
-  (void)list({"r1"});
-  hold_at("r1");
+TEST_F(ReleaseTargetsTest, RetriesTwiceAsOftenWhenTheHolderFailedAtTheLastContact) {
+  (void)list_nodes({"r1"});
+  add_holder("r1");
   nodes.record_failure(id("r1"));
   EXPECT_EQ(schedule.retry_interval(pending), Micros(50ms));
 }
 
-TEST_F(ReleaseTargetsTest, CallsFasterAndEndsSoonAfterTheShutdownDeadline) {
-  (void)list({"r1"});
-  hold_at("r1");
-  pending.expires_at = clock.at + 30s;
-  schedule.set_shutdown_deadline(clock.at);
+TEST_F(ReleaseTargetsTest, RetriesFasterAndExpiresSoonAfterTheShutdownDeadline) {
+  (void)list_nodes({"r1"});
+  add_holder("r1");
+  pending.expires_at = clock.time + 30s;
+  schedule.set_shutdown_deadline(clock.time);
   schedule.limit_to_shutdown(pending);
   EXPECT_EQ(schedule.retry_interval(pending), Micros(40ms));
-  EXPECT_EQ(pending.expires_at, clock.at + 300ms);
+  EXPECT_EQ(pending.expires_at, clock.time + 300ms);
 }
 
 }  // namespace
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -1,4 +1,4 @@
-// Requests that are open: their ids, their deadlines and their end.
+// RequestTable: ids, deadlines and removal of open requests.
 #include "core/router/request_table.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace lemonroute::test {
 namespace {
 
-struct SilentClient : Client {
+struct NullClient : Client {
   bool on_data(std::string_view) override { return true; }
   void finish() override {}
   void reject(Micros) override {}
@@ -22,7 +22,7 @@
   RequestState& add(const std::string& client_id) {
     return table.add({client_id, "/", nullptr}, client, {"class", 3, std::make_shared<RequestCounts>()});
   }
-  SilentClient client;
+  NullClient client;
   RequestTable table;
 };
 
@@ -34,14 +34,14 @@
   EXPECT_EQ(request.request_class, "class");
 }
 
-TEST_F(RequestTableTest, GivesTheNextFreeIdWhereAnIdIsTaken) {
+TEST_F(RequestTableTest, AssignsTheNextFreeIdWhenTheIdIsTaken) {
   const RequestId taken = add("q").id;
   RequestState& request = add("q");  // the same hash
   EXPECT_EQ(request.id, taken + 1);
   EXPECT_NE(table.find(taken), &request);
 }
 
-TEST_F(RequestTableTest, ForgetsBothIdsOfAnErasedRequest) {
+TEST_F(RequestTableTest, EraseRemovesBothIds) {
   const RequestId id = add("q").id;
   table.erase(id);
   EXPECT_EQ(table.find(id), nullptr);
@@ -49,7 +49,7 @@
   EXPECT_TRUE(table.empty());
 }
 
-TEST_F(RequestTableTest, ClosedClientDoesNotWaitWhileItsRequestIsOpen) {
+TEST_F(RequestTableTest, ClosedClientIsNotCountedAsWaitingWhileItsRequestIsOpen) {
   RequestState& request = add("q");
   EXPECT_EQ(table.waiting_clients(), 1u);
   table.close_client(request);
@@ -58,7 +58,7 @@
   EXPECT_FALSE(table.empty());
 }
 
-TEST_F(RequestTableTest, ShutdownDeadlineBoundsOpenAndLaterRequests) {
+TEST_F(RequestTableTest, ShutdownDeadlineLimitsOpenAndLaterRequests) {
   RequestState& early = add("early");
   RequestState& late = add("late");
   table.set_deadline(early, 1s);
@@ -71,7 +71,7 @@
   EXPECT_EQ(later.deadline, Micros(5s));
 }
 
-TEST_F(RequestTableTest, TakesMarkedRequestsOnceAndInTheirOrder) {
+TEST_F(RequestTableTest, TakeTouchedReturnsMarkedRequestsInOrderAndClearsThem) {
   table.mark_touched(7);
   table.mark_touched(3);
   table.mark_touched(7);
--- a/tests/core/unsent_test.cpp
+++ b/tests/core/unsent_test.cpp
@@ -1,5 +1,5 @@
-// Attempts that have begun in the core and not on the wire, since a connection is coming up or a place on one
-// is awaited.
+// Attempts that the router has started and the transport has not sent, because a connection is being
+// established or its stream limit is reached.
 #include <gtest/gtest.h>
 
 #include "base/log.h"
@@ -8,24 +8,25 @@
 namespace lemonroute::test {
 namespace {
 
-// Their attempts leave when the test says so.
-struct SlowNodes : TestNodes {
-  struct SlowCall : NoteCall {
-    SlowCall(std::function<void()> over, const bool& unsent) : NoteCall(std::move(over)), unsent_(unsent) {}
+// Attempts at these nodes are unsent until the test clears `unsent`.
+struct UnsentNodes : TestNodes {
+  struct UnsentCall : NoteCall {
+    UnsentCall(std::function<void()> on_close, const bool& unsent)
+        : NoteCall(std::move(on_close)), unsent_(unsent) {}
     bool not_sent() const override { return unsent_; }
     const bool& unsent_;
   };
   std::unique_ptr<Call> start_attempt(const Node& node, const Prompt&, Micros,
-                                      AttemptHandler& attempt) override {
-    begun.push_back({node.id, &attempt, true});
-    return std::make_unique<SlowCall>([this, i = begun.size() - 1] { begun[i].open = false; }, unsent);
+                                      AttemptHandler& handler) override {
+    begun.push_back({node.id, &handler, true});
+    return std::make_unique<UnsentCall>([this, i = begun.size() - 1] { begun[i].open = false; }, unsent);
   }
-  bool unsent = true;  // those that are out
+  bool unsent = true;  // of all attempts in flight
 };
 
-struct Unsent : ::testing::Test {
-  Unsent() { logging::set_level(logging::Level::error); }
-  static Settings limits() {
+struct UnsentAttempt : ::testing::Test {
+  UnsentAttempt() { logging::set_level(logging::Level::error); }
+  static Settings test_settings() {
     Settings s = settings();
     s.cancellation_allowed = false;
     s.drain_grace = 500ms;
@@ -34,8 +35,9 @@
     s.classes[0].retry_window = 400ms;
     return s;
   }
-  void start(std::vector<std::string> names, Settings with = limits()) {
-    core.emplace(with, std::vector<std::string>{"a"}, std::vector<std::string>{"r", "w"}, 1, clock, nodes);
+  void start(std::vector<std::string> names, Settings with_settings = test_settings()) {
+    core.emplace(with_settings, std::vector<std::string>{"a"}, std::vector<std::string>{"r", "w"}, 1, clock,
+                 nodes);
     std::vector<Router::ListedNode> list;
     for (const auto& name : names)
       list.push_back(Bed::node(name));
@@ -46,159 +48,160 @@
     client_request.prompt_tokens = 100;
     ASSERT_EQ(core->submit(client_request, client, id), Router::SubmitResult::accepted);
   }
-  void read() { end(Outcome::prefill_done); }
-  void end(Outcome outcome, std::uint32_t note = 0) {
-    nodes.begun.back().attempt->on_done({outcome, note, {}, {}});
+  void finish_prefill() { finish_attempt(Outcome::prefill_done); }
+  void finish_attempt(Outcome outcome, std::uint32_t detail = 0) {
+    nodes.begun.back().attempt->on_done({outcome, detail, {}, {}});
   }
-  void pass(Micros span) {
-    clock.at += span;
+  void advance_clock(Micros duration) {
+    clock.at += duration;
     core->run_timers();
   }
-  std::string at() const { return core->endpoint_name(nodes.begun.back().host); }
+  std::string attempt_node() const { return core->endpoint_name(nodes.begun.back().host); }
 
   TestClock clock;
-  SlowNodes nodes;
+  UnsentNodes nodes;
   TestClient client;
   std::optional<Router> core;
   RequestId id = 0;
 };
 
-// The settings forbid to call off attempts; one of which no node has heard is none.
-TEST_F(Unsent, IsLetGoOfWithItsClient) {
+// The settings forbid cancellation, which does not apply to attempts that no node has received.
+TEST_F(UnsentAttempt, IsClosedWhenItsClientDisconnects) {
   start({"r", "w"});
   core->client_disconnected(id);
   EXPECT_FALSE(nodes.begun[0].open);
-  EXPECT_TRUE(nodes.released.empty());  // nothing can be held for it
+  EXPECT_TRUE(nodes.released.empty());  // no node can hold a reservation for it
   EXPECT_TRUE(core->idle());
 }
 
-TEST_F(Unsent, IsLetGoOfWithItsClientAtAWriterToo) {
+TEST_F(UnsentAttempt, IsClosedAtADecodeNodeWhenItsClientDisconnects) {
   start({"r", "w"});
-  read();
+  finish_prefill();
   core->client_disconnected(id);
   EXPECT_EQ(nodes.begun.size(), 2u);
   EXPECT_FALSE(nodes.begun[1].open);
   EXPECT_EQ(nodes.released.size(), 1u);
 }
 
-TEST_F(Unsent, ASentOneStaysAndItsStreamEndsAsItBegins) {
+TEST_F(UnsentAttempt, SentAttemptContinuesAfterADisconnectUntilItsStreamBegins) {
   start({"r", "w"});
-  read();
+  finish_prefill();
   nodes.unsent = false;
   core->client_disconnected(id);
   EXPECT_TRUE(nodes.begun[1].open);
   nodes.begun[1].attempt->on_data("a");
-  EXPECT_TRUE(nodes.begun[1].open);  // whoever tells of an event is not let go of while it does
+  EXPECT_TRUE(nodes.begun[1].open);  // a call is not closed within its own on_data
   core->run_timers();
   EXPECT_FALSE(nodes.begun[1].open);
   EXPECT_TRUE(core->idle());
   EXPECT_EQ(client.seen, "");
 }
 
-TEST_F(Unsent, DoesNotBeginLongAfterItsNodeLeaves) {
-  for (const EndpointState phase : {EndpointState::draining, EndpointState::removed}) {
+TEST_F(UnsentAttempt, IsClosedWithinTheGraceAfterItsNodeLeaves) {
+  for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
     nodes = {};
     start({"r", "r2", "w"});
-    const std::string first = at();
-    core->update_endpoints(EndpointListKind::incremental, 2, {Bed::node(first, phase)});
-    pass(249ms);
+    const std::string first = attempt_node();
+    core->update_endpoints(EndpointListKind::incremental, 2, {Bed::node(first, state)});
+    advance_clock(249ms);
     EXPECT_EQ(nodes.begun.size(), 1u);
-    pass(1ms);
+    advance_clock(1ms);
     EXPECT_FALSE(nodes.begun[0].open);
     ASSERT_EQ(nodes.begun.size(), 2u);
-    EXPECT_NE(at(), first);
+    EXPECT_NE(attempt_node(), first);
     EXPECT_EQ(client.answers, 0);
     core.reset();
   }
-  // One that has left by then goes on.
+  // An attempt that was sent by then continues.
   nodes = {};
   start({"r", "r2", "w"});
-  core->update_endpoints(EndpointListKind::incremental, 2, {Bed::node(at(), EndpointState::draining)});
+  core->update_endpoints(EndpointListKind::incremental, 2,
+                         {Bed::node(attempt_node(), EndpointState::draining)});
   nodes.unsent = false;
-  pass(400ms);
+  advance_clock(400ms);
   EXPECT_TRUE(nodes.begun[0].open);
   EXPECT_EQ(nodes.begun.size(), 1u);
 }
 
-TEST_F(Unsent, DoesNotBeginAtANodeThatIsOutByHand) {
+TEST_F(UnsentAttempt, IsClosedAfterAnOperatorDrainsItsNode) {
   start({"r", "r2", "w"});
-  const std::string first = at();
+  const std::string first = attempt_node();
   ASSERT_EQ(core->drain_node(first), Router::OverrideResult::applied);
-  pass(250ms);
+  advance_clock(250ms);
   EXPECT_FALSE(nodes.begun[0].open);
-  EXPECT_NE(at(), first);
+  EXPECT_NE(attempt_node(), first);
 }
 
-TEST_F(Unsent, ARepeatDoesNotBeginAfterTheWindowOfItsClass) {
+TEST_F(UnsentAttempt, RetryIsClosedWhenTheRetryWindowEnds) {
   start({"r", "w", "w2"});
-  read();
-  pass(10ms);
-  end(Outcome::error);  // it may have run, and was sent 10 ms ago
+  finish_prefill();
+  advance_clock(10ms);
+  finish_attempt(Outcome::error);  // the attempt may have run; it was sent 10 ms ago
   ASSERT_EQ(nodes.begun.size(), 3u);
-  pass(389ms);
+  advance_clock(389ms);
   EXPECT_TRUE(nodes.begun[2].open);
-  pass(1ms);
+  advance_clock(1ms);
   EXPECT_FALSE(nodes.begun[2].open);
   EXPECT_EQ(nodes.begun.size(), 3u);
-  EXPECT_EQ(client.answers, 1);  // at once
+  EXPECT_EQ(client.answers, 1);  // without a delay
 }
 
-// A first attempt has no window, and a repeat that has left has its time.
-TEST_F(Unsent, OnlyRepeatsHaveAWindow) {
+// The retry window does not limit a first attempt or a retry that was sent.
+TEST_F(UnsentAttempt, RetryWindowDoesNotLimitFirstAttempts) {
   start({"r", "w", "w2"});
-  read();
-  pass(450ms);
+  finish_prefill();
+  advance_clock(450ms);
   EXPECT_TRUE(nodes.begun[1].open);
-  end(Outcome::error);
-  ASSERT_EQ(client.answers, 1);  // 450 ms after it was sent
+  finish_attempt(Outcome::error);
+  ASSERT_EQ(client.answers, 1);  // the failure came 450 ms after the attempt was sent, outside of the window
 }
 
-// The state goes before its time is over, and the prompt is read again.
-TEST_F(Unsent, AStateIsNotHeldForAnAttemptThatDoesNotBegin) {
+// The reservation is released within its timeout, and the prefill is repeated.
+TEST_F(UnsentAttempt, ReservationIsReleasedWhenTheDecodeAttemptStaysUnsent) {
   start({"r", "w", "w2"});
-  read();
-  pass(499ms);
+  finish_prefill();
+  advance_clock(499ms);
   EXPECT_TRUE(nodes.begun[1].open);
   EXPECT_TRUE(nodes.released.empty());
-  pass(1ms);
+  advance_clock(1ms);
   EXPECT_FALSE(nodes.begun[1].open);
   ASSERT_EQ(nodes.released.size(), 1u);
   EXPECT_EQ(nodes.released[0].first, nodes.begun[0].host);
   ASSERT_EQ(nodes.begun.size(), 3u);
-  EXPECT_EQ(at(), "r");
+  EXPECT_EQ(attempt_node(), "r");
   EXPECT_EQ(client.answers, 0);
 }
 
-// What a cut read may have left is let go of while the next attempt has not begun, and that costs one attempt
-// only.
-TEST_F(Unsent, WhatACutReadLeftIsNotHeldForAnAttemptThatDoesNotBegin) {
+// A reservation that an interrupted prefill may have left is released while the next attempt is unsent. Only
+// one attempt is closed for it.
+TEST_F(UnsentAttempt, ReservationOfAnInterruptedPrefillIsReleasedWhileTheNextAttemptIsUnsent) {
   start({"r", "r2", "r3", "w"});
   const EndpointId first = nodes.begun[0].host;
-  end(Outcome::reset);
+  finish_attempt(Outcome::reset);
   ASSERT_EQ(nodes.begun.size(), 2u);
-  pass(500ms);
+  advance_clock(500ms);
   ASSERT_EQ(nodes.released.size(), 1u);
   EXPECT_EQ(nodes.released[0].first, first);
   ASSERT_EQ(nodes.begun.size(), 3u);
-  // Nobody answers: the next one is asked though an attempt is out, since that has not begun either.
-  pass(250ms);
-  pass(60ms);
+  // No release call is answered: the next node is called during an attempt, since that is unsent too.
+  advance_clock(250ms);
+  advance_clock(60ms);
   EXPECT_EQ(nodes.released.size(), 2u);
   EXPECT_TRUE(nodes.begun[2].open);
-  // Once it was written it may still never arrive, so the release goes on.
+  // An attempt that was written may still never arrive, so release calls continue.
   nodes.unsent = false;
-  pass(250ms);
-  pass(60ms);
+  advance_clock(250ms);
+  advance_clock(60ms);
   EXPECT_EQ(nodes.released.size(), 3u);
   EXPECT_TRUE(nodes.begun[2].open);
-  // Once it has ended well, a release would take its state away from the decode, for half of the settings'
-  // time.
-  end(Outcome::prefill_done);
+  // After the prefill has completed, a release would free the reservation that the decode node needs, so
+  // release calls stop for half of the release timeout.
+  finish_attempt(Outcome::prefill_done);
   ASSERT_EQ(nodes.begun.size(), 4u);
   for (int i = 0; i < 8; ++i)
-    pass(60ms);
+    advance_clock(60ms);
   EXPECT_EQ(nodes.released.size(), 3u);
-  pass(60ms);
+  advance_clock(60ms);
   EXPECT_EQ(nodes.released.size(), 4u);
   EXPECT_TRUE(nodes.begun[3].open);
 }
