--- a/tests/core/property_test.cpp
+++ b/tests/core/property_test.cpp
@@ -1,60 +1,64 @@
-// The rules hold on drawn schedules, with settings drawn as well: a few thousand of them, the same each time.
+// Checks the rules on random schedules with random settings; each seed gives the same schedule in each run.
 //
-//   LEMONROUTE_SCHEDULES=100000 core_property_tests     more of them
-//   LEMONROUTE_SEED=17 core_property_tests              one alone, with the log
+//   LEMONROUTE_SCHEDULES=100000 core_property_tests     runs the seeds from 1 to 100000
+//   LEMONROUTE_SEED=17 core_property_tests              runs one seed, with debug logging
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <iostream>
 
 #include "base/log.h"
-#include "core/play.h"
+#include "core/schedule_simulation.h"
 
 namespace lemonroute::property {
 namespace {
 
-std::uint64_t number(const char* name, std::uint64_t usual) {
+std::uint64_t number_from_environment(const char* name, std::uint64_t default_value) {
   const char* text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : usual;
+  return text ? std::strtoull(text, nullptr, 10) : default_value;
 }
 
-TEST(Property, TheRulesHoldOnDrawnSchedules) {
+TEST(Property, RulesHoldOnRandomSchedules) {
   logging::set_level(logging::Level::error);
-  const auto only = number("LEMONROUTE_SEED", 0);
-  if (only)
+  const auto single_seed = number_from_environment("LEMONROUTE_SEED", 0);
+  if (single_seed)
     logging::set_level(logging::Level::debug);
-  Seen seen;
-  const auto last = only ? only : number("LEMONROUTE_SCHEDULES", 4000);
-  for (std::uint64_t seed = only ? only : 1; seed <= last; ++seed)
-    ASSERT_EQ(Play(seed, seen).run(), "") << "seed " << seed;
-  std::cout << "served " << seen.served << ", refused " << seen.refused << ", failed " << seen.failed
-            << ", cut " << seen.cut << ", left " << seen.left << " (" << seen.left_waiting
-            << " before their attempt left), unsent dropped " << seen.unsent_dropped << ", repeats "
-            << seen.repeats << ", of keyed ones " << seen.keyed_repeats << ", to leaving nodes "
-            << seen.to_leaving << ", state lost " << seen.lost_state << ", held back " << seen.held_back
-            << ", retuned while open " << seen.retuned_open << ", waits ended " << seen.ended_early
-            << ", released " << seen.released << ", late connections " << seen.late_connections << ", cuts "
-            << seen.cuts << ", reads ended after a hang " << seen.ended_after_hang << "\n";
-  if (only || last < 4000)
+  Coverage coverage;
+  const auto last_seed = single_seed ? single_seed : number_from_environment("LEMONROUTE_SCHEDULES", 4000);
+  for (std::uint64_t seed = single_seed ? single_seed : 1; seed <= last_seed; ++seed)
+    ASSERT_EQ(ScheduleSimulation(seed, coverage).run(), "") << "seed " << seed;
+  std::cout << "served " << coverage.served << ", rejected " << coverage.rejected << ", failed "
+            << coverage.failed << ", aborted " << coverage.aborted << ", client disconnected "
+            << coverage.disconnected << " (" << coverage.disconnected_before_send
+            << " before their attempt was sent), unsent attempts closed " << coverage.unsent_closed
+            << ", repeats " << coverage.repeats << ", with an idempotency key " << coverage.repeats_with_key
+            << ", sent to nodes that are not ready " << coverage.sent_to_unready_nodes
+            << ", reservation missing " << coverage.reservation_missing << ", reading paused "
+            << coverage.reading_paused << ", settings changed with open requests "
+            << coverage.settings_changed_with_open_requests << ", shutdown deadlines "
+            << coverage.shutdown_deadlines << ", released " << coverage.released << ", late connections "
+            << coverage.late_connections << ", partitions " << coverage.partitions
+            << ", prefills completed after silence " << coverage.completed_after_silence << "\n";
+  if (single_seed || last_seed < 4000)
     return;
-  // The dangerous paths were walked, each of them often.
-  EXPECT_GT(seen.served, 2000);
-  EXPECT_GT(seen.refused, 5000);
-  EXPECT_GT(seen.failed, 3000);
-  EXPECT_GT(seen.cut, 800);
-  EXPECT_GT(seen.left_waiting, 1000);
-  EXPECT_GT(seen.unsent_dropped, 2000);
-  EXPECT_GT(seen.repeats, 300);
-  EXPECT_GT(seen.keyed_repeats, 150);
-  EXPECT_GT(seen.to_leaving, 500);
-  EXPECT_GT(seen.lost_state, 300);
-  EXPECT_GT(seen.held_back, 500);
-  EXPECT_GT(seen.retuned_open, 500);
-  EXPECT_GT(seen.ended_early, 300);
-  EXPECT_GT(seen.released, 5000);
-  EXPECT_GT(seen.late_connections, 3000);
-  EXPECT_GT(seen.cuts, 1000);
-  EXPECT_GT(seen.ended_after_hang, 50);
+  // Each path that could break a rule was taken often.
+  EXPECT_GT(coverage.served, 2000);
+  EXPECT_GT(coverage.rejected, 5000);
+  EXPECT_GT(coverage.failed, 3000);
+  EXPECT_GT(coverage.aborted, 800);
+  EXPECT_GT(coverage.disconnected_before_send, 1000);
+  EXPECT_GT(coverage.unsent_closed, 2000);
+  EXPECT_GT(coverage.repeats, 300);
+  EXPECT_GT(coverage.repeats_with_key, 150);
+  EXPECT_GT(coverage.sent_to_unready_nodes, 500);
+  EXPECT_GT(coverage.reservation_missing, 300);
+  EXPECT_GT(coverage.reading_paused, 500);
+  EXPECT_GT(coverage.settings_changed_with_open_requests, 500);
+  EXPECT_GT(coverage.shutdown_deadlines, 300);
+  EXPECT_GT(coverage.released, 5000);
+  EXPECT_GT(coverage.late_connections, 3000);
+  EXPECT_GT(coverage.partitions, 1000);
+  EXPECT_GT(coverage.completed_after_silence, 50);
 }
 
 }  // namespace
--- a/tests/held/schedule.h
+++ b/tests/held/schedule.h
@@ -1,4 +1,4 @@
-// A drawn schedule of requests and network faults, as data: it is printed, played again, and made smaller.
+// A random schedule of requests and network faults, as data, so that a test can print, replay and shrink it.
 #pragma once
 
 #include <cstdint>
@@ -7,32 +7,33 @@
 
 #include "lemonroute/scheduler.h"
 
-namespace lemonroute::held {
+namespace lemonroute::held_state {
 
 enum class StepKind {
-  request,        // a client asks
-  cut_both,       // bytes of connections that are up are swallowed, new ones do not come up
-  cut_to_node,    // one way: what routers send does not arrive
-  cut_from_node,  // the other way: answers do not arrive
-  cut_role,       // as cut_both, at all nodes of the node's role together
-  delay,          // as cut_both, but what was sent arrives at the end, as TCP sends it again
-  hang,           // the process stands still in the middle of its work and goes on
-  vanish,   // the machine is gone; at the end another process has its address and resets the old connections
-  restart,  // the process ends at once, another one takes its address at the end
+  request,        // a client sends a request
+  cut_both,       // data on established connections is lost and new connections fail, in both directions
+  cut_to_node,    // data from routers to the node is lost
+  cut_from_node,  // data from the node to routers is lost
+  cut_role,       // as cut_both, at all nodes of the node's role at once
+  delay,          // as cut_both, but lost data arrives at the end, as after TCP retransmission
+  hang,           // the process is suspended and resumes at the end
+  vanish,         // the machine fails; at the end another process at its address resets the old connections
+  restart,  // the process ends at once; another one at its address starts after a quarter of the duration
   reset,    // all connections to the node are reset
-  slow_connect,  // connections come up late or never
-  late_list,     // discovery tells the router late
-  drain,         // the node is told to drain, and goes at the end
-  stop_router,   // SIGTERM: another process takes what is asked from then on
+  slow_connect,  // connections are established late or never
+  late_list,     // the router gets endpoint list updates late
+  drain,         // the node drains and is removed at the end
+  stop_router,   // SIGTERM: another process takes the requests from then on
 };
 
 struct Step {
   StepKind kind = StepKind::request;
-  std::size_t number = 0;  // in the whole schedule; a request is named by it
-  Micros at{}, span{};  // from the beginning of the schedule; how long it lasts, or until its client has gone
-  std::size_t router = 0, node = 0, kind_of_request = 0;
-  double tokens = 0;
-  Micros budget{};
+  std::size_t index = 0;  // position in the whole schedule; names the request
+  Micros start{};         // since the beginning of the schedule
+  Micros duration{};      // of a fault; of a request: until its client disconnects
+  std::size_t router_index = 0, node_index = 0, class_index = 0;
+  double prompt_tokens = 0;
+  Micros time_budget{};
   std::string text() const;
 };
 
@@ -43,9 +44,9 @@
   std::vector<Step> steps;
 };
 
-// The nodes of each role that no fault touches; without any, no router could keep the rule.
-constexpr std::size_t spared = 1;
+// Nodes of each role that get no faults; without one, no router could comply with the rule.
+constexpr std::size_t fault_free_nodes_per_role = 1;
 
-Schedule draw_schedule(std::uint64_t seed);
+Schedule random_schedule(std::uint64_t seed);
 
-}  // namespace lemonroute::held
+}  // namespace lemonroute::held_state
