--- a/tests/held/schedule.h
+++ b/tests/held/schedule.h
@@ -29,8 +29,9 @@
 struct Step {
   StepKind kind = StepKind::request;
   std::size_t index = 0;  // position in the whole schedule; names the request
-  Micros start{};         // since the beginning of the schedule
-  Micros duration{};      // of a fault; of a request: until its client disconnects
+  // Start: since the beginning of the schedule. Duration: of a fault, or until the client of a request
+  // disconnects.
+  Micros start{}, duration{};
   std::size_t router_index = 0, node_index = 0, class_index = 0;
   double prompt_tokens = 0;
   Micros time_budget{};
