--- a/tests/core/schedule_simulation.cpp
+++ b/tests/core/schedule_simulation.cpp
@@ -6,8 +6,8 @@
 namespace lemonroute::property {
 namespace {
 
-constexpr Micros event_period = 8s;
-constexpr Micros settle_period = 45s;       // longer than the 30 s after which a router gives up a release
+// settle_period is longer than the 30 s after which a router gives up a release.
+constexpr Micros event_period = 8s, settle_period = 45s;
 constexpr Micros cancellation_delay = 5ms;  // until the node has learned that an attempt was cancelled
 constexpr double mean_prompt_tokens = 550;
 
