--- a/tests/held/fleet_simulation.h
+++ b/tests/held/fleet_simulation.h
@@ -46,10 +46,10 @@
     Role role = Role::prefill;
     EndpointState state = EndpointState::ready;
     Micros reported_start{};
-    Micros clock_error{};  // error of the reported start
+    Micros clock_error{};  // difference between the reported and the true start
     int process_number = 0;
     bool process_running = true;
-    bool machine_reachable = true;  // while true, packets are answered, without a process by a reset
+    bool machine_reachable = true;  // if false, nothing answers, not even with a reset
     Micros input_lost_until{}, output_lost_until{}, delayed_until{}, suspended_until{}, slow_connect_until{};
     std::set<SimulatedAttempt*> attempts;
     std::set<std::string> reservations;
@@ -90,8 +90,7 @@
   void announce_node(SimulatedNode& node);
   void update_list(std::size_t index, const std::string& name);
 
-  // Transmits data to a node. `on_arrival` runs when its last byte arrives, unless `valid` returns false
-  // then.
+  // Transmits data to a node. `on_arrival` runs when the data has arrived, unless `valid` returns false then.
   void deliver(SimulatedNode& node, std::function<bool()> valid, std::function<void()> on_arrival);
   void on_attempt_arrived(SimulatedAttempt& attempt);
   void run_prefill(SimulatedAttempt& attempt);
