--- a/src/peers/seal/flood.h
+++ b/src/peers/seal/flood.h
@@ -1,8 +1,9 @@
-// How much of what arrives is looked at, decided before any computation of a proof. Free of I/O; bounded.
+// Rate limiting of received datagrams, applied before any of them is authenticated. Free of I/O; bounded
+// memory.
 //
-// The stated cost per second, whoever sends what: `taken` datagrams read from the socket; of those `proven`
-// proofs computed for addresses from which something proven came within `remembered`, and `strangers` for all
-// the others.
+// Limits per second, whatever is sent by whom: `taken` datagrams are read from the socket. Of those, `proven`
+// are authenticated for addresses that sent an authentic datagram within `remembered`, and `strangers` for
+// all other addresses together.
 #pragma once
 
 #include <array>
@@ -16,44 +17,54 @@
 
 namespace lemonroute::peers::seal {
 
-class Bucket {
+/// A token bucket with a burst of half a second's tokens.
+class TokenBucket {
  public:
-  // `rate` a second; half a second's worth may come at once.
+  /// Takes one token, refilled at `rate` tokens per second. False: none is left.
   bool take(Micros now, double rate);
 
  private:
-  double spent_ = 0;  // of half a second's worth
-  Micros at_{};
+  double spent_ = 0;  // tokens taken and not refilled yet
+  Micros updated_at_{};
 };
 
+/// Rate limiter of the datagrams that are read and authenticated, per address and in total.
 class Flood {
  public:
+  /// Limits in datagrams per second; `address` bounds each authenticated address.
   struct Rates {
     double taken = 20000, proven = 8000, strangers = 500, address = 500;
   };
+  /// Authenticated addresses that are kept at once.
   static constexpr std::size_t most_addresses = 8192;
+  /// For how long an address counts as authenticated after its last authentic datagram.
   static constexpr Micros remembered = std::chrono::seconds(60);
 
-  // `secret`: nobody outside may choose addresses that share a bucket with somebody else's.
+  /// Random key of the address hash, so that an attacker cannot pick addresses that share a bucket with
+  /// another sender.
   using Secret = std::array<unsigned char, 16>;
-  Flood(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), strange_(1024) {}
+  Flood(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
 
-  bool take(Micros now) { return taken_.take(now, rates_.taken); }  // false: read no more for a moment
-  bool look(Micros now, std::string_view address);                  // false: leave it unopened
-  void prove(Micros now, std::string_view address);                 // something proven came from there
-  std::size_t addresses() const { return proven_.size(); }
+  /// False: the limit of reads is reached, so pause reading.
+  bool take(Micros now) { return read_bucket_.take(now, rates_.taken); }
+  /// False: drop the datagram without authenticating it.
+  bool look(Micros now, std::string_view address);
+  /// Records that an authentic datagram came from the address.
+  void prove(Micros now, std::string_view address);
+  /// Number of authenticated addresses that are kept.
+  std::size_t addresses() const { return authenticated_.size(); }
 
  private:
-  struct Known {
-    Bucket bucket;
-    Micros proven{};
+  struct AuthenticatedAddress {
+    TokenBucket bucket;
+    Micros authenticated_at{};
   };
   Rates rates_;
   Secret secret_;
-  Bucket taken_, all_proven_, all_strange_;
-  std::unordered_map<std::string, Known> proven_;
-  std::vector<Bucket> strange_;
-  Micros swept_{};
+  TokenBucket read_bucket_, all_authenticated_, all_unknown_;
+  std::unordered_map<std::string, AuthenticatedAddress> authenticated_;
+  std::vector<TokenBucket> unknown_buckets_;
+  Micros swept_at_{};
 };
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/key.cpp
+++ b/src/peers/seal/key.cpp
@@ -13,8 +13,9 @@
 
 constexpr std::size_t digits = 2 * Key::size;
 
+// Closes its descriptor.
 struct File {
-  explicit File(int opened) : fd(opened) {}
+  explicit File(int descriptor) : fd(descriptor) {}
   ~File() {
     if (fd >= 0)
       close(fd);
@@ -48,13 +49,14 @@
 }
 
 std::variant<Key, std::string> read_key(const std::string& path) {
-  const File file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));  // never waits, were it a pipe
-  struct stat about {};
-  if (file.fd < 0 || fstat(file.fd, &about) != 0)
+  // O_NONBLOCK: opening a pipe must not block.
+  const File file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
+  struct stat status {};
+  if (file.fd < 0 || fstat(file.fd, &status) != 0)
     return "can't be read: " + std::string(std::strerror(errno));
-  if (!S_ISREG(about.st_mode))
-    return "is no plain file";
-  if (about.st_mode & 077)
+  if (!S_ISREG(status.st_mode))
+    return "is not a regular file";
+  if (status.st_mode & 077)
     return "may be read or written by others than its owner; chmod 600 mends that";
   char text[4 * digits];
   const auto length = read(file.fd, text, sizeof text);
@@ -65,10 +67,10 @@
 
 std::string write_new_key(const std::string& path) {
   if (sodium_init() < 0)
-    return "there is no randomness";
+    return "libsodium could not be initialized";
   const File file(open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
   if (file.fd < 0)
-    return errno == EEXIST ? "is there already" : "can't be written: " + std::string(std::strerror(errno));
+    return errno == EEXIST ? "already exists" : "can't be written: " + std::string(std::strerror(errno));
   unsigned char bytes[Key::size];
   randombytes_buf(bytes, sizeof bytes);
   char text[digits + 1];
@@ -76,9 +78,9 @@
   text[digits] = '\n';
   if (write(file.fd, text, sizeof text) == sizeof text && fsync(file.fd) == 0)
     return "";
-  std::string why = "can't be written: " + std::string(std::strerror(errno));
+  std::string reason = "can't be written: " + std::string(std::strerror(errno));
   unlink(path.c_str());
-  return why;
+  return reason;
 }
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/refusals.cpp
+++ b/src/peers/seal/refusals.cpp
@@ -3,24 +3,24 @@
 namespace lemonroute::peers::seal {
 namespace {
 
-constexpr std::chrono::minutes between{1};
+constexpr std::chrono::minutes log_interval{1};
 
 }  // namespace
 
 void Refusals::count(Kind kind, const std::string& from) {
-  ++all_[kind];
+  ++totals_[kind];
   last_from_ = from;
 }
 
 std::optional<std::string> Refusals::line(Micros now) {
-  if (all_ == told_ || (at_ && now - *at_ < between))
+  if (totals_ == logged_ || (logged_at_ && now - *logged_at_ < log_interval))
     return std::nullopt;
   std::string text;
   for (std::size_t i = 0; i < kinds; ++i)
-    if (all_[i] > told_[i])
-      text += (text.empty() ? "" : ", ") + std::to_string(all_[i] - told_[i]) + " " + names[i];
-  told_ = all_;
-  at_ = now;
+    if (totals_[i] > logged_[i])
+      text += (text.empty() ? "" : ", ") + std::to_string(totals_[i] - logged_[i]) + " " + names[i];
+  logged_ = totals_;
+  logged_at_ = now;
   return "peers: datagrams refused: " + text + "; the last one from " + last_from_;
 }
 
--- a/src/peers/seal/refusals.h
+++ b/src/peers/seal/refusals.h
@@ -1,4 +1,4 @@
-// What was refused of what arrived, counted, and said once a minute in one line. Free of I/O.
+// Counters of refused datagrams, and one log line a minute at most that sums them up. Free of I/O.
 #pragma once
 
 #include <array>
@@ -10,20 +10,26 @@
 
 namespace lemonroute::peers::seal {
 
+/// Counts refused datagrams by reason and makes a rate-limited log line of them.
 class Refusals {
  public:
+  /// Why a datagram was refused; `flood` is a datagram over a rate limit.
   enum Kind : std::uint8_t { oversize, version, key, replay, forged, flood, kinds };
+  /// The name of each kind in the log line and in the management JSON.
   static constexpr std::array<const char*, kinds> names{"oversize", "unknown_version", "unknown_key",
                                                         "replayed", "forged",          "flood"};
+  /// Counts one datagram refused from the address `from`.
   void count(Kind kind, const std::string& from);
-  const std::array<std::uint64_t, kinds>& all() const { return all_; }
-  // The line, where something was refused since the last one, and that one is a minute ago.
+  /// Totals since the start, by kind.
+  const std::array<std::uint64_t, kinds>& all() const { return totals_; }
+  /// A log line of the datagrams refused since the last line. Nothing if there are none, or if the last line
+  /// is less than a minute old.
   std::optional<std::string> line(Micros now);
 
  private:
-  std::array<std::uint64_t, kinds> all_{}, told_{};
+  std::array<std::uint64_t, kinds> totals_{}, logged_{};
   std::string last_from_;
-  std::optional<Micros> at_;
+  std::optional<Micros> logged_at_;
 };
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -9,26 +9,27 @@
 namespace lemonroute::peers::seal {
 namespace {
 
-constexpr std::size_t proven = 1 + 4;  // in clear, beside the nonce
-constexpr std::size_t nonce_size = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
-static_assert(proven + nonce_size == head && head + crypto_aead_xchacha20poly1305_ietf_ABYTES == overhead);
+constexpr std::size_t associated_bytes = 1 + 4;  // version and key id, authenticated in the clear
+constexpr std::size_t nonce_bytes = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
+static_assert(associated_bytes + nonce_bytes == header_bytes &&
+              header_bytes + crypto_aead_xchacha20poly1305_ietf_ABYTES == overhead);
 static_assert(Key::size == crypto_aead_xchacha20poly1305_ietf_KEYBYTES);
 
-// Numbers in network order, whatever machines a fleet is made of.
+// Integers are big-endian, independent of the byte order of the host.
 template <class T>
-void put(char* to, T value) {
+void store(char* to, T value) {
   for (std::size_t i = sizeof value; i-- > 0; value = static_cast<T>(value >> 8))
     to[i] = static_cast<char>(value);
 }
 template <class T>
-T get(const char* from) {
+T load(const char* from) {
   T value = 0;
   for (std::size_t i = 0; i < sizeof value; ++i)
     value = static_cast<T>(value << 8 | static_cast<unsigned char>(from[i]));
   return value;
 }
 template <>
-std::uint8_t get(const char* from) {
+std::uint8_t load(const char* from) {
   return static_cast<std::uint8_t>(*from);
 }
 
@@ -43,16 +44,16 @@
 
 std::string Sealer::seal(std::string_view plain) {
   if (plain.size() > most_plain)
-    throw std::length_error("a datagram is too long to be sealed");
+    throw std::length_error("datagram exceeds the maximum plaintext size");
   std::string out(overhead + plain.size(), '\0');
   out[0] = static_cast<char>(version);
-  put(&out[1], key_.id);
-  put(&out[proven], self_.tag);
-  put(&out[proven + 8], self_.start);
-  put(&out[proven + 16], ++sequence_);
-  crypto_aead_xchacha20poly1305_ietf_encrypt(bytes(&out[head]), nullptr, bytes(plain.data()), plain.size(),
-                                             bytes(out.data()), proven, nullptr, bytes(&out[proven]),
-                                             key_.bytes.data());
+  store(&out[1], key_.id);
+  store(&out[associated_bytes], self_.tag);
+  store(&out[associated_bytes + 8], self_.start);
+  store(&out[associated_bytes + 16], ++sequence_);
+  crypto_aead_xchacha20poly1305_ietf_encrypt(bytes(&out[header_bytes]), nullptr, bytes(plain.data()),
+                                             plain.size(), bytes(out.data()), associated_bytes, nullptr,
+                                             bytes(&out[associated_bytes]), key_.bytes.data());
   return out;
 }
 
@@ -63,24 +64,25 @@
   };
   if (sealed.size() > most_sealed)
     return refuse(Refusal::oversize);
-  if (sealed.empty() || get<std::uint8_t>(&sealed[0]) != version)
+  if (sealed.empty() || load<std::uint8_t>(&sealed[0]) != version)
     return refuse(Refusal::version);
   if (sealed.size() < overhead)
     return refuse(Refusal::forged);
-  const auto id = get<std::uint32_t>(&sealed[1]);
+  const auto id = load<std::uint32_t>(&sealed[1]);
   const auto key = std::find_if(keys_.begin(), keys_.end(), [&](const Key& one) { return one.id == id; });
   if (key == keys_.end())
     return refuse(Refusal::key);
-  const Sender sender{get<std::uint64_t>(&sealed[proven]), get<std::uint64_t>(&sealed[proven + 8])};
-  const auto sequence = get<std::uint64_t>(&sealed[proven + 16]);
-  if (!windows_.fresh(sender, sequence))
+  const Sender sender{load<std::uint64_t>(&sealed[associated_bytes]),
+                      load<std::uint64_t>(&sealed[associated_bytes + 8])};
+  const auto sequence = load<std::uint64_t>(&sealed[associated_bytes + 16]);
+  if (!replay_windows_.fresh(sender, sequence))
     return refuse(Refusal::replay);
   std::string plain(sealed.size() - overhead, '\0');
-  if (crypto_aead_xchacha20poly1305_ietf_decrypt(bytes(plain.data()), nullptr, nullptr, bytes(&sealed[head]),
-                                                 sealed.size() - head, bytes(sealed.data()), proven,
-                                                 bytes(&sealed[proven]), key->bytes.data()) != 0)
+  if (crypto_aead_xchacha20poly1305_ietf_decrypt(
+          bytes(plain.data()), nullptr, nullptr, bytes(&sealed[header_bytes]), sealed.size() - header_bytes,
+          bytes(sealed.data()), associated_bytes, bytes(&sealed[associated_bytes]), key->bytes.data()) != 0)
     return refuse(Refusal::forged);
-  windows_.mark(sender, sequence);
+  replay_windows_.mark(sender, sequence);
   why = Refusal::none;
   return plain;
 }
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -1,9 +1,10 @@
-// Datagrams between routers, sealed: nobody without the key reads one, makes one, or sends one a second time.
+// Authenticated encryption of the datagrams between routers: without the key, nobody can read, forge or
+// replay one.
 //
-//   version 1 | id of the key 4 | tag of the sender 8 | its start 8 | sequence 8 | sealed text | proof 16
+//   version 1 | key id 4 | sender tag 8 | sender start 8 | sequence 8 | ciphertext | authentication tag 16
 //
-// Tag, start and sequence are the nonce of XChaCha20-Poly1305, so none is ever used twice with a key; version
-// and id of the key are proven with the text. Free of I/O.
+// All lengths are in bytes. Sender tag, start and sequence are the nonce of XChaCha20-Poly1305, so no nonce
+// is used twice with a key. Version and key id are authenticated as associated data. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +18,22 @@
 
 namespace lemonroute::peers::seal {
 
+/// Format version, the first byte of each datagram.
 constexpr std::uint8_t version = 1;
-constexpr std::size_t head = 1 + 4 + 24, overhead = head + 16;
-constexpr std::size_t most_sealed = 1232;  // within the least MTU of IPv6
+/// Bytes before the ciphertext, and all bytes that sealing adds.
+constexpr std::size_t header_bytes = 1 + 4 + 24, overhead = header_bytes + 16;
+/// Longest sealed datagram in bytes: fits into the minimum MTU of IPv6.
+constexpr std::size_t most_sealed = 1232;
+/// Longest plaintext in bytes.
 constexpr std::size_t most_plain = most_sealed - overhead;
 
+/// Encrypts the datagrams of this process.
 class Sealer {
  public:
+  /// `self` must be unique among all processes that use the key.
   Sealer(const Key& key, Sender self) : key_(key), self_(self) {}
-  std::string seal(std::string_view plain);  // most_plain bytes at the most
+  /// Seals a plaintext of at most most_plain bytes; throws std::length_error for a longer one.
+  std::string seal(std::string_view plain);
 
  private:
   Key key_;
@@ -33,19 +41,24 @@
   std::uint64_t sequence_ = 0;
 };
 
+/// Why a datagram was not opened; `key` is an unknown key id, `version` an unknown format version.
 enum class Refusal : std::uint8_t { none, oversize, version, key, replay, forged };
 
+/// Authenticates and decrypts received datagrams, and refuses replayed ones.
 class Opener {
  public:
-  Opener(std::vector<Key> keys, std::size_t most_senders) : keys_(std::move(keys)), windows_(most_senders) {}
-  // The text of a datagram that is proven and has not come before; otherwise why not. What can be told
-  // without a computation of the proof is told first.
+  /// Any of the keys opens a datagram. Replay windows are kept for `most_senders` senders.
+  Opener(std::vector<Key> keys, std::size_t most_senders)
+      : keys_(std::move(keys)), replay_windows_(most_senders) {}
+  /// The plaintext of an authentic datagram that was not received before; otherwise nothing, and the reason
+  /// in `why`. Checks that need no cryptography come first.
   std::optional<std::string> open(std::string_view sealed, Refusal& why);
-  std::size_t senders() const { return windows_.size(); }
+  /// Number of senders whose replay windows are kept.
+  std::size_t senders() const { return replay_windows_.size(); }
 
  private:
   std::vector<Key> keys_;
-  Windows windows_;
+  Windows replay_windows_;
 };
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/window.cpp
+++ b/src/peers/seal/window.cpp
@@ -3,7 +3,7 @@
 namespace lemonroute::peers::seal {
 namespace {
 
-constexpr std::uint64_t bits = 64;
+constexpr std::uint64_t bits_per_word = 64;
 
 }  // namespace
 
@@ -12,20 +12,20 @@
     return true;
   if (sequence == 0 || newest_ - sequence >= width)
     return false;
-  return !(seen_[sequence / bits % seen_.size()] >> (sequence % bits) & 1);
+  return !(received_[sequence / bits_per_word % received_.size()] >> (sequence % bits_per_word) & 1);
 }
 
 void Window::mark(std::uint64_t sequence) {
   if (sequence > newest_) {
-    // What the window leaves is wiped for what enters it.
+    // Clears the bits of the numbers that enter the window, which numbers that leave it still hold.
     if (sequence - newest_ >= width)
-      seen_.fill(0);
+      received_.fill(0);
     else
       for (auto at = newest_ + 1; at <= sequence; ++at)
-        seen_[at / bits % seen_.size()] &= ~(std::uint64_t{1} << (at % bits));
+        received_[at / bits_per_word % received_.size()] &= ~(std::uint64_t{1} << (at % bits_per_word));
     newest_ = sequence;
   }
-  seen_[sequence / bits % seen_.size()] |= std::uint64_t{1} << (sequence % bits);
+  received_[sequence / bits_per_word % received_.size()] |= std::uint64_t{1} << (sequence % bits_per_word);
 }
 
 bool Windows::fresh(const Sender& sender, std::uint64_t sequence) const {
@@ -36,16 +36,16 @@
 void Windows::mark(const Sender& sender, std::uint64_t sequence) {
   const auto found = senders_.find(sender);
   if (found == senders_.end()) {
-    if (senders_.size() >= most_) {
-      senders_.erase(by_age_.back().sender);
-      by_age_.pop_back();
+    if (senders_.size() >= max_senders_) {
+      senders_.erase(by_recency_.back().sender);
+      by_recency_.pop_back();
     }
-    by_age_.push_front({sender, {}});
-    senders_.emplace(sender, by_age_.begin());
+    by_recency_.push_front({sender, {}});
+    senders_.emplace(sender, by_recency_.begin());
   } else {
-    by_age_.splice(by_age_.begin(), by_age_, found->second);
+    by_recency_.splice(by_recency_.begin(), by_recency_, found->second);
   }
-  by_age_.front().window.mark(sequence);
+  by_recency_.front().window.mark(sequence);
 }
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/window.h
+++ b/src/peers/seal/window.h
@@ -1,4 +1,4 @@
-// Which datagrams of each sender have come already, so that a copy is refused. Free of I/O; bounded.
+// Replay windows: which datagrams of each sender were received already. Free of I/O; bounded memory.
 #pragma once
 
 #include <array>
@@ -9,46 +9,55 @@
 
 namespace lemonroute::peers::seal {
 
-// A process that seals. Its tag is drawn at random when it starts, so that no two of them ever share one.
+/// Identifies a sending process. The tag is random for each process, so that no two processes share one.
 struct Sender {
+  /// Random tag, and the process' start as Unix time in microseconds.
   std::uint64_t tag = 0, start = 0;
   bool operator==(const Sender&) const = default;
 };
 
-// The last numbers of one sender, wide enough for what a network reorders.
+/// Replay window of one sender: tolerates reordering within the last `width` sequence numbers.
 class Window {
  public:
+  /// Number of sequence numbers that the window covers.
   static constexpr std::uint64_t width = 1024;
-  bool fresh(std::uint64_t sequence) const;  // neither seen nor too old to tell
-  void mark(std::uint64_t sequence);         // must be fresh
+  /// Whether the number was not received yet and is not older than the window.
+  bool fresh(std::uint64_t sequence) const;
+  /// Records a number as received; it must be fresh.
+  void mark(std::uint64_t sequence);
 
  private:
-  std::uint64_t newest_ = 0;  // sequences begin at 1
-  std::array<std::uint64_t, width / 64> seen_{};
+  std::uint64_t newest_ = 0;  // sequence numbers begin at 1
+  std::array<std::uint64_t, width / 64> received_{};
 };
 
-// Danger: whoever is forgotten can be replayed, once. The sender forgotten is the one not heard for the
-// longest time, which with a table twice as large as a view takes thousands of newer processes; membership
-// then knows a newer start.
+/// Replay windows by sender, bounded by evicting the sender that was silent for the longest time.
+///
+/// Each datagram of an evicted sender can be replayed once. With room for twice the members of a view, an
+/// eviction takes thousands of newer processes, and membership then knows a newer start of that name.
 class Windows {
  public:
-  explicit Windows(std::size_t most) : most_(most) {}
+  /// Keeps the windows of at most `most` senders.
+  explicit Windows(std::size_t most) : max_senders_(most) {}
+  /// Whether the datagram was not received yet and is not older than the sender's window.
   bool fresh(const Sender& sender, std::uint64_t sequence) const;
-  void mark(const Sender& sender, std::uint64_t sequence);  // only what is proven and fresh
+  /// Records a datagram as received; it must be authentic and fresh.
+  void mark(const Sender& sender, std::uint64_t sequence);
+  /// Number of senders that are kept.
   std::size_t size() const { return senders_.size(); }
 
  private:
   struct Hash {
-    // Only proven senders are entered, so nobody without the key chooses where they fall.
+    // Only authenticated senders are inserted, so nobody without the key can cause hash collisions.
     std::size_t operator()(const Sender& s) const { return s.tag ^ (s.start * 0x9e3779b97f4a7c15ULL); }
   };
-  struct One {
+  struct SenderWindow {
     Sender sender;
     Window window;
   };
-  std::size_t most_;
-  std::list<One> by_age_;  // the one heard last in front
-  std::unordered_map<Sender, std::list<One>::iterator, Hash> senders_;
+  std::size_t max_senders_;
+  std::list<SenderWindow> by_recency_;  // the most recent sender in front
+  std::unordered_map<Sender, std::list<SenderWindow>::iterator, Hash> senders_;
 };
 
 }  // namespace lemonroute::peers::seal
