--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -4,52 +4,52 @@
 #include <nlohmann/json.hpp>
 
 #include "base/log.h"
-#include "peers/agent_parts.h"
+#include "peers/agent_impl.h"
 
 namespace lemonroute::peers {
 
-Agent::Parts::Parts(Options given, std::uint64_t seed) : options(given), members(std::move(given), seed) {}
+Agent::Impl::Impl(Options agent_options, std::uint64_t seed)
+    : options(agent_options), members(std::move(agent_options), seed) {}
 
-void Agent::Parts::send(Topic topic, std::string_view to, std::string bytes) {
-  members.payload(topic, to, std::move(bytes));
+void Agent::Impl::send(Topic topic, std::string_view to, std::string bytes) {
+  members.send_payload(topic, to, std::move(bytes));
 }
 
-void Agent::Parts::show(bool always) {
-  if (members.version() == shown || (!always && now - shown_at < options.period / 10))
+void Agent::Impl::publish_view(bool always) {
+  if (members.version() == published_version || (!always && now - published_at < options.period / 10))
     return;
-  shown = members.version();
-  shown_at = now;
+  published_version = members.version();
+  published_at = now;
   for (Extension* extension : extensions)
     extension->viewed(now, members.view(now));
 }
 
-void Agent::Parts::say_notices() {
-  for (const auto& line : members.take_notices())
-    logging::warn() << "peers: " << line;
+void Agent::Impl::log_notices() {
+  for (const auto& notice : members.take_notices())
+    logging::warn() << "peers: " << notice;
 }
 
-Agent::Agent(Options options, std::uint64_t seed)
-    : parts_(std::make_unique<Parts>(std::move(options), seed)) {}
+Agent::Agent(Options options, std::uint64_t seed) : impl_(std::make_unique<Impl>(std::move(options), seed)) {}
 Agent::~Agent() = default;
 
 void Agent::add(Extension& extension) {
-  parts_->extensions.push_back(&extension);
+  impl_->extensions.push_back(&extension);
 }
 
 void Agent::start(Micros now) {
-  auto& parts = *parts_;
-  parts.now = now;
-  parts.started = true;
-  parts.members.start(now);
-  parts.show(true);
+  auto& impl = *impl_;
+  impl.now = now;
+  impl.started = true;
+  impl.members.start(now);
+  impl.publish_view(true);
 }
 
 void Agent::receive(Micros now, const std::string&, std::string_view bytes) {
-  auto& parts = *parts_;
-  if (!parts.started)
+  auto& impl = *impl_;
+  if (!impl.started)
     return;
-  parts.now = std::max(parts.now, now);
-  auto& counters = parts.members.counters();
+  impl.now = std::max(impl.now, now);
+  auto& counters = impl.members.counters();
   ++counters.received;
   wire::Packet packet;
   switch (wire::decode(bytes, packet, counters.facts_left_out)) {
@@ -65,51 +65,51 @@
       ++counters.bad_field;
       return;
   }
-  const bool member = parts.members.receive(parts.now, packet);
-  parts.show(false);
-  parts.say_notices();
-  if (const auto* payload = std::get_if<wire::Payload>(&packet.body); payload && member)
-    for (Extension* extension : parts.extensions)
+  const bool from_member = impl.members.receive(impl.now, packet);
+  impl.publish_view(false);
+  impl.log_notices();
+  if (const auto* payload = std::get_if<wire::Payload>(&packet.body); payload && from_member)
+    for (Extension* extension : impl.extensions)
       if (static_cast<std::uint32_t>(extension->topic()) == payload->topic)
-        extension->receive(parts.now, packet.sender.name, payload->content, parts);
+        extension->receive(impl.now, packet.sender.name, payload->content, impl);
 }
 
 void Agent::run_due(Micros now) {
-  auto& parts = *parts_;
-  if (!parts.started)
+  auto& impl = *impl_;
+  if (!impl.started)
     return;
-  parts.now = std::max(parts.now, now);
-  parts.members.run_due(parts.now);
-  parts.show(false);
-  parts.say_notices();
-  for (Extension* extension : parts.extensions)
-    if (extension->next_due() <= parts.now)
-      extension->run_due(parts.now, parts);
+  impl.now = std::max(impl.now, now);
+  impl.members.run_due(impl.now);
+  impl.publish_view(false);
+  impl.log_notices();
+  for (Extension* extension : impl.extensions)
+    if (extension->next_due() <= impl.now)
+      extension->run_due(impl.now, impl);
 }
 
 Micros Agent::next_due() const {
-  Micros due = parts_->members.next_due();
-  for (const Extension* extension : parts_->extensions)
+  Micros due = impl_->members.next_due();
+  for (const Extension* extension : impl_->extensions)
     due = std::min(due, extension->next_due());
   return due;
 }
 
 void Agent::leave(Micros now) {
-  parts_->now = std::max(parts_->now, now);
-  parts_->members.leave(parts_->now);
-  parts_->show(true);
+  impl_->now = std::max(impl_->now, now);
+  impl_->members.leave(impl_->now);
+  impl_->publish_view(true);
 }
 
 std::vector<Datagram> Agent::take() {
-  return parts_->members.take();
+  return impl_->members.take_datagrams();
 }
 
 const View& Agent::view() const {
-  return parts_->members.view(parts_->now);
+  return impl_->members.view(impl_->now);
 }
 
 nlohmann::json Agent::describe(Micros now) const {
-  return parts_->describe(now);
+  return impl_->describe(now);
 }
 
 }  // namespace lemonroute::peers
--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -1,6 +1,6 @@
-// One router among its peers: membership, and the extensions on its datagrams. Free of I/O: told the time and
-// what came, it says what to send. The service on sockets (peers/service.h) and the deterministic world of
-// the tests drive the same.
+// One router's end of the peer protocol: membership, and the extensions that share its datagrams. Free of
+// I/O: the caller passes in times and received datagrams and sends what the agent produces. Both the service
+// on sockets (peers/service.h) and the simulation in the tests drive it.
 #pragma once
 
 #include <functional>
@@ -14,44 +14,65 @@
 
 namespace lemonroute::peers {
 
+/// A datagram to send.
 struct Datagram {
-  std::string to;     // an address, "127.0.0.1:7946"
-  std::string bytes;  // plain; the service seals it
+  /// Destination address, such as "127.0.0.1:7946".
+  std::string to;
+  /// Plaintext; the service seals it.
+  std::string bytes;
 };
 
+/// Settings of an agent.
 struct Options {
-  std::string name, site;                   // this router's
-  std::string address;                      // where others send to it
-  std::uint64_t start = 0;                  // Unix time in us
-  std::vector<std::string> seeds;           // addresses of routers to join by; any one is enough
-  Micros period = std::chrono::seconds(1);  // one probe each; 20 ms or more
-  std::size_t most_members = 4096;          // known at once; more are counted and left out
+  /// Name and site of this router.
+  std::string name, site;
+  /// Address to which other routers send.
+  std::string address;
+  /// Start of this process, Unix time in microseconds.
+  std::uint64_t start = 0;
+  /// Addresses of routers through which to join; any one that answers is enough.
+  std::vector<std::string> seeds;
+  /// Protocol period, in which one member is probed; 20 ms or more.
+  Micros period = std::chrono::seconds(1);
+  /// Maximum number of members; further ones are counted and left out.
+  std::size_t most_members = 4096;
 };
 
+/// The peer protocol of one router. Not thread-safe; times passed in must not go back.
 class Agent {
  public:
-  static constexpr std::size_t most_bytes = 1232;  // of a sealed datagram: within the least MTU of IPv6
+  /// Maximum size of a sealed datagram in bytes: fits into the minimum MTU of IPv6.
+  static constexpr std::size_t max_datagram_bytes = 1232;
 
+  /// `seed` determines all random choices.
   Agent(Options options, std::uint64_t seed);
   ~Agent();
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  void add(Extension& extension);  // before start; must outlive the agent
+  /// Adds an extension, which must outlive the agent. To be called before start().
+  void add(Extension& extension);
+  /// Starts the protocol.
   void start(Micros now);
-  void receive(Micros now, const std::string& from,
-               std::string_view bytes);  // opened and proven by the service
+  /// Handles the plaintext of an authentic datagram.
+  void receive(Micros now, const std::string& from, std::string_view bytes);
+  /// Runs the work that is due.
   void run_due(Micros now);
+  /// When run_due() must be called next.
   Micros next_due() const;
-  void leave(Micros now);        // tells the others that this router ends
-  std::vector<Datagram> take();  // what is to be sent, in order; empty afterwards
+  /// Tells other routers that this one leaves, and ends the protocol.
+  void leave(Micros now);
+  /// Removes and returns the datagrams to send, in their order.
+  std::vector<Datagram> take();
 
+  /// What this router knows of the others; its contents change with the next call.
   const View& view() const;
-  nlohmann::json describe(Micros now) const;  // the view, counters and each extension's own
+  /// The view, the counters and the state of each extension, for operators.
+  nlohmann::json describe(Micros now) const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace lemonroute::peers
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -1,14 +1,14 @@
-// What an agent tells operators of itself and of the others.
+// The JSON description of an agent for operators.
 #include <nlohmann/json.hpp>
 
-#include "peers/agent_parts.h"
+#include "peers/agent_impl.h"
 
 namespace lemonroute::peers {
 namespace {
 
 using nlohmann::json;
 
-const char* word(Standing standing) {
+const char* name_of(Standing standing) {
   switch (standing) {
     case Standing::alive:
       return "alive";
@@ -26,67 +26,67 @@
   return (now - then).count() / 1000;
 }
 
-json counters_of(const membership::Counters& it) {
-  return {{"received", it.received},
-          {"sent", it.sent},
-          {"sent_bytes", it.sent_bytes},
-          {"unreadable", it.unreadable},
-          {"unknown_version", it.unknown_version},
-          {"bad_field", it.bad_field},
-          {"facts_left_out", it.facts_left_out},
-          {"implausible", it.implausible},
-          {"probes", it.probes},
-          {"indirect", it.indirect},
-          {"probes_failed", it.probes_failed},
-          {"overslept", it.overslept},
-          {"suspected", it.suspected},
-          {"refuted", it.refuted},
-          {"gone", it.gone},
-          {"returned", it.returned},
-          {"syncs", it.syncs},
-          {"syncs_refused", it.syncs_refused},
-          {"members_refused", it.members_refused},
-          {"from_the_gone", it.from_the_gone},
-          {"names_twice", it.names_twice},
-          {"superseded", it.superseded},
-          {"reclaimed", it.reclaimed},
-          {"parcels", it.payloads},
-          {"payloads_dropped", it.payloads_dropped}};
+json counters_json(const membership::Counters& counters) {
+  return {{"received", counters.received},
+          {"sent", counters.sent},
+          {"sent_bytes", counters.sent_bytes},
+          {"unreadable", counters.unreadable},
+          {"unknown_version", counters.unknown_version},
+          {"bad_field", counters.bad_field},
+          {"facts_left_out", counters.facts_left_out},
+          {"implausible", counters.implausible},
+          {"probes", counters.probes},
+          {"indirect", counters.indirect},
+          {"probes_failed", counters.probes_failed},
+          {"overslept", counters.overslept},
+          {"suspected", counters.suspected},
+          {"refuted", counters.refuted},
+          {"gone", counters.gone},
+          {"returned", counters.returned},
+          {"syncs", counters.syncs},
+          {"syncs_refused", counters.syncs_refused},
+          {"members_refused", counters.members_refused},
+          {"from_the_gone", counters.from_the_gone},
+          {"names_twice", counters.names_twice},
+          {"superseded", counters.superseded},
+          {"reclaimed", counters.reclaimed},
+          {"parcels", counters.payloads},
+          {"payloads_dropped", counters.payloads_dropped}};
 }
 
-json described(const Member& member, Micros now) {
-  json one{{"name", member.name},
-           {"site", member.site},
-           {"address", member.address},
-           {"start", member.start},
-           {"incarnation", member.incarnation},
-           {"standing", word(member.standing)},
-           {"since_ms", ms_since(now, member.since)},
-           {"by", member.by},
-           {"unreachable_from_here", member.unreachable_from_here}};
-  one["heard_ms"] = member.heard ? json(ms_since(now, *member.heard)) : json(nullptr);
-  return one;
+json member_json(const Member& member, Micros now) {
+  json document{{"name", member.name},
+                {"site", member.site},
+                {"address", member.address},
+                {"start", member.start},
+                {"incarnation", member.incarnation},
+                {"standing", name_of(member.standing)},
+                {"since_ms", ms_since(now, member.since)},
+                {"by", member.by},
+                {"unreachable_from_here", member.unreachable_from_here}};
+  document["heard_ms"] = member.heard ? json(ms_since(now, *member.heard)) : json(nullptr);
+  return document;
 }
 
 }  // namespace
 
-json Agent::Parts::describe(Micros at) const {
-  const View& view = members.view(at);
-  json out{{"me", view.me},
-           {"version", view.version},
-           {"period_ms", view.period.count() / 1000},
-           {"known", view.known},
-           {"there", view.there()},
-           {"local_health", members.health()},
-           {"superseded", members.superseded()},
-           {"counters", counters_of(members.counters())}};
-  out["minority_ms"] = view.minority_since ? json(ms_since(at, *view.minority_since)) : json(nullptr);
-  json& list = out["members"] = json::array();
+json Agent::Impl::describe(Micros now) const {
+  const View& view = members.view(now);
+  json document{{"me", view.me},
+                {"version", view.version},
+                {"period_ms", view.period.count() / 1000},
+                {"known", view.known},
+                {"there", view.there()},
+                {"local_health", members.health_score()},
+                {"superseded", members.superseded()},
+                {"counters", counters_json(members.counters())}};
+  document["minority_ms"] = view.minority_since ? json(ms_since(now, *view.minority_since)) : json(nullptr);
+  json& list = document["members"] = json::array();
   for (const Member& member : view.members)
-    list.push_back(described(member, at));
+    list.push_back(member_json(member, now));
   for (const Extension* extension : extensions)
-    out[extension->topic() == Topic::pools ? "pools" : "tiers"] = extension->describe(at);
-  return out;
+    document[extension->topic() == Topic::pools ? "pools" : "tiers"] = extension->describe(now);
+  return document;
 }
 
 }  // namespace lemonroute::peers
--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -1,7 +1,7 @@
-// What rides on the datagrams between routers beside membership: pools and the map of kept state. An
-// extension does no I/O and reads no clock; all its calls come from one thread, with times that never go
-// back. Datagrams may be lost, repeated, reordered and late, so what an extension says must bear that (a
-// merge, or a question with its answer).
+// Extensions exchange data of their own on the datagrams between routers, beside membership: the pools, and
+// the map of KV cache locations. An extension does no I/O and reads no clock. All its calls come from one
+// thread, with times that never go back. Datagrams may be lost, duplicated, reordered and delayed, so an
+// extension's messages must tolerate that, for example as a merge or as a request with its reply.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -12,27 +12,37 @@
 
 namespace lemonroute::peers {
 
+/// Selects the extension that receives a payload; the numbers are on the wire.
 enum class Topic : std::uint32_t { pools = 1, tiers = 2 };
 
+/// Sends payloads of extensions.
 class Outbox {
  public:
   virtual ~Outbox() = default;
-  static constexpr std::size_t most = 1000;  // bytes of one payload; a longer one is dropped, and counted
-  // To a member by name; dropped where the view does not know it. Nothing says whether it arrives.
+  /// Maximum size of a payload in bytes; a longer one is dropped and counted.
+  static constexpr std::size_t most = 1000;
+  /// Sends a payload to a member by its name. Dropped if the view does not have that member; arrival is not
+  /// reported.
   virtual void send(Topic topic, std::string_view to, std::string bytes) = 0;
 };
 
+/// A protocol on top of membership.
 class Extension {
  public:
   virtual ~Extension() = default;
+  /// The topic of its payloads.
   virtual Topic topic() const = 0;
-  virtual void viewed(Micros now, const View& view) = 0;  // it has changed; first call before any other
-  // The sender's name is proven by the key; what it says need not be true. What can't be read is counted and
-  // dropped.
+  /// The view has changed. The first of these calls precedes all other calls.
+  virtual void viewed(Micros now, const View& view) = 0;
+  /// Handles a payload. The sender holds the fleet's key, but the contents may be false. An unreadable
+  /// payload must be counted and dropped.
   virtual void receive(Micros now, std::string_view from, std::string_view bytes, Outbox& out) = 0;
+  /// Runs the work that is due.
   virtual void run_due(Micros now, Outbox& out) = 0;
+  /// When run_due() must be called next.
   virtual Micros next_due() const = 0;
-  virtual nlohmann::json describe(Micros now) const = 0;  // for operators, on the management listener
+  /// Its state, for operators on the management listener.
+  virtual nlohmann::json describe(Micros now) const = 0;
 };
 
 }  // namespace lemonroute::peers
--- a/src/peers/membership/detector/probe.h
+++ b/src/peers/membership/detector/probe.h
@@ -1,28 +1,39 @@
-// The one probe of a period: asked directly, then through helpers, then judged.
+// The probe of a protocol period: a direct ping, then indirect pings through helpers, then the outcome.
 #pragma once
 
 #include <optional>
 #include <string>
 
-#include "peers/membership/detector/health.h"
+#include "peers/membership/detector/local_health.h"
 
 namespace lemonroute::peers::membership {
 
+/// State of a probe in progress.
 struct Probe {
+  /// Name of the probed member.
   std::string name;
-  std::uint64_t start = 0;  // the process that was asked
+  /// Start of the probed process, Unix time in microseconds.
+  std::uint64_t start = 0;
+  /// Sequence number of the ping and of the requests to helpers.
   std::uint32_t sequence = 0;
-  std::uint64_t ask_at = 0, judge_at = 0;  // ticks
-  std::uint32_t asked = 0, answered = 0;   // helpers, and those of them who said anything
-  bool direct = false, indirect = false;   // it was heard so
+  /// Ticks at which helpers are asked and at which the probe ends.
+  std::uint64_t indirect_at = 0, ends_at = 0;
+  /// Helpers asked, and those of them that sent an ack or a nack.
+  std::uint32_t helpers_asked = 0, helpers_answered = 0;
+  /// Whether the member acknowledged the ping itself, or through a helper.
+  bool direct_ack = false, indirect_ack = false;
 
-  enum class Verdict { well, well_by_others, missed };
-  Verdict verdict() const {
-    return direct ? Verdict::well : indirect ? Verdict::well_by_others : Verdict::missed;
+  /// Result of a probe.
+  enum class Outcome { acked, acked_indirectly, failed };
+  /// The result so far.
+  Outcome outcome() const {
+    return direct_ack ? Outcome::acked : indirect_ack ? Outcome::acked_indirectly : Outcome::failed;
+  }
+  /// Whether a failed probe suggests a fault of this router: no helper was asked, or some were silent.
+  /// Nacks from all helpers show that this router receives well and that the member is the one missing.
+  bool local_fault_likely() const {
+    return outcome() == Outcome::failed && (helpers_asked == 0 || helpers_answered < helpers_asked);
   }
-  // Helpers that are silent too say that it is this router that hears badly; helpers who say they missed
-  // it as well, that it is not.
-  bool own_fault() const { return verdict() == Verdict::missed && (asked == 0 || answered < asked); }
 };
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/detector/probe_order.h
+++ b/src/peers/membership/detector/probe_order.h
@@ -1,6 +1,6 @@
-// Whom to probe next: each once in a round, in an order that is drawn anew for each. So a member that ends is
-// probed by each other one within a round at the latest, and by some other one within a period or two on
-// average.
+// Order of probing: each member once in a round, in an order that is shuffled for each round. A member that
+// fails is therefore probed by each other member within one round, and by at least one of them within a
+// period or two on average.
 #pragma once
 
 #include <deque>
@@ -11,21 +11,26 @@
 
 namespace lemonroute::peers::membership {
 
+/// Chooses members to probe, to gossip to and to ask for help. Does not own the entries.
 class ProbeOrder {
  public:
-  void add(Entry& entry,
-           Random& random);  // at a place drawn, so that many who join are not probed by all in one order
+  /// Inserts at a random position, so that routers do not all probe new members in the same order.
+  void add(Entry& entry, Random& random);
+  /// Removes an entry; call it before the entry is destroyed.
   void remove(const Entry& entry);
-  Entry* next(Random& random);                                // null: nobody is there
-  Entry* draw(Random& random, Standing gone_or_there) const;  // anyone who is there, or, if asked for, gone
-  // Up to `most` who are there, without `but`, from as many sites as can be: a site cut off is no witness for
-  // its own.
-  std::vector<Entry*> helpers(Random& random, const Entry* but, std::size_t most) const;
+  /// Next live member to probe; null if there is none.
+  Entry* next(Random& random);
+  /// A random live member, or a random gone one if `standing` is `gone`; null if there is none.
+  Entry* random_member(Random& random, Standing standing) const;
+  /// Up to `most` random live members without `excluded`, from as many sites as possible: a site that
+  /// is cut off cannot judge whether its own members are reachable.
+  std::vector<Entry*> random_across_sites(Random& random, const Entry* excluded, std::size_t most) const;
+  /// Number of members, live or not.
   std::size_t size() const { return order_.size(); }
 
  private:
   std::vector<Entry*> order_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/dissemination/news.h
+++ b/src/peers/membership/dissemination/news.h
@@ -1,5 +1,5 @@
-// Facts that are still to be told, each a bounded number of times, those told least first. One fact of a
-// member replaces the one before it.
+// Queue of facts to piggyback on datagrams. Each fact is transmitted a bounded number of times, those with
+// the fewest transmissions first. A newer fact about a member replaces the queued one.
 #pragma once
 
 #include <vector>
@@ -8,31 +8,37 @@
 
 namespace lemonroute::peers::membership {
 
+/// The broadcast queue. Does not own the entries.
 class News {
  public:
+  /// Queues the current fact of the entry, replacing an older one.
   void add(Entry& entry);
-  void drop(const Entry& entry);  // it is forgotten
-  bool empty() const { return waiting_ == 0; }
-  // Up to limits::offered, as they stand now. Those that found room count as told: told(n), for the first n
-  // of them.
+  /// Removes the entry from the queue; call it before the entry is destroyed.
+  void drop(const Entry& entry);
+  /// Whether nothing is queued.
+  bool empty() const { return queued_ == 0; }
+  /// Offers up to limits::offered entries with their current facts, for a fleet of `members`. Each offer must
+  /// be followed by told(n), where n is how many of them, from the front, fit into the datagram.
   const std::vector<Entry*>& next(std::size_t members);
+  /// Counts one transmission for each of the first `count` offered entries.
   void told(std::size_t count);
 
-  static std::size_t times(std::size_t members);  // each is told
+  /// How many times each fact is transmitted in a fleet of `members`.
+  static std::size_t times(std::size_t members);
 
  private:
   struct Item {
     Entry* entry;
-    std::uint64_t number;
+    std::uint64_t id;
   };
-  bool stale(const Item& item) const { return item.entry->news != item.number; }
-
-  std::vector<std::vector<Item>> by_times_;  // the newest at the back
-  std::vector<Item> offered_;
-  std::vector<std::size_t> offered_times_;
-  std::vector<Entry*> offer_;
-  std::uint64_t numbers_ = 0;
-  std::size_t waiting_ = 0, most_times_ = 1;
+  bool is_replaced(const Item& item) const { return item.entry->broadcast_id != item.id; }
+
+  std::vector<std::vector<Item>> by_transmissions_;  // the newest at the back
+  std::vector<Item> offered_items_;
+  std::vector<std::size_t> offered_transmissions_;
+  std::vector<Entry*> offered_entries_;
+  std::uint64_t last_id_ = 0;
+  std::size_t queued_ = 0, max_transmissions_ = 1;
 };
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/fact.cpp
+++ b/src/peers/membership/fact.cpp
@@ -21,7 +21,7 @@
 
 bool valid_address(std::string_view address) {
   const auto colon = address.rfind(':');
-  if (colon == std::string_view::npos || colon == 0 || address.size() > limits::address_bytes)
+  if (colon == std::string_view::npos || colon == 0 || address.size() > limits::max_address_bytes)
     return false;
   std::uint16_t port = 0;
   const char* end = address.data() + address.size();
@@ -30,7 +30,7 @@
 }
 
 bool valid(const Fact& fact) {
-  return valid_name(fact.name) && fact.site.size() <= limits::site_bytes && printable(fact.site) &&
+  return valid_name(fact.name) && fact.site.size() <= limits::max_site_bytes && printable(fact.site) &&
          valid_address(fact.address) && fact.start <= limits::start &&
          fact.incarnation <= limits::incarnation && (fact.by.empty() || valid_name(fact.by));
 }
--- a/src/peers/membership/fact.h
+++ b/src/peers/membership/fact.h
@@ -1,4 +1,4 @@
-// What is said of one router, and which of two sayings overrides the other.
+// A claim about one router, as it is sent between routers, and its validity.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,31 @@
 
 namespace lemonroute::peers::membership {
 
+/// What a router claims about a member.
 struct Fact {
+  /// The member's name, its site, and the address at which it receives datagrams ("127.0.0.1:7946").
   std::string name, site, address;
+  /// Start of the member's process as Unix time in microseconds, and the member's incarnation.
   std::uint64_t start = 0, incarnation = 0;
+  /// The claimed standing.
   Standing standing = Standing::alive;
+  /// Name of the router that first reported this standing; may be empty.
   std::string by;
-  bool there() const { return standing == Standing::alive || standing == Standing::suspected; }
+  /// Whether the member is alive or suspected.
+  bool is_live() const { return standing == Standing::alive || standing == Standing::suspected; }
 };
 
-// The process that a fact is about. The newer start wins; between equal ones the greater address, so that any
-// two routers name the same winner.
-inline auto process(const Fact& fact) {
+/// Identity and order of the process that a fact is about. The later start is the newer process; the greater
+/// address breaks ties, so that all routers agree on the newer one.
+inline auto process_id(const Fact& fact) {
   return std::tie(fact.start, fact.address);
 }
 
-bool valid_name(std::string_view name);        // 1 to 64 printable characters, no blank, quote or backslash
-bool valid_address(std::string_view address);  // host:port or [host]:port
-bool valid(const Fact& fact);                  // every field is within its bounds
+/// Whether the name has 1 to 64 printable ASCII characters other than space, quote and backslash.
+bool valid_name(std::string_view name);
+/// Whether the address has the form host:port or [host]:port.
+bool valid_address(std::string_view address);
+/// Whether every field but the standing is within its bounds.
+bool valid(const Fact& fact);
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -1,4 +1,4 @@
-// What is made of what is said of members.
+// Merging of received claims into the member table.
 #include <algorithm>
 
 #include "peers/membership/hash.h"
@@ -6,19 +6,20 @@
 
 namespace lemonroute::peers::membership {
 
-void Membership::take(const Fact& said, const Fact& sender, bool only_good) {
-  Entry* entry = table_.find(said.name);
-  if (said.name == own_.own().name) {
-    if (process(said) < process(own_.own()))
-      return older(*entry, said, said.name == sender.name);
-    return about_me(said);  // from the gone too: two who hold each other gone must get out of that
+void Membership::merge(const Fact& claim, const Fact& sender, bool alive_claims_only) {
+  Entry* entry = table_.find(claim.name);
+  if (claim.name == self_.own().name) {
+    if (process_id(claim) < process_id(self_.own()))
+      return handle_older_process(*entry, claim, claim.name == sender.name);
+    // Gone senders are heard too: two routers that hold each other gone must recover.
+    return merge_claim_about_self(claim);
   }
-  if (only_good && said.standing != Standing::alive)
+  if (alive_claims_only && claim.standing != Standing::alive)
     return;
-  apply(judge(entry, said, unix_now()), entry, said, sender);
+  apply_verdict(judge(entry, claim, unix_now()), entry, claim, sender);
 }
 
-void Membership::apply(Verdict verdict, Entry* entry, const Fact& said, const Fact& sender) {
+void Membership::apply_verdict(Verdict verdict, Entry* entry, const Fact& claim, const Fact& sender) {
   switch (verdict) {
     case Verdict::nothing:
       return;
@@ -26,58 +27,58 @@
       ++counters_.implausible;
       return;
     case Verdict::older:
-      return older(*entry, said, said.name == sender.name);
+      return handle_older_process(*entry, claim, claim.name == sender.name);
     case Verdict::hearsay:
-      return hearsay(*entry, said, sender);
+      return handle_gone_claim(*entry, claim, sender);
     case Verdict::confirm:
-      return confirm(*entry, said.by);
+      return confirm_suspicion(*entry, claim.by);
     case Verdict::suspect:
-      return suspect(*entry, said, sender);
+      return begin_suspicion(*entry, claim, sender);
     case Verdict::unknown:
-      if (Entry* added = add(said); added && said.standing == Standing::suspected)
-        suspect(*added, said, sender);
+      if (Entry* added = add_member(claim); added && claim.standing == Standing::suspected)
+        begin_suspicion(*added, claim, sender);
       return;
     case Verdict::newer: {
-      const bool doubted = said.standing == Standing::suspected || said.standing == Standing::gone;
-      Fact fact = said;
-      if (doubted)
+      const bool accused = claim.standing == Standing::suspected || claim.standing == Standing::gone;
+      Fact fact = claim;
+      if (accused)
         fact.standing = Standing::alive;
-      if (!entry->fact.there())
+      if (!entry->fact.is_live())
         ++counters_.returned;
-      entry->older_since.reset();
-      entry->older_told = false;
-      table_.set(*entry, fact, now_);
-      news_.add(*entry);
-      if (doubted)
-        suspect(*entry, said, sender);
+      entry->older_process_since.reset();
+      entry->older_process_reported = false;
+      table_.update(*entry, fact, now_);
+      broadcasts_.add(*entry);
+      if (accused)
+        begin_suspicion(*entry, claim, sender);
       return;
     }
     case Verdict::refuted:
-      if (!entry->fact.there())
+      if (!entry->fact.is_live())
         ++counters_.returned;
-      table_.set(*entry, said, now_);
-      news_.add(*entry);
+      table_.update(*entry, claim, now_);
+      broadcasts_.add(*entry);
       return;
     case Verdict::left:
-      table_.set(*entry, said, now_);
-      news_.add(*entry);
+      table_.update(*entry, claim, now_);
+      broadcasts_.add(*entry);
       return;
   }
 }
 
-void Membership::about_me(const Fact& said) {
-  switch (own_.told(said, now_, unix_now())) {
+void Membership::merge_claim_about_self(const Fact& claim) {
+  switch (self_.told(claim, now_, unix_now())) {
     case OwnName::Then::nothing:
       return;
     case OwnName::Then::refuted:
       ++counters_.refuted;
-      health_.worse();
+      health_.degrade();
       break;
     case OwnName::Then::superseded:
       ++counters_.superseded;
-      if (said.address != own_.own().address)
-        notice("a newer process of the name " + said.name + " is at " + said.address + ", this one is at " +
-               own_.own().address + ": the newer start holds the name");
+      if (claim.address != self_.own().address)
+        add_notice("a newer process holds this router's name: name=" + claim.name +
+                   " address=" + claim.address + " own_address=" + self_.own().address);
       break;
     case OwnName::Then::reclaimed:
       ++counters_.reclaimed;
@@ -85,25 +86,25 @@
     case OwnName::Then::updated:
       break;
   }
-  self_changed();
+  update_self();
 }
 
-void Membership::self_changed() {
-  Entry* self = table_.find(own_.own().name);
-  Fact fact = own_.superseded() ? *own_.later() : own_.own();
+void Membership::update_self() {
+  Entry* self = table_.find(self_.own().name);
+  Fact fact = self_.superseded() ? *self_.successor() : self_.own();
   fact.standing = Standing::alive;
-  table_.set(*self, fact, now_);
-  if (!own_.superseded())
-    news_.add(*self);
+  table_.update(*self, fact, now_);
+  if (!self_.superseded())
+    broadcasts_.add(*self);
 }
 
-Entry* Membership::add(const Fact& fact) {
+Entry* Membership::add_member(const Fact& fact) {
   std::string evicted;
   Entry* entry = table_.add(fact, now_, &evicted);
   if (!entry && !evicted.empty()) {
-    Entry* old = table_.find(evicted);
-    order_.remove(*old);
-    news_.drop(*old);
+    Entry* evicted_entry = table_.find(evicted);
+    probe_order_.remove(*evicted_entry);
+    broadcasts_.drop(*evicted_entry);
     table_.forget(evicted);
     entry = table_.add(fact, now_, &evicted);
   }
@@ -113,88 +114,90 @@
   }
   if (fact.standing == Standing::suspected)
     table_.mark(*entry, Standing::alive, fact.by, now_);
-  order_.add(*entry, random_);
-  news_.add(*entry);
+  probe_order_.add(*entry, random_);
+  broadcasts_.add(*entry);
   return entry;
 }
 
-void Membership::suspect(Entry& entry, const Fact& said, const Fact& sender, bool by_hearsay) {
+void Membership::begin_suspicion(Entry& entry, const Fact& claim, const Fact& sender, bool from_gone_claims) {
   ++counters_.suspected;
-  Fact fact = said;
+  Fact fact = claim;
   fact.standing = Standing::suspected;
   if (fact.by.empty())
     fact.by = sender.name;
-  table_.set(entry, fact, now_);
+  table_.update(entry, fact, now_);
   entry.confirmed_by.clear();
   const auto members = table_.there();
-  table_.suspect(entry, by_hearsay ? Suspicion::by_hearsay(now_, members, options_.period, fact.by)
-                                   : Suspicion(now_, members, options_.period, fact.by));
-  news_.add(entry);
+  table_.suspect(entry, from_gone_claims
+                            ? Suspicion::from_gone_claims(now_, members, options_.period, fact.by)
+                            : Suspicion(now_, members, options_.period, fact.by));
+  broadcasts_.add(entry);
 }
 
-void Membership::confirm(Entry& entry, std::string_view by) {
+void Membership::confirm_suspicion(Entry& entry, std::string_view by) {
   if (!entry.suspicion)
     return;
-  const Micros before = entry.suspicion->deadline();
+  const Micros previous_deadline = entry.suspicion->deadline();
   if (!entry.suspicion->confirm(by))
     return;
-  table_.rearm(entry, before);
+  table_.update_deadline(entry, previous_deadline);
   entry.confirmed_by = by;
-  news_.add(entry);
+  broadcasts_.add(entry);
 }
 
-void Membership::hearsay(Entry& entry, const Fact& said, const Fact& sender) {
+void Membership::handle_gone_claim(Entry& entry, const Fact& claim, const Fact& sender) {
   const auto by = hash_of(sender.name);
-  const bool second = entry.hearsay_by && entry.hearsay_by != by &&
-                      now_ - entry.hearsay_at >= options_.period &&
-                      now_ - entry.hearsay_at < options_.period * limits::twice;
-  if (second) {
-    entry.hearsay_by = 0;
-    return suspect(entry, said, sender, true);
+  const bool second_claim = entry.gone_claim_by && entry.gone_claim_by != by &&
+                            now_ - entry.gone_claim_at >= options_.period &&
+                            now_ - entry.gone_claim_at < options_.period * limits::twice;
+  if (second_claim) {
+    entry.gone_claim_by = 0;
+    return begin_suspicion(entry, claim, sender, true);
   }
-  if (!entry.hearsay_by || now_ - entry.hearsay_at >= options_.period * limits::twice) {
-    entry.hearsay_by = by;
-    entry.hearsay_at = now_;
+  if (!entry.gone_claim_by || now_ - entry.gone_claim_at >= options_.period * limits::twice) {
+    entry.gone_claim_by = by;
+    entry.gone_claim_at = now_;
   }
-  again(entry.fact.name);
+  queue_priority_probe(entry.fact.name);
 }
 
-// An upgrade runs for a while beside the process that it replaces. What goes on for long is a mistake of two
-// routers.
-void Membership::older(Entry& entry, const Fact& said, bool first_hand) {
-  if (!first_hand || !entry.fact.there() || said.address == entry.fact.address)
+// During an upgrade the older process runs for a while beside the newer one. If it keeps running, two routers
+// are configured with the same name.
+void Membership::handle_older_process(Entry& entry, const Fact& claim, bool first_hand) {
+  if (!first_hand || !entry.fact.is_live() || claim.address == entry.fact.address)
     return;
-  if (!entry.older_since)
-    entry.older_since = now_;
-  if (entry.older_told || now_ - *entry.older_since < options_.period * limits::twice)
+  if (!entry.older_process_since)
+    entry.older_process_since = now_;
+  if (entry.older_process_reported || now_ - *entry.older_process_since < options_.period * limits::twice)
     return;
-  entry.older_told = true;
+  entry.older_process_reported = true;
   ++counters_.names_twice;
-  notice("two routers are named " + said.name + ": " + entry.fact.address +
-         ", whose newer start holds the name, and " + said.address);
+  add_notice("two routers have the same name, the later start holds it: name=" + claim.name +
+             " holder=" + entry.fact.address + " other=" + claim.address);
 }
 
-// Guards against giving up one who never heard that it is suspected: the news of that may all have gone into
-// a cut that has healed since, and who is only suspected makes no difference between digests.
-void Membership::last_calls() {
-  while (last_calls_ < limits::last_calls) {
-    Entry* entry = table_.uncalled(now_ + options_.period * limits::last_call);
+// Tells suspected members of the suspicion once more before the deadline. All transmissions of it may have
+// been lost in a partition that has healed since, and anti-entropy does not repeat them, since digests leave
+// the standing of live members out.
+void Membership::send_final_pings() {
+  while (final_pings_ < limits::max_final_pings) {
+    Entry* entry = table_.awaiting_final_ping(now_ + options_.period * limits::final_ping_lead_periods);
     if (!entry)
       return;
-    ++last_calls_;
-    entry->suspicion->called = true;
+    ++final_pings_;
+    entry->suspicion->final_ping_sent = true;
     send(entry->fact.address, wire::Ping{0, entry->fact.name, table_.digest()}, entry);
   }
 }
 
-void Membership::give_up(Micros now) {
+void Membership::declare_gone(Micros now) {
   while (Entry* entry = table_.expired(now)) {
     ++counters_.gone;
     table_.mark(*entry, Standing::gone, entry->fact.by, now);
-    entry->hearsay_by = 0;
-    news_.add(*entry);
+    entry->gone_claim_by = 0;
+    broadcasts_.add(*entry);
   }
-  present_.note(table_, now);
+  view_builder_.update_minority(table_, now);
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/hash.h
+++ b/src/peers/membership/hash.h
@@ -1,4 +1,4 @@
-// The same hash on every router: digests are compared between them.
+// The hash behind the digests. All routers must compute the same one, since they compare digests.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -8,6 +8,7 @@
 
 namespace lemonroute::peers::membership {
 
+/// XXH3 of a text, the same on every machine.
 inline std::uint64_t hash_of(std::string_view text, std::uint64_t seed = 0) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -1,4 +1,4 @@
-// Every bound of membership in one place. Times are in periods of the protocol, of ten ticks each.
+// All bounds and timing constants of membership. A protocol period has ten ticks.
 #pragma once
 
 #include <cstddef>
@@ -6,46 +6,80 @@
 
 namespace lemonroute::peers::membership::limits {
 
-inline constexpr std::size_t plain_bytes = 1150;  // of a datagram before it is sealed
-inline constexpr std::size_t name_bytes = 64, site_bytes = 64, address_bytes = 64;
-inline constexpr std::size_t facts = 40;    // taken from one datagram; a valid one has no room for more
-inline constexpr std::size_t offered = 24;  // facts of usual length that fill one
-inline constexpr std::size_t buckets = 64;  // of the members' digest
-inline constexpr std::size_t seeds = 32;
-inline constexpr std::uint64_t incarnation = 1ull << 32;  // beyond it: not believed, a start is taken instead
-inline constexpr std::uint64_t start = 1ull << 52;        // Unix us, the year 2112
-inline constexpr std::uint64_t ahead =
-    86'400'000'000ull;  // a start so far in the future is not believed, 1 day
-
-inline constexpr int ticks = 10;           // in a period
-inline constexpr int probe_ticks = 3;      // until others are asked, at local health 0
-inline constexpr std::size_t helpers = 3;  // asked for one probe
-inline constexpr std::size_t helped = 64;  // pings for others under way
-inline constexpr int worst_health = 4;     // probes go up to 1 + this times slower
-
-inline constexpr int gossip_ticks = 5;  // between rounds of gossip while there is news
-inline constexpr std::size_t gossip_to = 3;
-inline constexpr int retransmit = 4;         // times log10(n + 1), for each fact
-inline constexpr std::size_t queued = 4096;  // facts that wait to be told
-
-inline constexpr int suspicion = 4;       // least, times log10(n), 1 at least
-inline constexpr int suspicion_most = 6;  // times the least, without confirmations
-inline constexpr std::size_t confirmations = 3;
-inline constexpr int last_call = 2;   // periods before a deadline, the member is told once more
-inline constexpr int last_calls = 8;  // in a period
-
-inline constexpr int slices = 8;              // datagrams of facts for one exchange
-inline constexpr int syncs_answered = 4;      // in a period
-inline constexpr std::size_t again = 64;      // members that are to be asked next
-inline constexpr int asides = 4;              // pings in a period that nobody waits for
-inline constexpr std::size_t payloads = 512;  // of extensions, in a period
-
-inline constexpr int gone_ping = 5;    // periods between pings to one of the gone
-inline constexpr int seed_ping = 30;   // periods between pings to a seed that is no member
-inline constexpr int gone_for = 3600;  // periods for which one who is gone or has left is remembered
-inline constexpr int unreachable = 4;  // direct probes in a row that failed where indirect ones did not
-inline constexpr int claim = 8;        // periods in which a newer process of one's own name must be heard
-inline constexpr int twice = 30;       // periods for which two processes of a name may both go on
-inline constexpr std::size_t notices = 16;  // lines for the operator that wait
+/// Maximum size of a datagram before sealing.
+inline constexpr std::size_t plain_bytes = 1150;
+/// Maximum lengths of the text fields of a fact.
+inline constexpr std::size_t name_bytes = 64, max_site_bytes = 64, max_address_bytes = 64;
+/// Facts accepted from one datagram; a valid datagram has no room for more.
+inline constexpr std::size_t max_facts = 40;
+/// Facts offered for one datagram: as many of usual length fill it.
+inline constexpr std::size_t offered = 24;
+/// Buckets of the member table's digest.
+inline constexpr std::size_t buckets = 64;
+/// Seed addresses that are used.
+inline constexpr std::size_t max_seeds = 32;
+/// Greatest incarnation that is accepted. A router that would exceed it takes a newer start instead.
+inline constexpr std::uint64_t incarnation = 1ull << 32;
+/// Greatest start that is accepted: Unix time in microseconds, in the year 2112.
+inline constexpr std::uint64_t start = 1ull << 52;
+/// A start that is this far in the future is not believed: one day.
+inline constexpr std::uint64_t max_start_ahead_us = 86'400'000'000ull;
+
+/// Ticks in a period.
+inline constexpr int ticks_per_period = 10;
+/// Ticks from a probe's ping to the requests to helpers, at local health 0.
+inline constexpr int direct_probe_ticks = 3;
+/// Members that are asked to ping the target of one probe.
+inline constexpr std::size_t helpers_per_probe = 3;
+/// Pings on behalf of other routers in flight.
+inline constexpr std::size_t max_indirect_pings = 64;
+/// Worst local health score; probes take up to 1 + this times as long.
+inline constexpr int max_health_score = 4;
+
+/// Ticks between rounds of gossip while the broadcast queue is not empty.
+inline constexpr int gossip_interval_ticks = 5;
+/// Members that a round of gossip is sent to.
+inline constexpr std::size_t gossip_fanout = 3;
+/// Transmissions of each queued fact, times log10(n + 1) rounded up.
+inline constexpr int retransmit_multiplier = 4;
+/// Facts in the broadcast queue.
+inline constexpr std::size_t max_queued_facts = 4096;
+
+/// Minimum suspicion timeout in periods, times log10(n) but at least 1.
+inline constexpr int suspicion_multiplier = 4;
+/// Maximum suspicion timeout, which holds without confirmations, as a multiple of the minimum.
+inline constexpr int suspicion_most = 6;
+/// Confirmations that bring the suspicion timeout down to its minimum.
+inline constexpr std::size_t max_confirmations = 3;
+/// Periods before the suspicion deadline at which the member is told of the suspicion once more.
+inline constexpr int final_ping_lead_periods = 2;
+/// Such final pings in one period.
+inline constexpr int max_final_pings = 8;
+
+/// Datagrams of facts sent for one anti-entropy exchange.
+inline constexpr int max_exchange_datagrams = 8;
+/// Exchanges of other routers that are answered in one period.
+inline constexpr int max_syncs_answered = 4;
+/// Members queued to be probed before the regular order.
+inline constexpr std::size_t max_priority_probes = 64;
+/// Pings without an awaited ack in one period.
+inline constexpr int max_unawaited_pings = 4;
+/// Payloads of extensions sent in one period.
+inline constexpr std::size_t max_payloads = 512;
+
+/// Periods between pings to a gone member.
+inline constexpr int gone_ping_periods = 5;
+/// Periods between pings to a seed address that belongs to no member.
+inline constexpr int seed_ping_periods = 30;
+/// Periods for which a gone or left member is remembered.
+inline constexpr int gone_retention_periods = 3600;
+/// Consecutive probes that only helpers got answered, after which a member counts as unreachable from here.
+inline constexpr int unreachable_after_probes = 4;
+/// Periods within which a newer process of this router's own name must be heard from.
+inline constexpr int claim = 8;
+/// Periods for which two processes of one name may both run, as they do in an upgrade.
+inline constexpr int twice = 30;
+/// Notices for the operator that are kept until they are taken.
+inline constexpr std::size_t max_notices = 16;
 
 }  // namespace lemonroute::peers::membership::limits
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -1,6 +1,6 @@
-// SWIM with Lifeguard's additions and anti-entropy, of one router. Free of I/O; the agent gives it times
-// and packets and takes what is to be sent. Its parts decide, this class connects them: one file for each
-// kind of occasion.
+// The membership protocol of one router: SWIM with the extensions of Lifeguard, and anti-entropy. Free of
+// I/O: the agent passes in times and packets and sends what this class produces. The parts decide, this class
+// connects them; its functions are split over one file for each kind of event.
 #pragma once
 
 #include <deque>
@@ -9,39 +9,54 @@
 
 #include "peers/agent.h"
 #include "peers/membership/counters.h"
-#include "peers/membership/detector/health.h"
-#include "peers/membership/detector/helping.h"
+#include "peers/membership/detector/indirect_pings.h"
+#include "peers/membership/detector/local_health.h"
 #include "peers/membership/detector/probe.h"
 #include "peers/membership/detector/probe_order.h"
 #include "peers/membership/dissemination/news.h"
 #include "peers/membership/merge/judge.h"
 #include "peers/membership/merge/own_name.h"
 #include "peers/membership/table.h"
-#include "peers/membership/view/present.h"
+#include "peers/membership/view/view_builder.h"
 #include "peers/wire/packet.h"
 
 namespace lemonroute::peers::membership {
 
+/// Protocol state machine. Not thread-safe; times passed in must not go back.
 class Membership {
  public:
+  /// `seed` determines all random choices.
   Membership(Options options, std::uint64_t seed);
 
+  /// Adds this router to its table and schedules the first tick.
   void start(Micros now);
-  bool receive(Micros now,
-               const wire::Packet& packet);  // false: not from a member, its payload is not for extensions
+  /// Handles a packet. False: the sender is not a member, so extensions must not get its payload.
+  bool receive(Micros now, const wire::Packet& packet);
+  /// Runs the tick that is due, if any.
   void run_due(Micros now);
+  /// When run_due() must be called next.
   Micros next_due() const { return left_ ? Micros::max() : next_tick_; }
+  /// Announces that this router leaves, and ends the protocol.
   void leave(Micros now);
-  void payload(Topic topic, std::string_view to, std::string bytes);
+  /// Queues an extension's payload for a member. Drops and counts it if the member is unknown or a bound is
+  /// exceeded.
+  void send_payload(Topic topic, std::string_view to, std::string bytes);
 
-  std::vector<Datagram> take() { return std::exchange(out_, {}); }
-  std::vector<std::string> take_notices() { return std::exchange(notices_, {}); }  // lines for the operator
+  /// Removes and returns the datagrams to send.
+  std::vector<Datagram> take_datagrams() { return std::exchange(out_, {}); }
+  /// Removes and returns the notices for the operator, one log line each.
+  std::vector<std::string> take_notices() { return std::exchange(notices_, {}); }
 
+  /// Changes with each change of the view.
   std::uint64_t version() const { return table_.version(); }
-  const View& view(Micros now) { return present_.view(table_, now); }
+  /// The current view; its contents change with the next call.
+  const View& view(Micros now) { return view_builder_.view(table_, now); }
+  /// The event counters; the agent counts what it receives.
   Counters& counters() { return counters_; }
-  int health() const { return health_.score(); }
-  bool superseded() const { return own_.superseded(); }
+  /// Local health score; 0 is healthy.
+  int health_score() const { return health_.score(); }
+  /// Whether a newer process holds this router's name.
+  bool superseded() const { return self_.superseded(); }
 
  private:
   using Packet = wire::Packet;
@@ -49,42 +64,43 @@
   // ticks.cpp
   void tick();
   void begin_period();
-  void forget_old();
+  void forget_expired_members();
   // probing.cpp
-  void probe();
-  void ask_helpers();
-  void judge_probe();
-  void send_aside();
-  void again(std::string_view name);
+  void start_probe();
+  void request_indirect_pings();
+  void finish_probe();
+  void send_unawaited_ping();
+  void queue_priority_probe(std::string_view name);
   void ping_seed();
   // receiving.cpp
-  void greet(const Fact& sender);
-  void on(const Fact& sender, const wire::Ping& ping);
-  void on(const Fact& sender, const wire::Ask& ask);
-  void on(const Fact& sender, const wire::Ack& ack);
-  void on(const Fact& sender, const wire::Nack& nack);
-  void on(const Fact& sender, const wire::Sync& sync);
-  void on(const Fact&, const wire::Facts&) {}
-  void on(const Fact&, const wire::Payload&) {}
-  void heard_from(Entry& entry);
+  void merge_sender(const Fact& sender);
+  void handle(const Fact& sender, const wire::Ping& ping);
+  void handle(const Fact& sender, const wire::Ask& ask);
+  void handle(const Fact& sender, const wire::Ack& ack);
+  void handle(const Fact& sender, const wire::Nack& nack);
+  void handle(const Fact& sender, const wire::Sync& sync);
+  void handle(const Fact&, const wire::Facts&) {}
+  void handle(const Fact&, const wire::Payload&) {}
+  void record_heard(Entry& entry);
   // facts.cpp
-  void take(const Fact& said, const Fact& sender, bool only_good);
-  void apply(Verdict verdict, Entry* entry, const Fact& said, const Fact& sender);
-  void about_me(const Fact& said);
-  Entry* add(const Fact& fact);
-  void suspect(Entry& entry, const Fact& said, const Fact& sender, bool by_hearsay = false);
-  void confirm(Entry& entry, std::string_view by);
-  void hearsay(Entry& entry, const Fact& said, const Fact& sender);
-  void older(Entry& entry, const Fact& said, bool first_hand);
-  void last_calls();
-  void give_up(Micros now);
-  void self_changed();
+  void merge(const Fact& claim, const Fact& sender, bool alive_claims_only);
+  void apply_verdict(Verdict verdict, Entry* entry, const Fact& claim, const Fact& sender);
+  void merge_claim_about_self(const Fact& claim);
+  Entry* add_member(const Fact& fact);
+  void begin_suspicion(Entry& entry, const Fact& claim, const Fact& sender, bool from_gone_claims = false);
+  void confirm_suspicion(Entry& entry, std::string_view by);
+  void handle_gone_claim(Entry& entry, const Fact& claim, const Fact& sender);
+  void handle_older_process(Entry& entry, const Fact& claim, bool first_hand);
+  void send_final_pings();
+  void declare_gone(Micros now);
+  void update_self();
   // sending.cpp
-  void send(const std::string& address, wire::Body body, const Entry* about = nullptr, bool with_news = true);
+  void send(const std::string& address, wire::Body body, const Entry* about = nullptr,
+            bool with_broadcasts = true);
   void send_bucket_facts(const std::string& address, const std::vector<std::size_t>& buckets);
-  void sync_with(const std::string& address, bool answer);
+  void send_sync(const std::string& address, bool answer);
   void gossip();
-  void notice(std::string line);
+  void add_notice(std::string line);
 
   std::uint64_t unix_now() const {
     return options_.start + static_cast<std::uint64_t>((now_ - started_).count());
@@ -97,18 +113,18 @@
   bool left_ = false;
 
   Table table_;
-  OwnName own_;
-  ProbeOrder order_;
-  Health health_;
+  OwnName self_;
+  ProbeOrder probe_order_;
+  LocalHealth health_;
   std::optional<Probe> probe_;
-  Helping helping_;
-  News news_;
-  Present present_;
-  std::deque<std::string> again_;
+  IndirectPings indirect_pings_;
+  News broadcasts_;
+  ViewBuilder view_builder_;
+  std::deque<std::string> priority_probes_;  // members to probe before the regular order
   std::uint32_t sequence_;
-  int syncs_answered_ = 0, asides_ = 0, last_calls_ = 0;
-  bool synced_ = false;
-  std::size_t payloads_ = 0, next_seed_ = 0;
+  int syncs_answered_ = 0, unawaited_pings_ = 0, final_pings_ = 0;  // in this period
+  bool sync_sent_ = false;                                          // in this period
+  std::size_t payloads_sent_ = 0, next_seed_ = 0;
   std::vector<Datagram> out_;
   std::vector<std::string> notices_;
   Counters counters_;
--- a/src/peers/membership/merge/judge.cpp
+++ b/src/peers/membership/merge/judge.cpp
@@ -5,40 +5,42 @@
 namespace lemonroute::peers::membership {
 namespace {
 
-Verdict against(const Fact& held, const Fact& said) {
-  const bool later = said.incarnation > held.incarnation;
-  switch (said.standing) {
+// Judges a claim about the known process, with an incarnation that is not older.
+Verdict judge_same_process(const Fact& known, const Fact& claim) {
+  const bool newer_incarnation = claim.incarnation > known.incarnation;
+  switch (claim.standing) {
     case Standing::alive:
-      return later ? Verdict::refuted : Verdict::nothing;
+      return newer_incarnation ? Verdict::refuted : Verdict::nothing;
     case Standing::suspected:
-      if (later || held.standing == Standing::alive)
+      if (newer_incarnation || known.standing == Standing::alive)
         return Verdict::suspect;
-      return held.standing == Standing::suspected ? Verdict::confirm : Verdict::nothing;
+      return known.standing == Standing::suspected ? Verdict::confirm : Verdict::nothing;
     case Standing::gone:
-      if (held.standing == Standing::suspected)
-        return later ? Verdict::suspect : Verdict::confirm;
-      if (held.standing == Standing::alive)
+      if (known.standing == Standing::suspected)
+        return newer_incarnation ? Verdict::suspect : Verdict::confirm;
+      if (known.standing == Standing::alive)
         return Verdict::hearsay;
       return Verdict::nothing;
     case Standing::left:
-      return later || held.standing != Standing::left ? Verdict::left : Verdict::nothing;
+      return newer_incarnation || known.standing != Standing::left ? Verdict::left : Verdict::nothing;
   }
   return Verdict::nothing;
 }
 
 }  // namespace
 
-Verdict judge(const Entry* held, const Fact& said, std::uint64_t unix_now) {
+Verdict judge(const Entry* held, const Fact& claim, std::uint64_t unix_now) {
   if (!held)
-    return said.there() ? Verdict::unknown : Verdict::nothing;
+    return claim.is_live() ? Verdict::unknown : Verdict::nothing;
   const Fact& known = held->fact;
-  if (process(said) < process(known))
+  if (process_id(claim) < process_id(known))
     return Verdict::older;
-  if (process(said) > process(known)) {
-    const std::uint64_t most = unix_now + limits::ahead;
-    return known.there() && said.start > most && known.start <= most ? Verdict::implausible : Verdict::newer;
+  if (process_id(claim) > process_id(known)) {
+    const std::uint64_t latest_start = unix_now + limits::max_start_ahead_us;
+    return known.is_live() && claim.start > latest_start && known.start <= latest_start ? Verdict::implausible
+                                                                                        : Verdict::newer;
   }
-  return said.incarnation < known.incarnation ? Verdict::nothing : against(known, said);
+  return claim.incarnation < known.incarnation ? Verdict::nothing : judge_same_process(known, claim);
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/merge/judge.h
+++ b/src/peers/membership/merge/judge.h
@@ -1,28 +1,30 @@
-// What a saying does to what is held of a member. Sayings are ordered (process, incarnation, standing), so
-// that all who heard the same hold the same, whatever the order; but `gone` is never taken over at once: it
-// only makes this router ask, or its own suspicion shorter. A member that can answer always has the time
-// to.
+// How a received claim changes what is known of a member. Claims are ordered by (process, incarnation,
+// standing), so that routers that received the same claims agree, in whatever order they arrived. A claim of
+// `gone` is never adopted directly: it only makes this router ask the member, or shortens its own suspicion,
+// so that a member that can answer always has time to refute.
 #pragma once
 
 #include "peers/membership/entry.h"
 
 namespace lemonroute::peers::membership {
 
+/// What to do with a claim.
 enum class Verdict {
-  nothing,      // held already, or older than what is held
-  unknown,      // a member that is not known, and is there
-  newer,        // another process of that name, a later one
-  older,        // a process of that name that was replaced: it still talks
-  refuted,      // it is alive, by a later word than all that was said against it
-  suspect,      // begin to suspect it
-  confirm,      // one more suspects it
-  hearsay,      // somebody holds it gone whom nobody here suspects
-  left,         // it said that it ends
-  implausible,  // not believed
+  nothing,      ///< Ignore it: it is known already, or older than what is known.
+  unknown,      ///< Add the member: it is not known, and claimed to be alive or suspected.
+  newer,        ///< Replace the member's process: the claim is about a newer process of its name.
+  older,        ///< The claim is about an older process of the name, which was replaced but still runs.
+  refuted,      ///< The member is alive: its incarnation is greater than that of all claims against it.
+  suspect,      ///< Begin to suspect the member.
+  confirm,      ///< Count a confirmation of the suspicion.
+  hearsay,      ///< Another router claims a member to be gone that this router does not suspect.
+  left,         ///< The member announced that it leaves.
+  implausible,  ///< Ignore and count it: its start is too far in the future.
 };
 
-// `unix_now`: this router's own clock, in us. It only serves to refuse a start in the far future, and only
-// where the start that is held does not lie there as well: then it is this clock that is wrong.
-Verdict judge(const Entry* held, const Fact& said, std::uint64_t unix_now);
+/// Judges a claim about a member; `held` is null if the member is not known. `unix_now` is this router's
+/// clock in microseconds. It serves only to refuse a start in the far future, unless the known start lies
+/// there too, since then this router's clock is the wrong one.
+Verdict judge(const Entry* held, const Fact& claim, std::uint64_t unix_now);
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/merge/own_name.cpp
+++ b/src/peers/membership/merge/own_name.cpp
@@ -6,56 +6,57 @@
 
 namespace lemonroute::peers::membership {
 
-OwnName::Then OwnName::told(const Fact& of_me, Micros now, std::uint64_t unix_now) {
+OwnName::Then OwnName::told(const Fact& claim, Micros now, std::uint64_t unix_now) {
   if (own_.standing == Standing::left)
     return Then::nothing;
-  if (process(of_me) == process(own_)) {
-    const bool against = of_me.standing != Standing::alive || of_me.incarnation > own_.incarnation;
-    if (superseded() || !against || of_me.incarnation < own_.incarnation)
+  if (process_id(claim) == process_id(own_)) {
+    const bool contradicts = claim.standing != Standing::alive || claim.incarnation > own_.incarnation;
+    if (superseded() || !contradicts || claim.incarnation < own_.incarnation)
       return Then::nothing;
-    own_.incarnation = of_me.incarnation + 1;
+    own_.incarnation = claim.incarnation + 1;
     if (own_.incarnation < limits::incarnation)
       return Then::refuted;
-    // Nobody refutes so often: a liar's number, above which there is no room. A start voids it.
+    // No router refutes this often, so the claim was false. It leaves no greater incarnation to refute with,
+    // but a newer start overrides it.
     own_.incarnation = 0;
     ++own_.start;
     return Then::refuted;
   }
-  if (process(of_me) < process(own_))
+  if (process_id(claim) < process_id(own_))
     return Then::nothing;
-  const std::uint64_t most = unix_now + limits::ahead;
-  // As the others judge it too; but at its own address it may be its own past, from before its clock was set
-  // back.
-  if (of_me.start > most && own_.start <= most && of_me.address != own_.address)
+  const std::uint64_t latest_start = unix_now + limits::max_start_ahead_us;
+  // A start in the far future is not believed, as in judge(). A claim with this router's own address is an
+  // exception: it may be an earlier process, started before this host's clock was set back.
+  if (claim.start > latest_start && own_.start <= latest_start && claim.address != own_.address)
     return Then::nothing;
-  if (later_ && process(of_me) < process(*later_))
+  if (successor_ && process_id(claim) < process_id(*successor_))
     return Then::nothing;
-  const bool new_one = !later_ || process(of_me) != process(*later_);
-  if (!new_one && of_me.there() && of_me.incarnation <= later_->incarnation)
+  const bool new_successor = !successor_ || process_id(claim) != process_id(*successor_);
+  if (!new_successor && claim.is_live() && claim.incarnation <= successor_->incarnation)
     return Then::nothing;
-  if (new_one)
-    since_ = now, confirmed_ = false;
-  later_ = of_me;
-  if (!of_me.there())
-    return reclaim();  // one that has ended holds no name
-  return new_one ? Then::superseded : Then::updated;
+  if (new_successor)
+    superseded_at_ = now, successor_heard_ = false;
+  successor_ = claim;
+  if (!claim.is_live())
+    return reclaim();  // the newer process has ended
+  return new_successor ? Then::superseded : Then::updated;
 }
 
 void OwnName::heard(const Fact& sender, Micros) {
-  if (later_ && process(sender) == process(*later_))
-    confirmed_ = true;
+  if (successor_ && process_id(sender) == process_id(*successor_))
+    successor_heard_ = true;
 }
 
 OwnName::Then OwnName::check(Micros now) {
-  if (!later_ || confirmed_ || now - since_ < period_ * limits::claim)
+  if (!successor_ || successor_heard_ || now - superseded_at_ < period_ * limits::claim)
     return Then::nothing;
   return reclaim();
 }
 
 OwnName::Then OwnName::reclaim() {
-  own_.start = later_->start + 1;
+  own_.start = successor_->start + 1;
   own_.incarnation = 0;
-  later_.reset();
+  successor_.reset();
   return Then::reclaimed;
 }
 
--- a/src/peers/membership/merge/own_name.h
+++ b/src/peers/membership/merge/own_name.h
@@ -1,7 +1,7 @@
-// What others say of this router itself. It refutes what is said against it. A later process of its name
-// supersedes it: an upgrade, in which both run for a while, or a mistake of two routers with one name;
-// either way this one becomes quiet about itself. A later process that is never heard is a lie, or it has
-// ended: the name is taken back.
+// Claims about this router itself. It refutes claims against it. A newer process of its name supersedes it:
+// an upgrade, during which both processes run for a while, or two routers misconfigured with one name. A
+// superseded process stops announcing itself. If the newer process is never heard from, the claim was false
+// or that process has ended, and this one takes the name back.
 #pragma once
 
 #include <optional>
@@ -10,29 +10,38 @@
 
 namespace lemonroute::peers::membership {
 
+/// This router's own fact, and the newer process of its name if there is one.
 class OwnName {
  public:
+  /// What a claim, a packet or a check has led to.
   enum class Then { nothing, refuted, superseded, updated, reclaimed };
 
   OwnName(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
 
+  /// The fact that this process announces about itself.
   const Fact& own() const { return own_; }
-  const std::optional<Fact>& later() const { return later_; }  // who superseded this one, as far as was told
-  bool superseded() const { return later_.has_value(); }
-
-  Then told(const Fact& of_my_name, Micros now, std::uint64_t unix_now);
-  void heard(const Fact& sender, Micros now);  // a packet that says to be from that later process
-  Then check(Micros now);                      // once a period
-  void end() { own_.standing = Standing::left; }
+  /// The newer process that superseded this one, as last claimed; nothing if there is none.
+  const std::optional<Fact>& successor() const { return successor_; }
+  /// Whether a newer process holds this router's name.
+  bool superseded() const { return successor_.has_value(); }
+
+  /// Handles a claim about this router's name; `unix_now` is in microseconds.
+  Then told(const Fact& claim, Micros now, std::uint64_t unix_now);
+  /// Handles a packet whose sender has this router's name but is another process.
+  void heard(const Fact& sender, Micros now);
+  /// Takes the name back if the newer process was not heard from in time; to be called once a period.
+  Then check(Micros now);
+  /// Marks this router as left.
+  void mark_left() { own_.standing = Standing::left; }
 
  private:
   Then reclaim();
 
   Fact own_;
   Micros period_;
-  std::optional<Fact> later_;
-  Micros since_{};
-  bool confirmed_ = false;
+  std::optional<Fact> successor_;
+  Micros superseded_at_{};
+  bool successor_heard_ = false;
 };
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/random.h
+++ b/src/peers/membership/random.h
@@ -1,4 +1,5 @@
-// Draws from a seed, the same on every machine: the library's distributions are not.
+// Random numbers that are the same for a seed on every machine, unlike the distributions of the standard
+// library.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +9,15 @@
 
 namespace lemonroute::peers::membership {
 
+/// A seeded pseudorandom generator; not for cryptography.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
-  std::uint32_t below(std::size_t most) { return most ? engine_(static_cast<std::uint32_t>(most)) : 0; }
-  std::uint32_t word() { return engine_(); }
+  /// A uniform number in [0, bound); 0 if `bound` is 0.
+  std::uint32_t below(std::size_t bound) { return bound ? engine_(static_cast<std::uint32_t>(bound)) : 0; }
+  /// A uniform 32-bit number.
+  std::uint32_t next_u32() { return engine_(); }
+  /// Shuffles the items uniformly.
   template <class T>
   void shuffle(std::vector<T>& items) {
     for (std::size_t left = items.size(); left > 1; --left)
--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -1,4 +1,4 @@
-// What is done when a packet comes.
+// Handling of received packets.
 #include "peers/membership/membership.h"
 
 namespace lemonroute::peers::membership {
@@ -8,120 +8,119 @@
     return false;
   now_ = std::max(now_, now);
   const Fact& sender = packet.sender;
-  if (sender.name == own_.own().name) {
-    if (process(sender) == process(own_.own()))
-      return false;  // itself, by a seed's address
-    own_.heard(sender, now_);
+  if (sender.name == self_.own().name) {
+    if (process_id(sender) == process_id(self_.own()))
+      return false;  // this router pinged itself through a seed address
+    self_.heard(sender, now_);
   }
   if (std::holds_alternative<wire::Payload>(packet.body)) {
     Entry* entry = table_.find(sender.name);
-    if (!entry || sender.name == own_.own().name)
+    if (!entry || sender.name == self_.own().name)
       return false;
     if (sender.start == entry->fact.start)
-      heard_from(*entry);
+      record_heard(*entry);
     return true;
   }
-  greet(sender);
-  const Entry* held = table_.find(sender.name);
-  if (!held)
-    return false;  // there is no room for it
-  // Whom others cannot reach takes them all for gone. What it says against them counts for nothing here.
-  const bool only_good = !held->fact.there() && process(held->fact) == process(sender);
-  if (only_good)
+  merge_sender(sender);
+  const Entry* entry = table_.find(sender.name);
+  if (!entry)
+    return false;  // the table is full
+  // A member that others cannot reach holds all of them gone, so its claims against them are ignored.
+  const bool alive_claims_only = !entry->fact.is_live() && process_id(entry->fact) == process_id(sender);
+  if (alive_claims_only)
     ++counters_.from_the_gone;
   for (const Fact& fact : packet.facts)
-    take(fact, sender, only_good);
-  std::visit([&](const auto& body) { on(sender, body); }, packet.body);
+    merge(fact, sender, alive_claims_only);
+  std::visit([&](const auto& body) { handle(sender, body); }, packet.body);
   return true;
 }
 
-void Membership::greet(const Fact& sender) {
-  Fact said = sender;
-  said.standing = Standing::alive;
-  said.by = sender.name;
-  take(said, sender, false);
+void Membership::merge_sender(const Fact& sender) {
+  Fact claim = sender;
+  claim.standing = Standing::alive;
+  claim.by = sender.name;
+  merge(claim, sender, false);
   Entry* entry = table_.find(sender.name);
-  if (!entry || sender.name == own_.own().name || process(entry->fact) != process(sender))
+  if (!entry || sender.name == self_.own().name || process_id(entry->fact) != process_id(sender))
     return;
-  heard_from(*entry);
-  if (!entry->fact.there())
-    again(sender.name);  // it is told, and comes back by a later incarnation
+  record_heard(*entry);
+  if (!entry->fact.is_live())
+    // The ping tells the sender that it is held gone; it returns with a greater incarnation.
+    queue_priority_probe(sender.name);
 }
 
-void Membership::heard_from(Entry& entry) {
-  entry.heard = now_;
+void Membership::record_heard(Entry& entry) {
+  entry.last_heard = now_;
 }
 
-void Membership::on(const Fact& sender, const wire::Ping& ping) {
-  if (!ping.to.empty() && ping.to != own_.own().name)
-    return;  // for who was here before
+void Membership::handle(const Fact& sender, const wire::Ping& ping) {
+  if (!ping.to.empty() && ping.to != self_.own().name)
+    return;  // the ping is for another router that had this address before
   const Entry* known = table_.find(sender.name);
-  send(sender.address, wire::Ack{ping.sequence, own_.own().name, table_.digest(), own_.own().start}, known);
+  send(sender.address, wire::Ack{ping.sequence, self_.own().name, table_.digest(), self_.own().start}, known);
 }
 
-void Membership::on(const Fact& sender, const wire::Ask& ask) {
-  if (ask.to == own_.own().name)
+void Membership::handle(const Fact& sender, const wire::Ask& ask) {
+  if (ask.to == self_.own().name)
     return;
-  Help help{++sequence_ ? sequence_ : ++sequence_,
-            ask.sequence,
-            sender.name,
-            sender.address,
-            ask.to,
-            tick_ + limits::probe_ticks};
-  const auto own = help.own;
-  if (!helping_.add(std::move(help)))
+  IndirectPing indirect_ping{
+      ++sequence_ ? sequence_ : ++sequence_, ask.sequence, sender.name, sender.address, ask.to,
+      tick_ + limits::direct_probe_ticks};
+  const auto own_sequence = indirect_ping.own_sequence;
+  if (!indirect_pings_.add(std::move(indirect_ping)))
     return;
-  send(ask.address, wire::Ping{own, ask.to, table_.digest()}, table_.find(ask.to));
+  send(ask.address, wire::Ping{own_sequence, ask.to, table_.digest()}, table_.find(ask.to));
 }
 
-void Membership::on(const Fact& sender, const wire::Ack& ack) {
+void Membership::handle(const Fact& sender, const wire::Ack& ack) {
   if (sender.name == ack.of) {
     Entry* entry = table_.find(ack.of);
-    const bool same = entry && process(entry->fact) == process(sender);
-    if (same && entry->direct_failed) {
-      entry->direct_failed = 0;
+    const bool same_process = entry && process_id(entry->fact) == process_id(sender);
+    if (same_process && entry->direct_probe_failures) {
+      entry->direct_probe_failures = 0;
       table_.set_unreachable(*entry, false);
     }
-    if (auto help = helping_.answered(ack.sequence, ack.of); help && same)
-      send(help->asker_address, wire::Ack{help->theirs, help->of, 0, ack.start});
-    if (probe_ && probe_->sequence == ack.sequence && probe_->name == ack.of && same)
-      probe_->direct = true;
-    if (ack.digest && ack.digest != table_.digest() && !synced_)
-      sync_with(sender.address, false);
+    if (auto indirect_ping = indirect_pings_.take_acknowledged(ack.sequence, ack.of);
+        indirect_ping && same_process)
+      send(indirect_ping->requester_address,
+           wire::Ack{indirect_ping->request_sequence, indirect_ping->target, 0, ack.start});
+    if (probe_ && probe_->sequence == ack.sequence && probe_->name == ack.of && same_process)
+      probe_->direct_ack = true;
+    if (ack.digest && ack.digest != table_.digest() && !sync_sent_)
+      send_sync(sender.address, false);
   } else if (probe_ && probe_->sequence == ack.sequence && probe_->name == ack.of) {
-    // Guards against holding a process that is no more for alive, since a later one at its address answers
-    // others.
+    // An ack from a newer process at the same address does not show that the probed one is alive.
     if (probe_->start == ack.start)
-      probe_->indirect = true;
-    ++probe_->answered;
+      probe_->indirect_ack = true;
+    ++probe_->helpers_answered;
   }
 }
 
-void Membership::on(const Fact&, const wire::Nack& nack) {
+void Membership::handle(const Fact&, const wire::Nack& nack) {
   if (probe_ && probe_->sequence == nack.sequence && probe_->name == nack.of)
-    ++probe_->answered;
+    ++probe_->helpers_answered;
 }
 
-void Membership::on(const Fact& sender, const wire::Sync& sync) {
-  if (!sync.answer && syncs_answered_ >= limits::syncs_answered) {
+void Membership::handle(const Fact& sender, const wire::Sync& sync) {
+  if (!sync.answer && syncs_answered_ >= limits::max_syncs_answered) {
     ++counters_.syncs_refused;
     return;
   }
-  const auto own = table_.buckets();
-  std::vector<std::size_t> differ;
-  for (std::size_t at = 0; at < own.size(); ++at)
-    if (own[at] != sync.buckets[at])
-      differ.push_back(at);
+  const auto own_buckets = table_.buckets();
+  std::vector<std::size_t> differing;
+  for (std::size_t at = 0; at < own_buckets.size(); ++at)
+    if (own_buckets[at] != sync.buckets[at])
+      differing.push_back(at);
   if (!sync.answer) {
     ++syncs_answered_;
-    sync_with(sender.address, true);
-  } else if (!std::exchange(synced_, false)) {
-    return;  // no answer that this router waits for
+    send_sync(sender.address, true);
+  } else if (!std::exchange(sync_sent_, false)) {
+    return;  // this router awaits no answer
   } else {
-    synced_ = true;
+    sync_sent_ = true;
   }
-  if (!differ.empty())
-    send_bucket_facts(sender.address, differ);
+  if (!differing.empty())
+    send_bucket_facts(sender.address, differing);
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/suspicion/suspicion.cpp
+++ b/src/peers/membership/suspicion/suspicion.cpp
@@ -8,46 +8,52 @@
 namespace lemonroute::peers::membership {
 namespace {
 
-Micros times(Micros time, double factor) {
+Micros scaled(Micros time, double factor) {
   return Micros(std::llround(static_cast<double>(time.count()) * factor));
 }
 
 }  // namespace
 
 Micros least_suspicion(std::size_t members, Micros period) {
-  return times(period, limits::suspicion * std::max(1.0, std::log10(static_cast<double>(members))));
+  return scaled(period,
+                limits::suspicion_multiplier * std::max(1.0, std::log10(static_cast<double>(members))));
 }
 
 Suspicion::Suspicion(Micros now, std::size_t members, Micros period, std::string_view by)
-    : started_(now), least_(least_suspicion(members, period)), most_(least_ * limits::suspicion_most) {
-  by_[0] = hash_of(by);
-  // Of three members one can confirm, of two none.
-  wanted_ = std::min(limits::confirmations, members > 2 ? members - 2 : 0);
+    : started_(now),
+      min_timeout_(least_suspicion(members, period)),
+      max_timeout_(min_timeout_ * limits::suspicion_most) {
+  reporters_[0] = hash_of(by);
+  // Neither the first reporter nor the suspected member can confirm: one of three members can, none of two.
+  confirmations_needed_ = std::min(limits::max_confirmations, members > 2 ? members - 2 : 0);
 }
 
-Suspicion Suspicion::by_hearsay(Micros now, std::size_t members, Micros period, std::string_view by) {
-  Suspicion made(now, members, period, by);
-  made.least_ = made.most_ = made.least_ * 2;
-  return made;
+Suspicion Suspicion::from_gone_claims(Micros now, std::size_t members, Micros period, std::string_view by) {
+  Suspicion suspicion(now, members, period, by);
+  suspicion.min_timeout_ = suspicion.max_timeout_ = suspicion.min_timeout_ * 2;
+  return suspicion;
 }
 
 bool Suspicion::confirm(std::string_view by) {
   const auto hash = hash_of(by);
-  if (count_ > wanted_ || std::find(by_.begin(), by_.begin() + count_, hash) != by_.begin() + count_)
+  if (reporter_count_ > confirmations_needed_ ||
+      std::find(reporters_.begin(), reporters_.begin() + reporter_count_, hash) !=
+          reporters_.begin() + reporter_count_)
     return false;
-  by_[count_++] = hash;
+  reporters_[reporter_count_++] = hash;
   return true;
 }
 
-void Suspicion::shift(Micros late) {
-  started_ += late;
+void Suspicion::postpone(Micros delay) {
+  started_ += delay;
 }
 
 Micros Suspicion::deadline() const {
-  if (wanted_ == 0)
-    return started_ + least_;
-  const double part = std::log(static_cast<double>(count_)) / std::log(static_cast<double>(wanted_) + 1.0);
-  return started_ + std::max(least_, most_ - times(most_ - least_, part));
+  if (confirmations_needed_ == 0)
+    return started_ + min_timeout_;
+  const double progress = std::log(static_cast<double>(reporter_count_)) /
+                          std::log(static_cast<double>(confirmations_needed_) + 1.0);
+  return started_ + std::max(min_timeout_, max_timeout_ - scaled(max_timeout_ - min_timeout_, progress));
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/suspicion/suspicion.h
+++ b/src/peers/membership/suspicion/suspicion.h
@@ -1,7 +1,7 @@
-// How long a suspected member has to refute. The time grows with the logarithm of the members, since both the
-// suspicion and its refutation need so long to reach all; each further router that misses the member
-// shortens it (Lifeguard's dogpile), down to the least, never below: a refutation always has time to arrive,
-// whoever claims what.
+// Timeout of a suspicion: how long a suspected member has to refute it. The timeout grows with the logarithm
+// of the number of members, since a suspicion and its refutation need that long to reach all of them. Each
+// further router that suspects the member shortens it (Lifeguard's dogpile), but never below the minimum, so
+// that a refutation always has time to arrive, whatever others claim.
 #pragma once
 
 #include <array>
@@ -14,23 +14,33 @@
 
 namespace lemonroute::peers::membership {
 
+/// Minimum suspicion timeout for a fleet of `members`.
 Micros least_suspicion(std::size_t members, Micros period);
 
+/// Timer of one suspicion.
 class Suspicion {
  public:
+  /// Starts a suspicion that the router `by` reported.
   Suspicion(Micros now, std::size_t members, Micros period, std::string_view by);
-  // On others' word alone: twice the least, and no confirmation shortens it.
-  static Suspicion by_hearsay(Micros now, std::size_t members, Micros period, std::string_view by);
-
-  bool confirm(std::string_view by);  // true: it is another one's, and counts
-  void shift(Micros late);            // this router slept: the member had no chance to be heard
+  /// A suspicion that rests on claims of other routers alone: its timeout is twice the minimum, and no
+  /// confirmation shortens it.
+  static Suspicion from_gone_claims(Micros now, std::size_t members, Micros period, std::string_view by);
+
+  /// Counts a confirmation by the router `by`. False: that router is counted already, or enough have
+  /// confirmed.
+  bool confirm(std::string_view by);
+  /// Moves the timer by the time for which this router was stalled and could not have heard the member.
+  void postpone(Micros delay);
+  /// When the member is declared gone.
   Micros deadline() const;
-  bool called = false;  // it was told once more, shortly before the deadline
+  /// Whether the member was told of the suspicion once more shortly before the deadline.
+  bool final_ping_sent = false;
 
  private:
-  Micros started_{}, least_{}, most_{};
-  std::array<std::uint64_t, limits::confirmations + 1> by_{};  // hashes; the first is who began it
-  std::size_t count_ = 1, wanted_ = 0;
+  Micros started_{}, min_timeout_{}, max_timeout_{};
+  std::array<std::uint64_t, limits::max_confirmations + 1>
+      reporters_{};  // hashes; the first is that of the first reporter
+  std::size_t reporter_count_ = 1, confirmations_needed_ = 0;
 };
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/table.cpp
+++ b/src/peers/membership/table.cpp
@@ -7,7 +7,7 @@
 namespace lemonroute::peers::membership {
 namespace {
 
-// Without the standing: who is only suspected, here or there, is no difference between two tables.
+// Leaves the standing out, so that a member that only one of two routers suspects makes no difference.
 std::uint64_t hash_of(const Fact& fact) {
   return membership::hash_of(fact.address, membership::hash_of(fact.name, fact.start) + fact.incarnation);
 }
@@ -23,9 +23,9 @@
   return membership::hash_of(name) % limits::buckets;
 }
 
-void Table::count(const Entry& entry, int sign) {
-  if (entry.fact.there()) {
-    there_ += static_cast<std::size_t>(sign);
+void Table::update_totals(const Entry& entry, int sign) {
+  if (entry.fact.is_live()) {
+    live_ += static_cast<std::size_t>(sign);
     hashes_[bucket_of(entry.fact.name)] ^= hash_of(entry.fact);
   } else if (entry.fact.standing == Standing::gone) {
     gone_ += static_cast<std::size_t>(sign);
@@ -33,39 +33,39 @@
 }
 
 Entry* Table::add(const Fact& fact, Micros now, std::string* evicted) {
-  if (entries_.size() >= most_) {
+  if (entries_.size() >= max_members_) {
     const Entry* oldest = nullptr;
     for (const auto& [name, entry] : entries_)
-      if (!entry.fact.there() && (!oldest || entry.since < oldest->since))
+      if (!entry.fact.is_live() && (!oldest || entry.standing_since < oldest->standing_since))
         oldest = &entry;
     if (!oldest)
       return nullptr;
     *evicted = oldest->fact.name;
-    return nullptr;  // the caller lets go of it first, then asks again
+    return nullptr;  // the caller forgets the evicted member and tries again
   }
   Entry& entry = entries_[fact.name];
   entry.fact = fact;
-  entry.since = now;
+  entry.standing_since = now;
   in_bucket_[bucket_of(fact.name)].push_back(&entry);
-  count(entry, 1);
+  update_totals(entry, 1);
   ++version_;
   return &entry;
 }
 
-void Table::set(Entry& entry, const Fact& fact, Micros now) {
-  const bool other = process(entry.fact) != process(fact);
-  if (other || entry.fact.standing != fact.standing)
-    entry.since = now;
+void Table::update(Entry& entry, const Fact& fact, Micros now) {
+  const bool other_process = process_id(entry.fact) != process_id(fact);
+  if (other_process || entry.fact.standing != fact.standing)
+    entry.standing_since = now;
   if (fact.standing != Standing::suspected)
     clear_suspicion(entry);
-  if (other) {
-    entry.direct_failed = 0;
+  if (other_process) {
+    entry.direct_probe_failures = 0;
     entry.unreachable = false;
-    entry.heard.reset();
+    entry.last_heard.reset();
   }
-  count(entry, -1);
+  update_totals(entry, -1);
   entry.fact = fact;
-  count(entry, 1);
+  update_totals(entry, 1);
   ++version_;
 }
 
@@ -73,7 +73,7 @@
   Fact fact = entry.fact;
   fact.standing = standing;
   fact.by = std::move(by);
-  set(entry, fact, now);
+  update(entry, fact, now);
 }
 
 void Table::set_unreachable(Entry& entry, bool unreachable) {
@@ -87,7 +87,7 @@
   if (at == entries_.end())
     return;
   clear_suspicion(at->second);
-  count(at->second, -1);
+  update_totals(at->second, -1);
   std::erase(in_bucket_[bucket_of(name)], &at->second);
   entries_.erase(at);
   ++version_;
@@ -95,14 +95,14 @@
 
 std::uint64_t Table::digest() const {
   const auto digest = XXH3_64bits(hashes_.data(), sizeof(hashes_));
-  return digest ? digest : 1;  // 0 says that none is told
+  return digest ? digest : 1;  // 0 stands for no digest on the wire
 }
 
 std::array<std::uint32_t, limits::buckets> Table::buckets() const {
-  std::array<std::uint32_t, limits::buckets> short_ones{};
+  std::array<std::uint32_t, limits::buckets> truncated{};
   for (std::size_t at = 0; at < hashes_.size(); ++at)
-    short_ones[at] = static_cast<std::uint32_t>(hashes_[at]);
-  return short_ones;
+    truncated[at] = static_cast<std::uint32_t>(hashes_[at]);
+  return truncated;
 }
 
 void Table::suspect(Entry& entry, Suspicion suspicion) {
@@ -111,8 +111,8 @@
   deadlines_.emplace(suspicion.deadline(), entry.fact.name);
 }
 
-void Table::rearm(Entry& entry, Micros before) {
-  deadlines_.erase({before, entry.fact.name});
+void Table::update_deadline(Entry& entry, Micros previous_deadline) {
+  deadlines_.erase({previous_deadline, entry.fact.name});
   deadlines_.emplace(entry.suspicion->deadline(), entry.fact.name);
 }
 
@@ -129,22 +129,22 @@
   return find(deadlines_.begin()->second);
 }
 
-Entry* Table::uncalled(Micros before) {
+Entry* Table::awaiting_final_ping(Micros before) {
   for (const auto& [at, name] : deadlines_) {
     if (at > before)
       return nullptr;
     Entry* entry = find(name);
-    if (!entry->suspicion->called)
+    if (!entry->suspicion->final_ping_sent)
       return entry;
   }
   return nullptr;
 }
 
-void Table::shift_suspicions(Micros late) {
+void Table::postpone_suspicions(Micros delay) {
   std::set<std::pair<Micros, std::string>> shifted;
   for (const auto& [at, name] : deadlines_) {
     auto& suspicion = *find(name)->suspicion;
-    suspicion.shift(late);
+    suspicion.postpone(delay);
     shifted.emplace(suspicion.deadline(), name);
   }
   deadlines_ = std::move(shifted);
--- a/src/peers/membership/view/present.cpp
+++ b/src/peers/membership/view/view_builder.cpp
@@ -1,22 +1,23 @@
-#include "peers/membership/view/present.h"
+#include "peers/membership/view/view_builder.h"
 
 namespace lemonroute::peers::membership {
 namespace {
 
 Member member_of(const Entry& entry) {
   const Fact& fact = entry.fact;
-  return {fact.name,     fact.site,   fact.address, fact.start,  fact.incarnation,
-          fact.standing, entry.since, fact.by,      entry.heard, entry.unreachable};
+  return {fact.name,        fact.site,        fact.address,         fact.start,
+          fact.incarnation, fact.standing,    entry.standing_since, fact.by,
+          entry.last_heard, entry.unreachable};
 }
 
 }  // namespace
 
-Present::Present(std::string me, Micros period) {
+ViewBuilder::ViewBuilder(std::string me, Micros period) {
   view_.me = std::move(me);
   view_.period = period;
 }
 
-void Present::note(const Table& table, Micros now) {
+void ViewBuilder::update_minority(const Table& table, Micros now) {
   const bool minority = table.there() * 2 < table.there() + table.gone();
   if (!minority)
     minority_since_.reset();
@@ -24,11 +25,11 @@
     minority_since_ = now;
 }
 
-const View& Present::view(const Table& table, Micros now) {
+const View& ViewBuilder::view(const Table& table, Micros now) {
   view_.at = now;
   view_.minority_since = minority_since_;
-  if (made_of_ != table.version()) {
-    made_of_ = view_.version = table.version();
+  if (table_version_ != table.version()) {
+    table_version_ = view_.version = table.version();
     view_.known = static_cast<std::uint32_t>(table.there() + table.gone());
     view_.members.clear();
     view_.members.reserve(table.entries().size());
@@ -36,9 +37,9 @@
       view_.members.push_back(member_of(entry));
     return view_;
   }
-  std::size_t at = 0;  // only ages have moved
+  std::size_t at = 0;  // the table's version is the same, so only these times can differ
   for (const auto& [name, entry] : table.entries())
-    view_.members[at++].heard = entry.heard;
+    view_.members[at++].heard = entry.last_heard;
   return view_;
 }
 
--- a/src/peers/seal/refusals.cpp
+++ b/src/peers/seal/refusals.cpp
@@ -16,7 +16,7 @@
   if (totals_ == logged_ || (logged_at_ && now - *logged_at_ < log_interval))
     return std::nullopt;
   std::string text;
-  for (std::size_t i = 0; i < kinds; ++i)
+  for (std::size_t i = 0; i < kind_count; ++i)
     if (totals_[i] > logged_[i])
       text += (text.empty() ? "" : ", ") + std::to_string(totals_[i] - logged_[i]) + " " + names[i];
   logged_ = totals_;
--- a/src/peers/seal/refusals.h
+++ b/src/peers/seal/refusals.h
@@ -14,20 +14,20 @@
 class Refusals {
  public:
   /// Why a datagram was refused; `flood` is a datagram over a rate limit.
-  enum Kind : std::uint8_t { oversize, version, key, replay, forged, flood, kinds };
+  enum Kind : std::uint8_t { oversize, unknown_version, unknown_key, replay, forged, flood, kind_count };
   /// The name of each kind in the log line and in the management JSON.
-  static constexpr std::array<const char*, kinds> names{"oversize", "unknown_version", "unknown_key",
-                                                        "replayed", "forged",          "flood"};
+  static constexpr std::array<const char*, kind_count> names{"oversize", "unknown_version", "unknown_key",
+                                                             "replayed", "forged",          "flood"};
   /// Counts one datagram refused from the address `from`.
   void count(Kind kind, const std::string& from);
   /// Totals since the start, by kind.
-  const std::array<std::uint64_t, kinds>& all() const { return totals_; }
+  const std::array<std::uint64_t, kind_count>& totals() const { return totals_; }
   /// A log line of the datagrams refused since the last line. Nothing if there are none, or if the last line
   /// is less than a minute old.
   std::optional<std::string> line(Micros now);
 
  private:
-  std::array<std::uint64_t, kinds> totals_{}, logged_{};
+  std::array<std::uint64_t, kind_count> totals_{}, logged_{};
   std::string last_from_;
   std::optional<Micros> logged_at_;
 };
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -54,7 +54,7 @@
   /// in `why`. Checks that need no cryptography come first.
   std::optional<std::string> open(std::string_view sealed, Refusal& why);
   /// Number of senders whose replay windows are kept.
-  std::size_t senders() const { return replay_windows_.size(); }
+  std::size_t sender_count() const { return replay_windows_.size(); }
 
  private:
   std::vector<Key> keys_;
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -21,12 +21,12 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds rest_of_flood{
-    5};  // what is not read meanwhile the kernel drops, once its buffer is full
-constexpr milliseconds try_home_again{500};
-constexpr std::size_t most_senders = 8192;  // twice the members of a view: a restart is another sender
+// Pause in reading over the rate limit. The kernel drops further datagrams once its buffer is full.
+constexpr milliseconds read_pause{5};
+constexpr milliseconds bind_retry_interval{500};
+constexpr std::size_t max_senders = 8192;  // twice the members of a view, since a restart is another sender
 
-std::uint64_t drawn() {
+std::uint64_t random_u64() {
   std::uint64_t value = 0;
   randombytes_buf(&value, sizeof value);
   return value;
@@ -41,22 +41,22 @@
 
 }  // namespace
 
-struct Service::Parts {
-  Parts(Service& service, Options options, const Clock& clock, const std::vector<Extension*>& extensions,
-        Desk& desk)
+struct Service::Impl {
+  Impl(Service& service, Options options, const Clock& clock, const std::vector<Extension*>& extensions,
+       Desk& desk)
       : service_(service),
         options_(std::move(options)),
         clock_(clock),
         desk_(desk),
-        socket_(listen()),
-        sealer_(options_.keys.at(0), {drawn(), options_.agent.start}),
-        opener_(options_.keys, most_senders),
-        flood_({}, secret()),
-        agent_(settled(), drawn()),
-        wake_(loop_, [this] { guarded([this] { woken(); }); }),
-        due_(loop_, [this] { guarded([this] { run_due(); }); }),
-        rest_(loop_, [this] { resume(); }),
-        home_again_(loop_, [this] { take_home(); }) {
+        socket_(bind_socket()),
+        sealer_(options_.keys.at(0), {random_u64(), options_.agent.start}),
+        opener_(options_.keys, max_senders),
+        rate_limiter_({}, secret()),
+        agent_(agent_options(), random_u64()),
+        wake_(loop_, [this] { end_on_exception([this] { handle_wake(); }); }),
+        due_(loop_, [this] { end_on_exception([this] { run_due(); }); }),
+        read_pause_(loop_, [this] { resume(); }),
+        bind_retry_(loop_, [this] { bind_configured_address(); }) {
     for (Extension* extension : extensions)
       agent_.add(*extension);
   }
@@ -64,13 +64,13 @@
   std::unique_ptr<Udp> open(const std::string& address) {
     return std::make_unique<Udp>(loop_, address, seal::most_sealed, [this](auto& from, auto bytes) {
       bool more = true;
-      guarded([&] { more = came(from, bytes); });
+      end_on_exception([&] { more = handle_datagram(from, bytes); });
       return more;
     });
   }
-  std::unique_ptr<Udp> listen() {
+  std::unique_ptr<Udp> bind_socket() {
     if (sodium_init() < 0)
-      throw std::runtime_error("peers: libsodium can't be used");
+      throw std::runtime_error("peers: libsodium could not be initialized");
     try {
       return open(options_.listen);
     } catch (const std::runtime_error&) {
@@ -78,9 +78,10 @@
         throw;
     }
     auto socket = open(with_port(options_.listen, "0"));
-    logging::info() << "peers: " << options_.listen << " is another process's still, on " << socket->address()
-                    << " meanwhile";
-    away_ = true;
+    logging::info()
+        << "peers: address still in use by another process, listening on a temporary port: address="
+        << options_.listen << " temporary=" << socket->address();
+    on_temporary_port_ = true;
     return socket;
   }
   static seal::Flood::Secret secret() {
@@ -88,51 +89,51 @@
     randombytes_buf(secret.data(), secret.size());
     return secret;
   }
-  // Known once the socket is there.
-  const peers::Options& settled() {
+  // The agent's options, with the address that is known once the socket is bound.
+  const peers::Options& agent_options() {
     auto& address = options_.agent.address;
     if (address.empty())
       address = with_port(options_.listen, port_of(socket_->address()));
-    else if (away_ || port_of(address) == "0")
+    else if (on_temporary_port_ || port_of(address) == "0")
       address = with_port(address, port_of(socket_->address()));
     std::erase(options_.agent.seeds, address);
     service_.address_ = address;
     return options_.agent;
   }
-  // The address others were told to join by, once the process before this one has let go of it.
-  void take_home() {
+  // Also receives on the configured address once the previous process has closed it.
+  void bind_configured_address() {
     try {
-      home_ = open(options_.listen);
-      logging::info() << "peers: takes " << options_.listen << " too";
+      configured_socket_ = open(options_.listen);
+      logging::info() << "peers: also listening on the configured address: address=" << options_.listen;
     } catch (const std::runtime_error&) {
-      home_again_.start(try_home_again);
+      bind_retry_.start(bind_retry_interval);
     }
   }
 
-  // Guards against an exception that would pass through the event loop, which can't bear one, and end what
-  // serves.
+  // An exception must not pass through the event loop and end the process: it ends this service only.
   template <class Work>
-  void guarded(Work work) {
+  void end_on_exception(Work work) {
     try {
       work();
     } catch (const std::exception& error) {
-      logging::error() << "peers: ended by a fault, serving goes on alone: " << error.what();
+      logging::error() << "peers: thread ended by an exception, serving continues without peers: error="
+                       << error.what();
       service_.failed_ = true;
       loop_.stop();
     }
   }
 
   void run() {
-    guarded([this] {
+    end_on_exception([this] {
       agent_.start(clock_.now());
-      if (away_)
-        home_again_.start(try_home_again);
+      if (on_temporary_port_)
+        bind_retry_.start(bind_retry_interval);
       round();
     });
     if (!service_.failed_)
       loop_.run();
   }
-  void woken() {
+  void handle_wake() {
     const Micros now = clock_.now();
     desk_.woken(now);
     if (service_.ending_) {
@@ -150,37 +151,38 @@
     round();
   }
 
-  bool came(const std::string& from, std::string_view bytes) {
+  bool handle_datagram(const std::string& from, std::string_view bytes) {
     using seal::Refusals;
     const Micros now = clock_.now();
-    const bool more = flood_.take(now);
+    const bool more = rate_limiter_.take(now);
     if (!more)
-      rest_.start(rest_of_flood);
-    if (!more || !flood_.look(now, from)) {
+      read_pause_.start(read_pause);
+    if (!more || !rate_limiter_.look(now, from)) {
       refusals_.count(Refusals::flood, from);
       return more;
     }
-    auto why = seal::Refusal::none;
-    const auto plain = opener_.open(bytes, why);
+    auto refusal = seal::Refusal::none;
+    const auto plain = opener_.open(bytes, refusal);
     if (plain) {
-      flood_.prove(now, from);
+      rate_limiter_.prove(now, from);
       ++opened_;
       agent_.receive(now, from, *plain);
-      // One round for all that has come together. Danger: a deferred job would run once more as the loop
-      // goes.
+      // A timer merges the rounds of all datagrams read together. A deferred job of the loop would not do: it
+      // would run once more when the loop is destroyed.
       if (!std::exchange(round_due_, true))
         due_.start(Micros(0));
       return true;
     }
-    constexpr Refusals::Kind kinds[] = {Refusals::forged, Refusals::oversize, Refusals::version,
-                                        Refusals::key,    Refusals::replay,   Refusals::forged};
-    refusals_.count(kinds[static_cast<std::size_t>(why)], from);
+    constexpr Refusals::Kind kind_of[] = {Refusals::forged,          Refusals::oversize,
+                                          Refusals::unknown_version, Refusals::unknown_key,
+                                          Refusals::replay,          Refusals::forged};
+    refusals_.count(kind_of[static_cast<std::size_t>(refusal)], from);
     return true;
   }
   void resume() {
     socket_->resume();
-    if (home_)
-      home_->resume();
+    if (configured_socket_)
+      configured_socket_->resume();
   }
 
   void send() {
@@ -189,23 +191,23 @@
         ++too_long_;
         continue;
       }
-      const auto instead = via().find(datagram.to);
-      const std::string& to = instead == via_.end() ? datagram.to : instead->second;
+      const auto replacement = address_overrides().find(datagram.to);
+      const std::string& to = replacement == address_overrides_.end() ? datagram.to : replacement->second;
       if (socket_->send(to, sealer_.seal(datagram.bytes)))
         ++sent_;
       else
         ++unsent_;
     }
   }
-  const std::unordered_map<std::string, std::string>& via() {
+  const std::unordered_map<std::string, std::string>& address_overrides() {
     const View& view = agent_.view();
-    if (options_.via.empty() || std::exchange(via_version_, view.version) == view.version)
-      return via_;
-    via_.clear();
+    if (options_.via.empty() || std::exchange(overrides_version_, view.version) == view.version)
+      return address_overrides_;
+    address_overrides_.clear();
     for (const auto& [name, address] : options_.via)
       if (const auto* member = view.find(name))
-        via_[member->address] = address;
-    return via_;
+        address_overrides_[member->address] = address;
+    return address_overrides_;
   }
   void round() {
     round_due_ = false;
@@ -222,23 +224,23 @@
   const Clock& clock_;
   Desk& desk_;
   net::Loop loop_;
-  bool away_ = false;
-  std::unique_ptr<Udp> socket_, home_;
+  bool on_temporary_port_ = false;
+  std::unique_ptr<Udp> socket_, configured_socket_;
   seal::Sealer sealer_;
   seal::Opener opener_;
-  seal::Flood flood_;
+  seal::Flood rate_limiter_;
   seal::Refusals refusals_;
   Agent agent_;
   Wake wake_;
-  net::Timer due_, rest_, home_again_;
+  net::Timer due_, read_pause_, bind_retry_;
   std::uint64_t opened_ = 0, sent_ = 0, unsent_ = 0, too_long_ = 0;
   bool round_due_ = false;
-  std::uint64_t via_version_ = ~std::uint64_t{0};
-  std::unordered_map<std::string, std::string> via_;  // by the address that is replaced
+  std::uint64_t overrides_version_ = ~std::uint64_t{0};
+  std::unordered_map<std::string, std::string> address_overrides_;  // by the member's own address
 };
 
 Service::Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk)
-    : parts_(std::make_unique<Parts>(*this, std::move(options), clock, extensions, desk)) {}
+    : impl_(std::make_unique<Impl>(*this, std::move(options), clock, extensions, desk)) {}
 
 Service::~Service() {
   ending_ = true;
@@ -248,31 +250,31 @@
 }
 
 void Service::start() {
-  // Signals are the serving loop's.
-  sigset_t all, before;
+  // The new thread blocks all signals, so that the serving loop gets them.
+  sigset_t all, previous;
   sigfillset(&all);
-  pthread_sigmask(SIG_SETMASK, &all, &before);
-  thread_ = std::thread([this] { parts_->run(); });
-  pthread_sigmask(SIG_SETMASK, &before, nullptr);
+  pthread_sigmask(SIG_SETMASK, &all, &previous);
+  thread_ = std::thread([this] { impl_->run(); });
+  pthread_sigmask(SIG_SETMASK, &previous, nullptr);
 }
 
 void Service::wake() {
-  parts_->wake_.ring();
+  impl_->wake_.ring();
 }
 const View& Service::view() const {
-  return parts_->agent_.view();
+  return impl_->agent_.view();
 }
 
 nlohmann::json Service::describe(Micros now) const {
-  auto all = parts_->agent_.describe(now);
-  nlohmann::json datagrams{{"opened", parts_->opened_},
-                           {"sent", parts_->sent_},
-                           {"unsent", parts_->unsent_},
-                           {"too_long", parts_->too_long_}};
-  for (std::size_t i = 0; i < seal::Refusals::kinds; ++i)
-    datagrams["refused"][seal::Refusals::names[i]] = parts_->refusals_.all()[i];
-  all["datagrams"] = std::move(datagrams);
-  return all;
+  auto document = impl_->agent_.describe(now);
+  nlohmann::json datagrams{{"opened", impl_->opened_},
+                           {"sent", impl_->sent_},
+                           {"unsent", impl_->unsent_},
+                           {"too_long", impl_->too_long_}};
+  for (std::size_t i = 0; i < seal::Refusals::kind_count; ++i)
+    datagrams["refused"][seal::Refusals::names[i]] = impl_->refusals_.totals()[i];
+  document["datagrams"] = std::move(datagrams);
+  return document;
 }
 
 }  // namespace lemonroute::peers
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -1,6 +1,5 @@
-// An Agent on a UDP socket, on a loop and a thread of its own: datagrams are opened and handed to it, what it
-// says is sealed and sent. Nothing that happens here makes the serving loop wait; should this thread fail,
-// serving goes on.
+// Runs an Agent on a UDP socket, with an event loop and a thread of its own: opens received datagrams for it
+// and seals and sends its own. The serving loop never waits for this thread and goes on if it fails.
 #pragma once
 
 #include <atomic>
@@ -18,48 +17,63 @@
 
 namespace lemonroute::peers {
 
+/// The peer protocol on the network.
 class Service {
  public:
+  /// Settings of a service.
   struct Options {
-    peers::Options agent;  // its address empty: where it listens
+    /// Settings of the agent. An empty address stands for the listening address.
+    peers::Options agent;
+    /// Address to listen on.
     std::string listen;
-    // An upgrade: the process before this one still listens there. Then any free port of that address is
-    // advertised, and what comes to the address itself is taken too once it is free.
+    /// The previous process still listens on `listen`, in an upgrade. Then this process advertises a free
+    /// port of that address and also receives on `listen` once the previous process has closed it.
     bool beside_another = false;
-    std::vector<seal::Key> keys;  // the first one seals, each one opens
-    std::map<std::string, std::string>
-        via;  // a peer's name: where its datagrams go instead of its own address
+    /// Keys of the fleet: the first one seals, any of them opens.
+    std::vector<seal::Key> keys;
+    /// By a peer's name: the address to which its datagrams are sent instead of its own.
+    std::map<std::string, std::string> via;
   };
-  // What else is done on the thread of the peers.
+  /// Further work on the service's thread.
   class Desk {
    public:
     virtual ~Desk() = default;
-    virtual void woken(Micros now) = 0;  // after wake(); may be early, and once for many
-    virtual void round(Micros now, const Service& service) = 0;  // after whatever may have changed something
-    virtual Micros next_due() const = 0;  // when it wants a round, if nothing else happens
+    /// Called after wake(). Calls to wake() may be merged, and the call may come early.
+    virtual void woken(Micros now) = 0;
+    /// Called after each event that may have changed something.
+    virtual void round(Micros now, const Service& service) = 0;
+    /// When to call round() if no event comes first.
+    virtual Micros next_due() const = 0;
   };
 
-  // All of them outlive the service; the extensions and the desk are met on its thread only once it is
-  // started. Throws if the address is taken.
+  /// All references must outlive the service. Once it is started, it uses the extensions and the desk only on
+  /// its own thread. Throws std::runtime_error if the address is in use.
   Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk);
-  ~Service();  // tells the others that this router ends, and ends the thread
+  /// Tells other routers that this one leaves, and ends the thread.
+  ~Service();
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
 
+  /// Starts the thread.
   void start();
-  void wake();  // from any thread; never waits
+  /// Causes a call of Desk::woken(). May be called from any thread; never waits.
+  void wake();
+  /// Whether the thread has ended because of an exception.
   bool failed() const { return failed_; }
+  /// The address that this router advertises.
   const std::string& address() const { return address_; }
 
-  // ---- for the desk, on its thread ----
+  // ---- on the service's thread only ----
+  /// What this router knows of the others.
   const View& view() const;
-  nlohmann::json describe(Micros now) const;  // the agent's, with what was refused here
+  /// The agent's state and the counters of datagrams, for operators.
+  nlohmann::json describe(Micros now) const;
 
  private:
-  struct Parts;
+  struct Impl;
   std::string address_;
   std::atomic<bool> ending_{false}, failed_{false};
-  std::unique_ptr<Parts> parts_;
+  std::unique_ptr<Impl> impl_;
   std::thread thread_;
 };
 
--- a/src/peers/udp.h
+++ b/src/peers/udp.h
@@ -1,5 +1,4 @@
-// One UDP socket on the loop. Thin: what comes is handed on with its sender's address, and nothing is decided
-// here.
+// A UDP socket on the event loop. It passes on each datagram with its sender's address and decides nothing.
 #pragma once
 
 #include <functional>
@@ -11,24 +10,30 @@
 
 namespace lemonroute::peers {
 
+/// A bound, non-blocking UDP socket.
 class Udp {
  public:
-  // Called for each datagram; false: leave the rest with the kernel until resume(). A datagram longer than
-  // `most` comes as most + 1 bytes.
-  using Came = std::function<bool(const std::string& from, std::string_view bytes)>;
-  Udp(net::Loop& loop, const std::string& address, std::size_t most, Came came);  // throws if it is taken
+  /// Called for each datagram. False: stop reading until resume(), and leave further datagrams in the
+  /// kernel's buffer.
+  using OnDatagram = std::function<bool(const std::string& from, std::string_view bytes)>;
+  /// Binds to `address`; throws std::runtime_error if that fails. A datagram longer than `max_bytes` is
+  /// passed on truncated to max_bytes + 1.
+  Udp(net::Loop& loop, const std::string& address, std::size_t max_bytes, OnDatagram on_datagram);
   ~Udp();
   Udp(const Udp&) = delete;
   Udp& operator=(const Udp&) = delete;
 
-  std::string address() const;                               // where it listens, with the port it got
-  bool send(const std::string& to, std::string_view bytes);  // false: the kernel has not taken it
+  /// The bound address, with the port that the kernel chose if the given one was 0.
+  std::string address() const;
+  /// Sends a datagram. False: the address is invalid or the kernel did not accept the datagram.
+  bool send(const std::string& to, std::string_view bytes);
+  /// Resumes reading.
   void resume();
 
  private:
-  void readable();
-  std::size_t most_;
-  Came came_;
+  void on_readable();
+  std::size_t max_bytes_;
+  OnDatagram on_datagram_;
   int fd_;
   std::string buffer_;
   net::EventPtr event_;
--- a/src/peers/view.cpp
+++ b/src/peers/view.cpp
@@ -7,7 +7,7 @@
 const Member* View::find(std::string_view name) const {
   const auto at =
       std::lower_bound(members.begin(), members.end(), name,
-                       [](const Member& one, std::string_view other) { return one.name < other; });
+                       [](const Member& member, std::string_view wanted) { return member.name < wanted; });
   return at != members.end() && at->name == name ? &*at : nullptr;
 }
 
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -1,5 +1,6 @@
-// What one router knows of the others: a fact with an age, not a truth. Views of two routers may differ, and
-// one that is cut off keeps what it last heard; docs/peers-design.md says what each user of a view does then.
+// What one router knows of the others. It may be out of date: views of two routers may differ, and a router
+// that is cut off keeps what it last received. docs/peers-design.md says how each user of a view deals with
+// that.
 #pragma once
 
 #include <cstdint>
@@ -12,39 +13,63 @@
 
 namespace lemonroute::peers {
 
+/// State of a member as one router sees it.
 enum class Standing : std::uint8_t {
   alive,
-  suspected,  // missed by somebody, not yet given up: it may refute that
-  gone,       // given up
-  left,       // said itself that it ends
+  suspected,  ///< some router got no ack from it; it may still refute the suspicion
+  gone,       ///< the suspicion was not refuted in time
+  left,       ///< it announced that it leaves
 };
 
+/// One member of a view.
 struct Member {
-  std::string name;         // unique in the fleet, up to 64 bytes
-  std::string site;         // zone of the list in which it stands
-  std::string address;      // where it takes datagrams, "127.0.0.1:7946"
-  std::uint64_t start = 0;  // Unix time in us at which its process started; a newer one is another process
-  std::uint64_t incarnation = 0;  // grows each time that it refutes a suspicion
+  /// Unique name in the fleet, up to 64 bytes.
+  std::string name;
+  /// Zone in which the endpoint list has it.
+  std::string site;
+  /// Address at which it receives datagrams, such as "127.0.0.1:7946".
+  std::string address;
+  /// Start of its process, Unix time in microseconds; a greater one is a newer process.
+  std::uint64_t start = 0;
+  /// Grows with each suspicion that it refutes.
+  std::uint64_t incarnation = 0;
+  /// Its state.
   Standing standing = Standing::alive;
-  Micros since{};                      // of that standing, on this router's clock
-  std::string by;                      // who noticed it first, as far as was told
-  std::optional<Micros> heard;         // the last word that came here from itself
-  bool unreachable_from_here = false;  // others hear it, this router does not
+  /// Since when it has that standing, on this router's clock.
+  Micros since{};
+  /// Router that first reported the standing, as far as is known.
+  std::string by;
+  /// When this router last heard from it directly.
+  std::optional<Micros> heard;
+  /// Whether other routers reach it and this one does not.
+  bool unreachable_from_here = false;
+  /// Whether it is alive or suspected.
   bool there() const { return standing == Standing::alive || standing == Standing::suspected; }
 };
 
+/// The members that a router knows, itself included.
 struct View {
-  std::uint64_t version = 0;  // another one with each change of members or standings
-  Micros at{};                // when it was so, on this router's clock
-  Micros period{};            // the protocol's period, in which expectations are counted
+  /// Differs after each change of members or standings.
+  std::uint64_t version = 0;
+  /// When the view was made, on this router's clock.
+  Micros at{};
+  /// The protocol period, the unit of the protocol's timeouts.
+  Micros period{};
+  /// Name of this router.
   std::string me;
-  std::vector<Member> members;           // by name, this router among them; the gone stay for a bounded time
-  std::uint32_t known = 1;               // of whom it has known and who did not leave of their own accord
-  std::optional<Micros> minority_since;  // sees less than half of those known, since then
+  /// All members by name, this router included; gone ones stay for a bounded time.
+  std::vector<Member> members;
+  /// Number of remembered members without those that left.
+  std::uint32_t known = 1;
+  /// Since when this router has seen less than half of the known members live; nothing otherwise.
+  std::optional<Micros> minority_since;
 
+  /// The member of a name, or null.
   const Member* find(std::string_view name) const;
+  /// This router's own entry, or null.
   const Member* self() const { return find(me); }
-  std::uint32_t there() const;  // alive or suspected, this one too
+  /// Number of members that are alive or suspected, this router included.
+  std::uint32_t there() const;
 };
 
 }  // namespace lemonroute::peers
--- a/src/peers/wake.cpp
+++ b/src/peers/wake.cpp
@@ -8,13 +8,13 @@
 
 namespace lemonroute::peers {
 
-Wake::Wake(net::Loop& loop, std::function<void()> woken)
-    : woken_(std::move(woken)), fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+Wake::Wake(net::Loop& loop, std::function<void()> on_wake)
+    : on_wake_(std::move(on_wake)), fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (fd_ < 0)
-    throw std::runtime_error("peers: no descriptor to wake a loop by");
+    throw std::runtime_error("peers: can't create an eventfd");
   event_.reset(event_new(
       loop.base(), fd_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Wake*>(self)->on_ring(); }, this));
+      [](evutil_socket_t, short, void* self) { static_cast<Wake*>(self)->on_readable(); }, this));
   event_add(event_.get(), nullptr);
 }
 
@@ -24,19 +24,19 @@
 }
 
 void Wake::ring() {
-  if (rung_.exchange(true))
+  if (pending_.exchange(true))
     return;
   const std::uint64_t one = 1;
   [[maybe_unused]] const auto written = write(fd_, &one, sizeof one);
 }
 
-void Wake::on_ring() {
+void Wake::on_readable() {
   std::uint64_t count = 0;
-  [[maybe_unused]] const auto got = read(fd_, &count, sizeof count);
-  // Before the work: what is left for this side while it works must ring again. An exchange, so that all that
-  // was left before a ring that found the bell rung is seen now.
-  rung_.exchange(false);
-  woken_();
+  [[maybe_unused]] const auto bytes_read = read(fd_, &count, sizeof count);
+  // Cleared before the callback, so that work added while it runs wakes the loop again. An exchange, so that
+  // the callback sees the work of a ring() that found the flag set already.
+  pending_.exchange(false);
+  on_wake_();
 }
 
 }  // namespace lemonroute::peers
--- a/src/peers/wake.h
+++ b/src/peers/wake.h
@@ -1,4 +1,4 @@
-// Wakes a loop from another thread. Neither side ever waits for the other.
+// Wakes an event loop from another thread, without either side waiting for the other.
 #pragma once
 
 #include <atomic>
@@ -8,21 +8,23 @@
 
 namespace lemonroute::peers {
 
+/// Runs a callback on a loop when another thread asks for it.
 class Wake {
  public:
-  Wake(net::Loop& loop, std::function<void()> woken);  // throws without a descriptor
+  /// `on_wake` runs on the loop. Throws std::runtime_error if no descriptor is available.
+  Wake(net::Loop& loop, std::function<void()> on_wake);
   ~Wake();
   Wake(const Wake&) = delete;
   Wake& operator=(const Wake&) = delete;
 
-  // From any thread. Many rings before the loop gets to it are one.
+  /// Wakes the loop; may be called from any thread. Calls made before the loop runs are merged into one.
   void ring();
 
  private:
-  void on_ring();
-  std::function<void()> woken_;
+  void on_readable();
+  std::function<void()> on_wake_;
   const int fd_;
-  std::atomic<bool> rung_{false};
+  std::atomic<bool> pending_{false};
   net::EventPtr event_;
 };
 
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -20,7 +20,7 @@
 template <class... F>
 Overload(F...) -> Overload<F...>;
 
-void put(pb::Fact& out, const Fact& fact) {
+void to_proto(pb::Fact& out, const Fact& fact) {
   out.set_name(fact.name);
   out.set_site(fact.site);
   out.set_address(fact.address);
@@ -30,7 +30,7 @@
   out.set_by(fact.by);
 }
 
-bool take(const pb::Fact& in, Fact& fact) {
+bool from_proto(const pb::Fact& in, Fact& fact) {
   if (in.standing() < pb::ALIVE || in.standing() > pb::LEFT)
     return false;
   if (in.name().size() > limits::name_bytes || in.by().size() > limits::name_bytes)
@@ -41,21 +41,21 @@
   return membership::valid(fact);
 }
 
-bool take(const pb::Packet& in, Body& body) {
-  const auto named = [](const std::string& name) { return membership::valid_name(name); };
+bool from_proto(const pb::Packet& in, Body& body) {
+  const auto is_valid_name = [](const std::string& name) { return membership::valid_name(name); };
   switch (in.body_case()) {
     case pb::Packet::kPing:
       body = Ping{in.ping().sequence(), in.ping().to(), in.ping().digest()};
-      return in.ping().to().empty() || named(in.ping().to());
+      return in.ping().to().empty() || is_valid_name(in.ping().to());
     case pb::Packet::kAsk:
       body = Ask{in.ask().sequence(), in.ask().to(), in.ask().address()};
-      return named(in.ask().to()) && membership::valid_address(in.ask().address());
+      return is_valid_name(in.ask().to()) && membership::valid_address(in.ask().address());
     case pb::Packet::kAck:
       body = Ack{in.ack().sequence(), in.ack().of(), in.ack().digest(), in.ack().start()};
-      return named(in.ack().of());
+      return is_valid_name(in.ack().of());
     case pb::Packet::kNack:
       body = Nack{in.nack().sequence(), in.nack().of()};
-      return named(in.nack().of());
+      return is_valid_name(in.nack().of());
     case pb::Packet::kSync:
       body = Sync{{in.sync().buckets().begin(), in.sync().buckets().end()}, in.sync().answer()};
       return in.sync().buckets_size() == static_cast<int>(limits::buckets);
@@ -71,67 +71,68 @@
   return false;
 }
 
-void put(pb::Packet& out, const Body& body) {
+void to_proto(pb::Packet& out, const Body& body) {
   std::visit(Overload{[&](const Facts&) { out.mutable_only(); },
-                      [&](const Ping& it) {
-                        out.mutable_ping()->set_sequence(it.sequence);
-                        out.mutable_ping()->set_to(it.to);
-                        out.mutable_ping()->set_digest(it.digest);
+                      [&](const Ping& message) {
+                        out.mutable_ping()->set_sequence(message.sequence);
+                        out.mutable_ping()->set_to(message.to);
+                        out.mutable_ping()->set_digest(message.digest);
                       },
-                      [&](const Ask& it) {
-                        out.mutable_ask()->set_sequence(it.sequence);
-                        out.mutable_ask()->set_to(it.to);
-                        out.mutable_ask()->set_address(it.address);
+                      [&](const Ask& message) {
+                        out.mutable_ask()->set_sequence(message.sequence);
+                        out.mutable_ask()->set_to(message.to);
+                        out.mutable_ask()->set_address(message.address);
                       },
-                      [&](const Ack& it) {
-                        out.mutable_ack()->set_sequence(it.sequence);
-                        out.mutable_ack()->set_of(it.of);
-                        out.mutable_ack()->set_digest(it.digest);
-                        out.mutable_ack()->set_start(it.start);
+                      [&](const Ack& message) {
+                        out.mutable_ack()->set_sequence(message.sequence);
+                        out.mutable_ack()->set_of(message.of);
+                        out.mutable_ack()->set_digest(message.digest);
+                        out.mutable_ack()->set_start(message.start);
                       },
-                      [&](const Nack& it) {
-                        out.mutable_nack()->set_sequence(it.sequence);
-                        out.mutable_nack()->set_of(it.of);
+                      [&](const Nack& message) {
+                        out.mutable_nack()->set_sequence(message.sequence);
+                        out.mutable_nack()->set_of(message.of);
                       },
-                      [&](const Sync& it) {
-                        for (const auto one : it.buckets)
+                      [&](const Sync& message) {
+                        for (const auto one : message.buckets)
                           out.mutable_sync()->add_buckets(one);
-                        out.mutable_sync()->set_answer(it.answer);
+                        out.mutable_sync()->set_answer(message.answer);
                       },
-                      [&](const Payload& it) {
-                        out.mutable_payload()->set_topic(it.topic);
-                        out.mutable_payload()->set_content(it.content);
+                      [&](const Payload& message) {
+                        out.mutable_payload()->set_topic(message.topic);
+                        out.mutable_payload()->set_content(message.content);
                       }},
              body);
 }
 
 }  // namespace
 
-std::size_t size(
-    const Fact& fact) {  // tags and lengths 2 each, numbers of 8 and 6 bytes at most, the standing 2
+// Tag and length take 2 bytes for the fact and for each text. With their tags, start and incarnation take up
+// to 9 and 6 bytes, and the standing takes 2.
+std::size_t max_encoded_bytes(const Fact& fact) {
   return 2 + 8 + fact.name.size() + fact.site.size() + fact.address.size() + fact.by.size() + 9 + 6 + 2;
 }
 
-std::string encode(const Packet& packet, std::size_t* told) {
+std::string encode(const Packet& packet, std::size_t* facts_encoded) {
   google::protobuf::Arena arena;
   auto& out = *google::protobuf::Arena::CreateMessage<pb::Packet>(&arena);
   out.set_version(version);
-  put(*out.mutable_sender(), packet.sender);
-  put(out, packet.body);
+  to_proto(*out.mutable_sender(), packet.sender);
+  to_proto(out, packet.body);
   std::size_t used = out.ByteSizeLong(), count = 0;
   for (const auto& fact : packet.facts) {
-    used += size(fact);
-    if (used > limits::plain_bytes || count == limits::facts)
+    used += max_encoded_bytes(fact);
+    if (used > limits::plain_bytes || count == limits::max_facts)
       break;
-    put(*out.add_facts(), fact);
+    to_proto(*out.add_facts(), fact);
     ++count;
   }
-  if (told)
-    *told = count;
+  if (facts_encoded)
+    *facts_encoded = count;
   return out.SerializeAsString();
 }
 
-Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& left_out) {
+Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out) {
   if (bytes.size() > limits::plain_bytes)
     return Fault::unreadable;
   google::protobuf::Arena arena;
@@ -140,27 +141,27 @@
     return Fault::unreadable;
   if (in.version() != version)
     return Fault::version;
-  const bool payload = in.has_payload();  // says only who sends it: its content needs the room
+  const bool payload = in.has_payload();  // its sender has no site or address, to leave room for the content
   auto& sender = packet.sender;
   if (payload) {
     sender = {in.sender().name(), "", "", in.sender().start(), in.sender().incarnation(),
               Standing::alive,    ""};
     if (!membership::valid_name(sender.name))
       return Fault::field;
-  } else if (!take(in.sender(), sender)) {
+  } else if (!from_proto(in.sender(), sender)) {
     return Fault::field;
   }
   sender.standing = Standing::alive;
   sender.by.clear();
-  if (!take(in, packet.body))
+  if (!from_proto(in, packet.body))
     return Fault::field;
   packet.facts.clear();
   for (const auto& one : in.facts()) {
     Fact fact;
-    if (packet.facts.size() < limits::facts && take(one, fact))
+    if (packet.facts.size() < limits::max_facts && from_proto(one, fact))
       packet.facts.push_back(std::move(fact));
     else
-      ++left_out;
+      ++facts_left_out;
   }
   return Fault::none;
 }
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -1,5 +1,5 @@
-// One datagram as the decisions see it, and its protobuf. Whatever was sent, decode gives a packet with every
-// field within its bounds or says why not.
+// One datagram in decoded form, and its encoding in protobuf (proto/peers.proto). decode() either gives a
+// packet with every field within its bounds, or the reason why it does not.
 #pragma once
 
 #include <string>
@@ -13,48 +13,66 @@
 
 using membership::Fact;
 
+/// Asks the member `to` for an ack; with sequence 0 no ack is awaited, with an empty name anyone answers.
 struct Ping {
   std::uint32_t sequence = 0;
   std::string to;
+  /// Digest of the sender's member table.
   std::uint64_t digest = 0;
 };
+/// Asks the recipient to ping the member `to` at `address` on the sender's behalf (ping-req in SWIM).
 struct Ask {
   std::uint32_t sequence = 0;
   std::string to, address;
 };
+/// Acknowledges a ping, either directly or on behalf of the member `of`.
 struct Ack {
   std::uint32_t sequence = 0;
   std::string of;
+  /// Digest of the sender's member table; 0 in an ack that is passed on.
   std::uint64_t digest = 0;
+  /// Start of the process that answered, Unix time in microseconds.
   std::uint64_t start = 0;
 };
+/// Reports that the member `of` did not answer the recipient's request in time.
 struct Nack {
   std::uint32_t sequence = 0;
   std::string of;
 };
+/// An anti-entropy exchange: the recipient sends the facts of each bucket whose hash differs from its own.
 struct Sync {
   std::vector<std::uint32_t> buckets;
+  /// Whether this is the reply to a Sync and expects none.
   bool answer = false;
 };
+/// No body, facts only.
 struct Facts {};
+/// Data of an extension.
 struct Payload {
   std::uint32_t topic = 0;
   std::string content;
 };
+/// What a packet is about.
 using Body = std::variant<Facts, Ping, Ask, Ack, Nack, Sync, Payload>;
 
+/// A decoded datagram.
 struct Packet {
+  /// The sender; its standing and reporter carry no information.
   Fact sender;
   Body body;
+  /// Piggybacked facts.
   std::vector<Fact> facts;
 };
 
+/// Why a datagram was not decoded: not parsable or too long, an unknown version, or a field out of bounds.
 enum class Fault { none, unreadable, version, field };
 
-// With as many facts as fit into limits::plain_bytes, taken from the front; `told` says how many.
-std::string encode(const Packet& packet, std::size_t* told = nullptr);
-// A fact that is not valid is left out and counted; the rest of the packet stands.
-Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& left_out);
-std::size_t size(const Fact& fact);  // bytes in a packet, at most
+/// Encodes a packet with as many facts, from the front, as fit into limits::plain_bytes; `facts_encoded`
+/// receives their number.
+std::string encode(const Packet& packet, std::size_t* facts_encoded = nullptr);
+/// Decodes a packet. Invalid facts are left out and counted in `facts_left_out`.
+Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out);
+/// Upper bound of a fact's size in a packet, in bytes.
+std::size_t max_encoded_bytes(const Fact& fact);
 
 }  // namespace lemonroute::peers::wire
