--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -61,7 +61,7 @@
     case wire::Fault::version:
       ++counters.unknown_version;
       return;
-    case wire::Fault::field:
+    case wire::Fault::bad_field:
       ++counters.bad_field;
       return;
   }
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -64,7 +64,7 @@
                 {"since_ms", ms_since(now, member.since)},
                 {"by", member.by},
                 {"unreachable_from_here", member.unreachable_from_here}};
-  document["heard_ms"] = member.heard ? json(ms_since(now, *member.heard)) : json(nullptr);
+  document["heard_ms"] = member.last_heard ? json(ms_since(now, *member.last_heard)) : json(nullptr);
   return document;
 }
 
--- a/src/peers/membership/view/view_builder.cpp
+++ b/src/peers/membership/view/view_builder.cpp
@@ -26,7 +26,7 @@
 }
 
 const View& ViewBuilder::view(const Table& table, Micros now) {
-  view_.at = now;
+  view_.made_at = now;
   view_.minority_since = minority_since_;
   if (table_version_ != table.version()) {
     table_version_ = view_.version = table.version();
@@ -39,7 +39,7 @@
   }
   std::size_t at = 0;  // the table's version is the same, so only these times can differ
   for (const auto& [name, entry] : table.entries())
-    view_.members[at++].heard = entry.last_heard;
+    view_.members[at++].last_heard = entry.last_heard;
   return view_;
 }
 
--- a/src/peers/seal/flood.cpp
+++ b/src/peers/seal/flood.cpp
@@ -23,7 +23,8 @@
 bool Flood::look(Micros now, std::string_view address) {
   if (const auto found = authenticated_.find(std::string(address)); found != authenticated_.end()) {
     if (now - found->second.authenticated_at <= remembered)
-      return found->second.bucket.take(now, rates_.address) && all_authenticated_.take(now, rates_.proven);
+      return found->second.bucket.take(now, rates_.per_address) &&
+             all_authenticated_.take(now, rates_.authenticated);
     authenticated_.erase(found);
   }
   std::array<unsigned char, crypto_shorthash_BYTES> hash;
@@ -34,7 +35,7 @@
   auto& bucket = unknown_buckets_[hash_value % unknown_buckets_.size()];
   // One bucket of unknown addresses gets a tenth of the limit, so that up to nine flooding addresses leave
   // room for a router that joins.
-  return bucket.take(now, std::min(rates_.address, rates_.strangers / 10)) &&
+  return bucket.take(now, std::min(rates_.per_address, rates_.strangers / 10)) &&
          all_unknown_.take(now, rates_.strangers);
 }
 
--- a/src/peers/seal/flood.h
+++ b/src/peers/seal/flood.h
@@ -1,9 +1,9 @@
 // Rate limiting of received datagrams, applied before any of them is authenticated. Free of I/O; bounded
 // memory.
 //
-// Limits per second, whatever is sent by whom: `taken` datagrams are read from the socket. Of those, `proven`
-// are authenticated for addresses that sent an authentic datagram within `remembered`, and `strangers` for
-// all other addresses together.
+// Limits per second, whatever is sent by whom: at most `taken` datagrams are read from the socket. Of those,
+// at most `authenticated` are opened from addresses that sent an authentic datagram within `remembered`, and
+// at most `strangers` from all other addresses together.
 #pragma once
 
 #include <array>
@@ -31,9 +31,9 @@
 /// Rate limiter of the datagrams that are read and authenticated, per address and in total.
 class Flood {
  public:
-  /// Limits in datagrams per second; `address` bounds each authenticated address.
+  /// Limits in datagrams per second; `per_address` bounds a single address.
   struct Rates {
-    double taken = 20000, proven = 8000, strangers = 500, address = 500;
+    double taken = 20000, authenticated = 8000, strangers = 500, per_address = 500;
   };
   /// Authenticated addresses that are kept at once.
   static constexpr std::size_t most_addresses = 8192;
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -40,7 +40,7 @@
   /// Router that first reported the standing, as far as is known.
   std::string by;
   /// When this router last heard from it directly.
-  std::optional<Micros> heard;
+  std::optional<Micros> last_heard;
   /// Whether other routers reach it and this one does not.
   bool unreachable_from_here = false;
   /// Whether it is alive or suspected.
@@ -52,7 +52,7 @@
   /// Differs after each change of members or standings.
   std::uint64_t version = 0;
   /// When the view was made, on this router's clock.
-  Micros at{};
+  Micros made_at{};
   /// The protocol period, the unit of the protocol's timeouts.
   Micros period{};
   /// Name of this router.
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -147,14 +147,14 @@
     sender = {in.sender().name(), "", "", in.sender().start(), in.sender().incarnation(),
               Standing::alive,    ""};
     if (!membership::valid_name(sender.name))
-      return Fault::field;
+      return Fault::bad_field;
   } else if (!from_proto(in.sender(), sender)) {
-    return Fault::field;
+    return Fault::bad_field;
   }
   sender.standing = Standing::alive;
   sender.by.clear();
   if (!from_proto(in, packet.body))
-    return Fault::field;
+    return Fault::bad_field;
   packet.facts.clear();
   for (const auto& one : in.facts()) {
     Fact fact;
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -65,7 +65,7 @@
 };
 
 /// Why a datagram was not decoded: not parsable or too long, an unknown version, or a field out of bounds.
-enum class Fault { none, unreadable, version, field };
+enum class Fault { none, unreadable, version, bad_field };
 
 /// Encodes a packet with as many facts, from the front, as fit into limits::plain_bytes; `facts_encoded`
 /// receives their number.
