--- a/src/peers/agent_impl.h
+++ b/src/peers/agent_impl.h
@@ -13,7 +13,7 @@
   void send(Topic topic, std::string_view to, std::string bytes) override;
   /// Passes a changed view to the extensions: at most ten times a period, unless `always`.
   void publish_view(bool always);
-  /// Logs what membership has to tell the operator.
+  /// Logs the notices of membership for the operator.
   void log_notices();
   /// The JSON document of Agent::describe().
   nlohmann::json describe(Micros now) const;
