--- a/src/core/admin_overrides.cpp
+++ b/src/core/admin_overrides.cpp
@@ -18,10 +18,10 @@
 
 constexpr std::size_t max_drained_nodes = 4096;
 constexpr std::size_t max_file_bytes = 1024 * 1024;
-// How long the time of an undrain is kept. By then the node's cache is warm, and the endpoint list states the
-// start of its process correctly.
-constexpr Micros undrain_memory = std::chrono::minutes(10);
-// Another process holds the lock for as long as it takes to write a small file.
+// How long the time of an undrain is kept. After that the node's cache is warm, and the endpoint list has the
+// correct start time of its process.
+constexpr Micros undrain_retention = std::chrono::minutes(10);
+// Another process holds the lock only while it writes a small file.
 constexpr int max_lock_tries = 20;
 constexpr milliseconds lock_retry_pause{1};
 
@@ -47,7 +47,7 @@
       drained_.insert(name);
     else if (drained_.erase(name))
       undrained_at_[name] = now;
-    std::erase_if(undrained_at_, [&](const auto& one) { return now - one.second > undrain_memory; });
+    std::erase_if(undrained_at_, [&](const auto& entry) { return now - entry.second > undrain_retention; });
     return true;
   };
   if (!lock_)
@@ -56,10 +56,10 @@
   for (int i = 0; i < max_lock_tries && !(locked = lock_->take(lock_byte)); ++i)
     std::this_thread::sleep_for(lock_retry_pause);
   if (!locked) {
-    logging::error() << path_ << ": the lock can't be had";
+    logging::error() << "overrides file not locked: path=" << path_;
     return false;
   }
-  // Another process may have written the file since this one last read it. Its overrides are kept.
+  // Another process may have written the file since this process last read it; its overrides must be kept.
   if (file_changed())
     read();
   const auto drained_before = drained_;
@@ -80,7 +80,7 @@
   return read() == ReadResult::loaded;
 }
 
-// Returns whether the file differs from the one that the last call has seen, and remembers the present one.
+// Returns whether the file has changed since the previous call, and records its present status.
 bool AdminOverrides::file_changed() {
   struct stat now {};
   if (stat(path_.c_str(), &now) != 0)
@@ -92,8 +92,8 @@
   return !same;
 }
 
-// A file that is truncated or was not written by a router is logged and not changed. The overrides that are
-// known stay in force.
+// A file that is truncated or was not written by a router is logged and left unchanged. The current overrides
+// stay in force.
 AdminOverrides::ReadResult AdminOverrides::read() {
   std::ifstream file(path_);
   if (!file)
@@ -113,13 +113,14 @@
     undrained_at_ = std::move(undrained_at);
     return ReadResult::loaded;
   } catch (const json::exception& error) {
-    logging::error() << path_ << ": it can't be read, the bans stay as they were: " << error.what();
+    logging::error() << "overrides file unreadable, current overrides kept: path=" << path_ << " error=\""
+                     << error.what() << '"';
     return ReadResult::corrupt;
   }
 }
 
-// Writes a new file and renames it, so that no process reads one that is half written. The new file is not
-// forced to the disk: after a power failure it may be empty.
+// Writes a new file and renames it, so that no process reads a partly written one. The new file is not synced
+// to disk, so it may be empty after a power failure.
 bool AdminOverrides::write() const {
   auto undrained_at = json::object();
   for (const auto& [name, at] : undrained_at_)
@@ -134,7 +135,7 @@
     close(fd);
   if (complete && std::rename(new_path.c_str(), path_.c_str()) == 0)
     return true;
-  logging::error() << path_ << ": it can't be written";
+  logging::error() << "overrides file not written: path=" << path_;
   return false;
 }
 
--- a/src/core/admin_overrides.h
+++ b/src/core/admin_overrides.h
@@ -1,6 +1,6 @@
 /// \file
-/// The nodes that operators have drained, kept in a file that all processes of one router share. Used on the
-/// serving thread only. Times are on the core's clock.
+/// The nodes that operators have drained, stored in a file that all processes of one router share. Used on
+/// the serving thread only. Times are on the core's clock.
 #pragma once
 
 #include <sys/stat.h>
@@ -15,27 +15,28 @@
 
 namespace lemonroute {
 
-/// The overrides of one router, by node name. Without a file they last as long as the process. Nothing here
-/// throws: a file that cannot be read, written or locked is reported in the log.
+/// The operators' overrides of one router, by node name. Without a file they last until the process ends. No
+/// function throws; a file that cannot be read, written or locked is logged as an error.
 class AdminOverrides {
  public:
-  /// Reads the overrides from the file and stores them there from now on. A file that is absent or corrupt
-  /// changes no override. `lock` outlives this object.
+  /// Reads the overrides from the file at `path` and stores every later change there. A file that is absent
+  /// or corrupt changes no override. `lock` must outlive this object.
   void load_from(std::string path, LockFile& lock);
 
   /// Returns whether an operator has drained the node.
   bool is_drained(const std::string& name) const { return drained_.count(name) > 0; }
-  /// Returns when an operator last undrained the node; nothing if that never happened or is long ago.
+  /// Returns when an operator last undrained the node, or nothing if that never happened or was more than 10
+  /// minutes before the latest change of an override.
   std::optional<Micros> undrained_at(const std::string& name) const;
 
-  /// Drains or undrains the node and stores that. Returns false, with nothing changed, if the file cannot be
-  /// locked or written, or if too many nodes are drained. Waits up to about 20 ms for the lock.
+  /// Drains or undrains the node and stores the change. Returns false and changes nothing if the file cannot
+  /// be locked or written, or if too many nodes are drained. Blocks for up to about 20 ms to obtain the lock.
   bool set_override(const std::string& name, bool drained, Micros now);
-  /// Reads the file again if it has changed since this process last looked at it. Returns whether it has been
-  /// read; a file that is absent or corrupt changes no override.
+  /// Reads the file again if it has changed since this process last checked it. Returns whether the overrides
+  /// were loaded; a file that is absent or corrupt changes no override.
   bool reload();
 
-  /// The byte of the lock file that a process holds while it changes the file of overrides.
+  /// Offset of the byte in the lock file that a process locks while it changes the overrides file.
   static constexpr int lock_byte = 0;
 
  private:
@@ -48,7 +49,7 @@
   LockFile* lock_ = nullptr;
   std::set<std::string> drained_;
   std::map<std::string, Micros> undrained_at_;
-  struct stat last_seen_ {};  // the file when this process last looked at it; zeros: absent
+  struct stat last_seen_ {};  // status of the file at the last check; all zeros: the file was absent
 };
 
 }  // namespace lemonroute
--- a/src/core/demand_tracker.cpp
+++ b/src/core/demand_tracker.cpp
@@ -13,7 +13,7 @@
 
 NodeObserver::Demand DemandTracker::take_summary(double own_tokens, double memory_tokens,
                                                  std::uint32_t decode_nodes, Micros now) {
-  std::erase_if(reports_, [&](const auto& one) { return now - one.second.at > report_lifetime; });
+  std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at > report_lifetime; });
   double load = 0;
   for (const auto& [id, report] : reports_)
     load += report.load;
--- a/src/core/demand_tracker.h
+++ b/src/core/demand_tracker.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the clients of this router ask of the decode nodes. Free of I/O and of clocks. Used on the serving
-/// thread only.
+/// Tracks the load that this router's clients put on the decode nodes. Does no I/O and reads no clock. Used
+/// on the serving thread only.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,25 @@
 /// Collects load reports of decode nodes and counts of requests, and summarises them at intervals.
 class DemandTracker {
  public:
-  /// Takes a decode node's report of the share of its KV cache memory in use, 0 to 1; it is clamped to that
-  /// range, and ignored unless it is finite. The newest report of each node counts, for report_lifetime.
+  /// Records the share of its KV cache memory that a decode node reports as used. The value is clamped to the
+  /// range 0 to 1 and ignored if it is not finite. A node's newest report is valid for report_lifetime.
   void record_load_report(EndpointId endpoint, double load, Micros now);
   /// Counts a request that this router has accepted.
   void record_accepted() { ++accepted_; }
-  /// Counts a request that this router has rejected for want of capacity.
+  /// Counts a request that this router has rejected for lack of capacity.
   void record_rejected() { ++rejected_; }
 
-  /// Summarises the reports that still count and the requests since the last call. Decode nodes without a
-  /// report count as the mean of those with one; if no node has reported, this router's own share of the
-  /// memory stands for the load.
-  /// \param own_tokens KV cache at decode nodes that this router's requests hold, in tokens.
-  /// \param memory_tokens KV cache memory of all decode nodes together, in tokens.
+  /// Summarises the reports that are still valid and the requests counted since the last call. A decode node
+  /// without a valid report is assumed to have the mean load of the others. If no node has reported, the
+  /// share of the memory that this router's own requests use is taken as the reported load.
+  /// \param own_tokens KV cache that this router's requests occupy on decode nodes, in tokens.
+  /// \param memory_tokens total KV cache memory of all decode nodes, in tokens.
   /// \param decode_nodes the number of decode nodes that are ready.
-  /// \param now the present time, on the clock of the reports.
+  /// \param now the present time, on the clock that record_load_report uses.
   NodeObserver::Demand take_summary(double own_tokens, double memory_tokens, std::uint32_t decode_nodes,
                                     Micros now);
 
-  /// How long a load report counts.
+  /// How long a load report is valid.
   static constexpr Micros report_lifetime = std::chrono::seconds(10);
 
  private:
--- a/src/core/load_report.cpp
+++ b/src/core/load_report.cpp
@@ -9,7 +9,7 @@
 namespace lemonroute {
 namespace {
 
-// The names that nodes use, and the names of the same columns in the settings.
+// Pairs of the name that nodes use and the name of the same column in the settings.
 constexpr std::array<std::pair<std::string_view, std::string_view>, 6> column_aliases{
     {{"inflight", "active"},
      {"queue", "waiting"},
@@ -21,14 +21,14 @@
 bool same_column(std::string_view name, std::string_view column) {
   if (name == column)
     return true;
-  for (const auto& [one, other] : column_aliases)
-    if ((name == one && column == other) || (name == other && column == one))
+  for (const auto& [node_name, settings_name] : column_aliases)
+    if ((name == node_name && column == settings_name) || (name == settings_name && column == node_name))
       return true;
   return false;
 }
 
-// No load is as high. A report with a higher value is malformed.
-constexpr float max_value = 1e9f;
+// A report with a higher value is treated as malformed.
+constexpr float max_load_value = 1e9f;
 
 std::string_view trim(std::string_view text) {
   const auto first = text.find_first_not_of(" \t");
@@ -39,10 +39,10 @@
 
 }  // namespace
 
-// One malformed item makes the whole report void, since its other values may be wrong too.
+// One malformed item invalidates the whole report, since its other values may be wrong too.
 std::vector<float> parse_load(std::string_view report, const std::vector<std::string>& columns) {
   std::vector<float> values(columns.size(), std::numeric_limits<float>::quiet_NaN());
-  bool any = false;
+  bool any_found = false;
   while (!report.empty()) {
     const auto comma = report.find(',');
     const std::string_view item = report.substr(0, comma);
@@ -53,15 +53,15 @@
     const auto name = trim(item.substr(0, equals)), text = trim(item.substr(equals + 1));
     float value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= max_value))
+    if (error != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= max_load_value))
       return {};
     for (std::size_t i = 0; i < columns.size(); ++i)
       if (same_column(name, columns[i])) {
         values[i] = value;
-        any = true;
+        any_found = true;
       }
   }
-  if (!any)
+  if (!any_found)
     values.clear();
   return values;
 }
--- a/src/core/load_report.h
+++ b/src/core/load_report.h
@@ -1,5 +1,5 @@
 /// \file
-/// Load reports in the words of the nodes, for instance "inflight=7,queue=2,x0=0.61". Free of state.
+/// Parser of the load reports that nodes send, for example "inflight=7,queue=2,x0=0.61". Stateless.
 #pragma once
 
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace lemonroute {
 
-/// Returns the values of `columns`, in the order of `columns`, with NaN for a column that the report does not
-/// have. Returns an empty list if the report is malformed anywhere, has a value below 0 or above 1e9, or has
-/// none of the columns. A column may have the short name of the site files or the name that nodes use.
+/// Returns the values of `columns`, in the order of `columns`, with NaN for a column that the report lacks.
+/// Returns an empty list if any item is malformed, if a value is below 0 or above 1e9, or if the report has
+/// none of the columns. A column may be given by its name in the settings or by the name that nodes use.
 std::vector<float> parse_load(std::string_view report, const std::vector<std::string>& columns);
 
 }  // namespace lemonroute
--- a/src/core/types.cpp
+++ b/src/core/types.cpp
@@ -5,7 +5,7 @@
 
 namespace lemonroute {
 
-// FNV-1a. The last three steps spread its high bits over the low ones.
+// FNV-1a. The three steps after the loop mix the high bits into the low ones.
 std::uint64_t hash_text(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ull;
   for (const unsigned char c : text)
