--- a/src/core/router.h
+++ b/src/core/router.h
@@ -1,7 +1,7 @@
 /// \file
-/// The core of the router in service. It puts events to the Scheduler and carries its actions out between
-/// clients and nodes. It decides nothing and knows no protocol. Used on the serving thread only; all times
-/// are on the Clock that it is given.
+/// The core of the router. It passes events to the Scheduler and executes the Scheduler's actions on clients
+/// and nodes. The Scheduler makes all decisions; fronts and the node transport implement the protocols. Used
+/// on the serving thread only. All times are on the Clock that the constructor receives.
 #pragma once
 
 #include <cstddef>
@@ -20,15 +20,15 @@
 namespace lemonroute {
 
 /// The interface of the core for discovery, operators, peers, fronts and the serving loop. The classes in
-/// src/core/router implement it. Nothing here throws; errors are returned or logged.
+/// src/core/router implement it. No function throws; errors are returned or logged.
 class Router {
  public:
-  /// \param settings the settings until update_settings.
-  /// \param zones names of zones; the settings number them by their places.
-  /// \param kinds names of machine kinds; the settings number them by their places.
-  /// \param seed the Scheduler's.
-  /// \param clock outlives the Router.
-  /// \param transport makes the calls to nodes; outlives the Router.
+  /// \param settings the initial settings; update_settings replaces them.
+  /// \param zones names of zones; the settings refer to a zone by its index in this list.
+  /// \param kinds names of machine kinds; the settings refer to a kind by its index in this list.
+  /// \param seed the seed of the Scheduler's random numbers.
+  /// \param clock must outlive the Router.
+  /// \param transport makes the calls to nodes; must outlive the Router.
   Router(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
          std::uint64_t seed, const Clock& clock, NodeTransport& transport);
   ~Router();
@@ -37,99 +37,104 @@
 
   // ---- for discovery ----
 
-  /// One endpoint as discovery lists it.
+  /// One endpoint of an endpoint list.
   using ListedNode = lemonroute::ListedNode;
-  /// Takes an endpoint list, or changes of one.
+  /// Applies a full endpoint list, or an incremental update of the list.
   void update_endpoints(EndpointListKind kind, std::uint32_t version, const std::vector<ListedNode>& listed);
 
   // ---- for operators ----
 
-  /// Replaces the settings. Requests that were accepted keep their class and their attempt limit.
+  /// Replaces the settings. Requests that were accepted before keep their class and their attempt limit.
   void update_settings(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds);
-  /// The effect of drain_node or undrain_node.
+  /// The result of drain_node or undrain_node.
   using OverrideResult = lemonroute::OverrideResult;
-  /// Sends no new attempts to the node, whatever discovery lists, until undrain_node.
+  /// Stops new attempts to the node, whatever its listed state, until undrain_node is called.
   [[nodiscard]] OverrideResult drain_node(const std::string& node);
-  /// Ends what drain_node has begun.
+  /// Reverts drain_node.
   [[nodiscard]] OverrideResult undrain_node(const std::string& node);
-  /// Reads the overrides from a file and stores them there from now on. `lock` outlives the Router.
+  /// Reads the overrides from the file at `path` and stores every later change there. `lock` must outlive the
+  /// Router.
   void load_overrides(std::string path, LockFile& lock);
-  /// Reads the file again if another process of this router has changed it.
+  /// Reads the overrides file again if another process of this router has changed it.
   void reload_overrides();
-  /// Returns the metrics of this moment.
+  /// Returns the present metrics.
   [[nodiscard]] RouterMetrics metrics() const;
-  /// Returns the name of a listed node, "" for any other.
+  /// Returns the name of a listed node, or "" if the id is not listed.
   [[nodiscard]] std::string endpoint_name(EndpointId id) const;
-  /// Calls `observer` with each choice of the Scheduler's, before what follows from it; an empty one ends
-  /// that.
+  /// Calls `observer` with each choice that the Scheduler makes, before the choice takes effect. An empty
+  /// function removes the observer.
   void set_choice_observer(std::function<void(const Choice&)> observer);
 
   // ---- for peers: the routers of the fleet ----
 
-  /// Lays `fleet_view` over the endpoint list from now on; with null, only the list and the overrides of
-  /// operators count.
+  /// Applies `fleet_view` on top of the endpoint list from now on. With null, only the list and the
+  /// operators' overrides apply.
   void set_fleet_view(std::shared_ptr<const FleetView> fleet_view);
-  /// Reports to `observer` what this router sees of nodes; null ends that. The observer outlives the Router,
-  /// or is replaced before it is destroyed.
+  /// Sets the observer that receives this router's observations of nodes; null removes it. The observer must
+  /// outlive the Router or be replaced before it is destroyed.
   void set_node_observer(NodeObserver* observer);
 
   // ---- for fronts ----
 
-  /// The effect of submit.
+  /// The result of submit.
   enum class SubmitResult {
-    accepted,       ///< the client will be answered
-    unknown_class,  ///< the settings name no such class
-    duplicate_id,   ///< a request with the same client id is open
+    accepted,       ///< the request is open and the client will receive an answer
+    unknown_class,  ///< the settings have no class of that name
+    duplicate_id,   ///< another request with the same client id is open
   };
-  /// Accepts a request. Without SubmitResult::accepted, nothing is kept and `client` hears nothing.
-  /// \param client_request is copied as far as it is needed.
-  /// \param client hears the answer. It lives until the answer has ended or client_disconnected was called.
-  /// \param id is set before `client` hears anything.
+  /// Accepts a request. Unless the result is SubmitResult::accepted, nothing is kept and `client` is never
+  /// called.
+  /// \param client_request the request; the router copies what it needs.
+  /// \param client receives the answer. It must live until the answer has ended or client_disconnected is
+  /// called.
+  /// \param id receives the id of the request before `client` is first called.
   [[nodiscard]] SubmitResult submit(const ClientRequest& client_request, Client& client, RequestId& id);
-  /// The client has disconnected: it hears nothing more.
+  /// Reports that the client has disconnected. Its Client is not called any more.
   void client_disconnected(RequestId id);
-  /// The client can take more data, after Client::on_data has returned false.
+  /// Reports that the client can accept more data, after Client::on_data has returned false.
   void resume_stream(RequestId id);
 
   // ---- for another process of this router ----
 
-  /// Offers each stream that stands between two events to `transfer`, which returns whether it has sent the
-  /// stream to the other process. The first refusal ends the transfer; the other streams stay.
+  /// Passes each stream that is between two events to `transfer`, which returns whether it has sent the
+  /// stream to the other process. The transfer stops at the first false; the remaining streams stay in this
+  /// process.
   void transfer_streams(const std::function<bool(const TransferredStream&)>& transfer);
-  /// Goes on with a stream that another process has transferred. Returns false if that is impossible; then
+  /// Continues a stream that another process has transferred. Returns false if that is impossible; then
   /// `client` is not kept.
   /// \param stream the stream and its two connections.
-  /// \param client hears the rest of the answer. It lives as in submit.
-  /// \param id is set before `client` hears anything.
+  /// \param client receives the rest of the answer. It must live as long as in submit.
+  /// \param id receives the id of the request before `client` is first called.
   [[nodiscard]] bool adopt_stream(const TransferredStream& stream, Client& client, RequestId& id);
-  /// Returns what this process has learned of ready nodes, for the process that replaces it.
+  /// Returns what this process has learned about ready nodes, for the process that replaces it.
   [[nodiscard]] HandoverState handover_state() const;
-  /// Applies what the process before this one has learned.
+  /// Applies what the previous process has learned.
   void apply_handover_state(const HandoverState& handover_state);
-  /// The process ends soon after `at`: no request, open or accepted later, waits longer for its first event.
+  /// Sets the time shortly after which the process ends. No request, open or accepted later, waits for its
+  /// first event beyond that time.
   void set_shutdown_deadline(Micros at);
 
   // ---- for the serving loop ----
 
-  /// Returns the time of the next timer, or nothing without one.
+  /// Returns the time of the next timer, or nothing if there is none.
   [[nodiscard]] std::optional<Micros> next_timer() const;
-  /// Runs the timers whose time has come, in the order of their times.
+  /// Runs all timers that are due, in the order of their times.
   void run_timers();
-  /// Is called after anything that may have moved next_timer or made the router idle.
+  /// Called after every change that may have moved next_timer or made the router idle. May be empty.
   std::function<void()> on_change;
 
-  /// Returns the number of requests that were accepted and are not answered.
+  /// Returns the number of accepted requests that are not answered yet.
   [[nodiscard]] std::size_t open_requests() const;
   /// Returns the number of nodes in the endpoint list.
   [[nodiscard]] std::size_t known_nodes() const;
-  /// Returns whether no request is open and no release is pending.
+  /// Returns whether no request is open and no release of a reservation is pending.
   [[nodiscard]] bool idle() const;
-  /// Returns the number of nodes that get new attempts.
+  /// Returns the number of nodes that may receive new attempts.
   [[nodiscard]] std::size_t ready_nodes() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace lemonroute
--- a/src/core/router/action_executor.cpp
+++ b/src/core/router/action_executor.cpp
@@ -9,18 +9,18 @@
 
 namespace lemonroute {
 
-ActionExecutor::ActionExecutor(const RouterContext& context, Collaborators collaborators)
+ActionExecutor::ActionExecutor(const RouterContext& context, Dependencies dependencies)
     : context_(context),
-      scheduler_(collaborators.scheduler),
-      requests_(collaborators.requests),
-      nodes_(collaborators.nodes),
-      releaser_(collaborators.releaser),
-      attempts_(collaborators.attempts),
-      events_(collaborators.events),
-      reporter_(collaborators.reporter) {}
-
-// A process that was frozen, or whose peers have fallen silent, may hold an expired fleet view. The Scheduler
-// has to know that before it decides anything by it.
+      scheduler_(dependencies.scheduler),
+      requests_(dependencies.requests),
+      nodes_(dependencies.nodes),
+      releaser_(dependencies.releaser),
+      attempts_(dependencies.attempts),
+      events_(dependencies.events),
+      reporter_(dependencies.reporter) {}
+
+// The overlays of the fleet view may have expired if the process was suspended or its peers have stopped
+// sending. The Scheduler must get the resulting changes before it handles the next event.
 void ActionExecutor::before_event() {
   if (!nodes_.overlay_expired())
     return;
@@ -30,9 +30,9 @@
 }
 
 void ActionExecutor::handle_event(const Event& event) {
-  const auto mark_request = [&](const auto& one) {
-    if constexpr (requires { one.id; })
-      requests_.mark_touched(one.id);
+  const auto mark_request = [&](const auto& alternative) {
+    if constexpr (requires { alternative.id; })
+      requests_.mark_touched(alternative.id);
   };
   std::visit(mark_request, event);
   decide(event);
@@ -42,10 +42,10 @@
   std::vector<Action> actions;
   scheduler_.handle(context_.now(), event, actions);
   for (const Action& action : actions)
-    std::visit([&](const auto& one) { execute(one); }, action);
+    std::visit([&](const auto& alternative) { execute(alternative); }, action);
 }
 
-// Releases what cut prefills may have left, and destroys requests that have finished.
+// Releases what interrupted prefills may have left at nodes, and destroys requests that have finished.
 void ActionExecutor::after_last_event() {
   for (const RequestId id : requests_.take_touched()) {
     RequestState* request = requests_.find(id);
@@ -73,7 +73,7 @@
   RequestState* request = requests_.find(reject.id);
   if (!request || !request->client)
     return;
-  // A rejection tells the client that a retry is harmless, which does not hold for this request any more.
+  // A rejection tells the client that a retry is safe, which is not true once this request may have run.
   if (request->not_idempotent && request->may_have_run)
     return execute(FailRequest{reject.id});
   Client& client = *request->client;
--- a/src/core/router/action_executor.h
+++ b/src/core/router/action_executor.h
@@ -1,6 +1,6 @@
 /// \file
-/// Puts events to the Scheduler and carries out the actions that it answers with. Used on the serving thread
-/// only.
+/// Passes events to the Scheduler and executes the actions that the Scheduler returns. Used on the serving
+/// thread only.
 #pragma once
 
 #include <concepts>
@@ -18,39 +18,39 @@
 
 namespace lemonroute {
 
-/// The actions that have no effect here. The Scheduler never asks for ReserveCapacity and EvictReservation,
-/// whatever the settings allow. SendPeerMessage, Subscribe and Snapshot belong to the simulator's wire:
-/// routers in service exchange datagrams on a thread of their own, and their watch of the endpoint list is
-/// always open.
+/// The actions that the core ignores. The Scheduler never returns ReserveCapacity or EvictReservation,
+/// whatever the settings allow. Only the simulator executes SendPeerMessage, Subscribe and Snapshot: routers
+/// exchange datagrams with peers on a separate thread and always watch the endpoint list.
 template <class Action>
 concept UnusedAction = std::same_as<Action, EvictReservation> || std::same_as<Action, ReserveCapacity> ||
     std::same_as<Action, SendPeerMessage> || std::same_as<Action, Subscribe> ||
     std::same_as<Action, Snapshot>;
 
-/// Hands each event to the Scheduler and executes its actions in their order. Owns the health checks under
-/// way.
+/// Passes each event to the Scheduler and executes the resulting actions in order. Owns the health checks
+/// that are in progress.
 class ActionExecutor : public EventHandler {
  public:
-  /// The classes that actions change. All of them outlive the ActionExecutor.
-  struct Collaborators {
+  /// The objects that actions use. All of them must outlive the ActionExecutor.
+  struct Dependencies {
     Scheduler& scheduler;           ///< decides on the actions
     RequestTable& requests;         ///< the open requests
     NodeRegistry& nodes;            ///< the nodes that actions name
     ReservationReleaser& releaser;  ///< executes ReleaseReservation
     AttemptRunner& attempts;        ///< executes Send and CancelAttempt
-    EventDispatcher& events;        ///< takes the events of timers and health checks
-    ObserverReporter& reporter;     ///< hears of rejected requests
+    EventDispatcher& events;        ///< receives the events of timers and health checks
+    ObserverReporter& reporter;     ///< counts rejected requests
   };
-  /// `context` outlives this object.
-  ActionExecutor(const RouterContext& context, Collaborators collaborators);
+  /// `context` must outlive this object.
+  ActionExecutor(const RouterContext& context, Dependencies dependencies);
 
-  /// Tells the Scheduler first if the fleet view has expired.
+  /// Updates the Scheduler's endpoint list if an overlay of the fleet view has expired.
   void before_event() override;
-  /// Executes what the Scheduler decides on the event.
+  /// Passes the event to the Scheduler and executes the resulting actions.
   void handle_event(const Event& event) override;
   /// Destroys the requests that have finished.
   void after_last_event() override;
-  /// Lays overrides and fleet view over the endpoint list again. Returns the changes, for the Scheduler.
+  /// Applies overrides and fleet view to the endpoint list again. Returns the changed entries, for the
+  /// Scheduler.
   [[nodiscard]] EndpointListUpdate refresh_overlays();
 
  private:
--- a/src/core/router/attempt_results.cpp
+++ b/src/core/router/attempt_results.cpp
@@ -1,4 +1,4 @@
-// AttemptRunner: how the result of an attempt is classified.
+// AttemptRunner: classification of the results of attempts.
 #include <utility>
 
 #include "base/log.h"
@@ -35,12 +35,13 @@
 
 }  // namespace
 
-// The result is taken by value, since it may live in the call, which is destroyed here before its last use.
+// The result is passed by value, since the original may be part of the call, which this function destroys
+// before it last uses the result.
 void AttemptRunner::on_attempt_done(AttemptState& attempt, AttemptResult result) {
   RequestState& request = *requests_.find(attempt.request);
   attempt.timer.cancel();
-  // A request that one node cannot use no node can. The client is at fault and is told at once; the node's
-  // failure ratio must not grow for it, and no other node is asked.
+  // A request that is invalid at one node is invalid at every node. The client gets the error at once, no
+  // other node is tried, and the node's failure ratio must not increase.
   if (result.bad_request)
     result.outcome = Outcome::not_applicable;
   const std::unique_ptr<AttemptState> ended = std::move(request.attempt);
@@ -69,9 +70,9 @@
   report_completed(std::move(completed), origin);
 }
 
-// The Scheduler has never heard of a stream that another process began. What the end of such a stream tells
-// of its node counts all the same: a process that has just started learns of a decode node's load by nothing
-// else until its own first streams end.
+// The Scheduler does not know the streams that another process started. The end of such a stream is still
+// reported as a health result of its node: until its own first streams end, a process that has just started
+// has no other source for a decode node's load.
 void AttemptRunner::report_completed(AttemptCompleted completed, StreamOrigin origin) {
   const bool reports_health =
       origin == StreamOrigin::other_process && completed.outcome != Outcome::cancelled;
@@ -97,7 +98,7 @@
                     << result.detail << '"';
 }
 
-// An attempt that was cancelled or timed out before anything of it was sent has left nothing at its node.
+// An attempt that was cancelled or timed out before any part of it was sent has left nothing at its node.
 bool AttemptRunner::never_ran(const AttemptState& ended, const AttemptResult& result) {
   switch (result.outcome) {
     case Outcome::rejected_over_capacity:
@@ -133,19 +134,20 @@
   const bool rejected = result.outcome == Outcome::rejected_over_capacity;
   const bool lost = rejected && result.cached_tokens == no_reservation_at_node;
   const bool prefill_done = result.outcome == Outcome::prefill_done;
-  const bool prefill_cut = !never_ran(ended, result) && !ended.release_ordered &&
-                           ended.role != Role::decode && !ended.streaming && !prefill_done;
+  const bool prefill_interrupted = !never_ran(ended, result) && !ended.release_ordered &&
+                                   ended.role != Role::decode && !ended.streaming && !prefill_done;
   request.has_reservation = prefill_done || (request.has_reservation && !lost && !ended.streaming);
-  // An answer of the node shows that an earlier prefill there, whose call was closed, has come to its end.
-  if (prefill_done || prefill_cut)
+  // An answer from the node shows that an earlier prefill there, whose call was closed, has ended.
+  if (prefill_done || prefill_interrupted)
     request.forget_orphaned_reservation(ended.endpoint);
   if (prefill_done)
     request.reservation = {ended.endpoint, ended.process_started_at, now, false};
-  if (prefill_cut)
+  if (prefill_interrupted)
     request.orphaned_reservations.push_back(
         {ended.endpoint, ended.process_started_at, now, result.outcome != Outcome::error});
-  // An attempt that its node answered was under way until now. Any other one may never have arrived, for
-  // instance because of a network partition: what was idle before it has been idle all the time.
+  // An attempt that its node answered was in progress until now. Any other attempt may never have arrived,
+  // for example because of a network partition: a reservation that was idle before it has been idle ever
+  // since.
   const bool rejected_by_node = rejected && !ended.not_sent();
   const bool arrived = prefill_done || rejected_by_node || result.outcome == Outcome::error;
   const bool may_be_held = request.has_reservation || !request.orphaned_reservations.empty();
@@ -155,7 +157,7 @@
     request.reservation_idle_since = now;
 }
 
-// An attempt that was cancelled or not sent says nothing of its node.
+// An attempt that was cancelled or not sent gives no information about its node.
 void AttemptRunner::update_last_contact(const AttemptState& ended, Outcome outcome) {
   switch (outcome) {
     case Outcome::ok:
--- a/src/core/router/attempt_runner.cpp
+++ b/src/core/router/attempt_runner.cpp
@@ -11,30 +11,31 @@
 
 using std::chrono::milliseconds;
 
-// A node that stays silent in the middle of a stream is given up before its client has waited for 5 s.
+// Ends a stream whose node stops sending before the client has waited for 5 s.
 constexpr Micros stream_idle_timeout = milliseconds(4500);
 
-// Within this time a node has noticed that a call to it was closed, in its own zone or in another one.
-constexpr Micros close_propagation = milliseconds(5);
+// Within this time a node in any zone detects that a call to it was closed.
+constexpr Micros close_propagation_delay = milliseconds(5);
 
 }  // namespace
 
-AttemptRunner::AttemptRunner(const RouterContext& context, Collaborators collaborators)
+AttemptRunner::AttemptRunner(const RouterContext& context, Dependencies dependencies)
     : context_(context),
-      requests_(collaborators.requests),
-      nodes_(collaborators.nodes),
-      releaser_(collaborators.releaser),
-      events_(collaborators.events),
-      reporter_(collaborators.reporter) {}
-
-// Whether an attempt there would repeat one that may have run. A replaced configuration may call the endpoint
-// a prefill node by now; what counts for the attempt that may have run is the role that it was sent to.
-bool AttemptRunner::repeats(const RequestState& request, EndpointId endpoint) const {
+      requests_(dependencies.requests),
+      nodes_(dependencies.nodes),
+      releaser_(dependencies.releaser),
+      events_(dependencies.events),
+      reporter_(dependencies.reporter) {}
+
+// Returns whether an attempt at the endpoint would repeat one that may have run. New settings may have made
+// the endpoint a prefill node; for the earlier attempt, the role at the time of sending decides whether it
+// may have run.
+bool AttemptRunner::would_repeat(const RequestState& request, EndpointId endpoint) const {
   return request.may_have_run && nodes_.role_of(endpoint) != Role::prefill;
 }
 
-// The Scheduler keeps these rules by itself. They are checked again because an attempt that breaks one of
-// them would reach a node and could run a request twice.
+// The Scheduler enforces these rules itself. They are checked again because an attempt that violates one of
+// them could execute a request twice.
 std::optional<Outcome> AttemptRunner::reason_not_to_send(const RequestState* request, std::uint16_t number,
                                                          EndpointId endpoint, Micros now) const {
   if (!request || !request->client || request->attempt)
@@ -43,7 +44,7 @@
     return Outcome::not_applicable;
   if (request->not_idempotent && request->may_have_run)
     return Outcome::not_applicable;
-  if (repeats(*request, endpoint) && now >= request->retry_deadline)
+  if (would_repeat(*request, endpoint) && now >= request->retry_deadline)
     return Outcome::not_applicable;
   if (!nodes_.is_ready(endpoint))
     return Outcome::connect_failed;
@@ -63,7 +64,7 @@
   const Micros time_left = request->deadline - now;
   const Micros timeout = send.timeout > Micros(0) ? std::min(send.timeout, time_left) : time_left;
   const Node& node = *nodes_.find(send.endpoint);
-  const bool is_repeat = repeats(*request, send.endpoint);
+  const bool is_repeat = would_repeat(*request, send.endpoint);
   request->attempt =
       std::make_unique<AttemptState>(*this, send.id, number, node, nodes_.role_of(send.endpoint), now);
   AttemptState& attempt = *request->attempt;
@@ -78,8 +79,8 @@
     limit_idle_reservation(*request, attempt);
 }
 
-// Told that the reservation is lost, the Scheduler drops it and has the prompt prefilled again if there is
-// time.
+// The attempt is reported as rejected for a lost reservation, so that the Scheduler drops the reservation
+// and, if time permits, has the prompt prefilled again.
 void AttemptRunner::limit_idle_reservation(const RequestState& request, AttemptState& attempt) {
   const Micros due_at = releaser_.release_due_at(*request.reservation_idle_since);
   AttemptResult result_if_not_sent{Outcome::connect_failed, 0, {}, "reservation idle too long"};
@@ -88,35 +89,35 @@
     result_if_not_sent.cached_tokens = no_reservation_at_node;
   }
   limit_attempt_start(attempt, due_at, std::move(result_if_not_sent));
-  schedule_untaken_release(attempt, due_at);
+  schedule_unclaimed_release(attempt, due_at);
 }
 
-// An attempt that was written into a network partition, or to a process that hangs, looks like one that waits
-// in its node's queue, although it has not arrived and nothing takes the reservation. A release does not
-// touch a reservation that an attempt at a node waits for, so it is made whether or not this attempt has
+// An attempt that is lost in a network partition or sent to a hanging process cannot be distinguished from
+// one that waits in its node's queue, although it will not use the reservation. A release does not affect a
+// reservation that an attempt at a node waits for, so the release is sent whether or not this attempt has
 // arrived.
-void AttemptRunner::schedule_untaken_release(AttemptState& attempt, Micros due_at) {
+void AttemptRunner::schedule_unclaimed_release(AttemptState& attempt, Micros due_at) {
   attempt.reservation_timer.set(context_.timers, due_at, [this, &attempt] {
     attempt.reservation_timer.cancel();
     if (!attempt.streaming && !attempt.not_sent())
-      releaser_.release_untaken(*requests_.find(attempt.request));
+      releaser_.release_unclaimed(*requests_.find(attempt.request));
   });
 }
 
-// An attempt that was right when the Scheduler chose it may be wrong by the time its connection is
-// established or a stream on one is free: its node drains by then, its class allows no retry any more, or a
-// reservation has been idle too long. Such an attempt is taken back.
+// An attempt that was valid when the Scheduler chose it may be invalid by the time a connection is
+// established or an HTTP/2 stream is available: its node drains, its retry window is over, or a reservation
+// has been idle too long. Such an attempt is withdrawn.
 void AttemptRunner::limit_attempt_start(AttemptState& attempt, Micros at, AttemptResult result_if_not_sent) {
-  const auto limited_to = attempt.start_deadline_timer.due_at();
-  if (!attempt.not_sent() || (limited_to && *limited_to <= at))
+  const auto current_limit = attempt.start_deadline_timer.due_at();
+  if (!attempt.not_sent() || (current_limit && *current_limit <= at))
     return;
   attempt.start_deadline_timer.set(context_.timers, at,
                                    [this, &attempt, result = std::move(result_if_not_sent)] {
                                      attempt.start_deadline_timer.cancel();
                                      if (!attempt.not_sent())
                                        return;
-                                     // No attempt is under way, so what a cut prefill may have left is
-                                     // released before the next one starts.
+                                     // No attempt is in progress at a node, so what an interrupted prefill
+                                     // may have left is released before the next attempt starts.
                                      RequestState& request = *requests_.find(attempt.request);
                                      if (!request.orphaned_reservations.empty())
                                        releaser_.release_orphaned(request);
@@ -124,7 +125,7 @@
                                    });
 }
 
-// Half of what the settings allow is left to the wire.
+// Half of the grace period in the settings is reserved for the network delay.
 void AttemptRunner::limit_starts_at_draining_nodes() {
   for (const auto& [id, request] : requests_.all()) {
     if (!request->attempt || request->attempt->streaming)
@@ -135,9 +136,9 @@
   }
 }
 
-// The node hears over one connection that a sent attempt was closed, and another node hears over another one
-// of the next attempt. A next attempt that arrived first would run beside this one. So the call is closed at
-// once, and the Scheduler is told only when the node has noticed.
+// The cancellation and the next attempt reach two nodes over different connections. If the next attempt
+// arrived first, both would run at the same time. So the call is closed at once, but the Scheduler gets the
+// result only when the node has had time to detect the closed call.
 void AttemptRunner::cancel(const CancelAttempt& cancel) {
   RequestState* request = requests_.find(cancel.id);
   if (!request || !request->attempt || request->attempt->number != cancel.attempt ||
@@ -150,13 +151,14 @@
     return on_attempt_done(attempt, cancelled);
   attempt.call.reset();
   releaser_.release_cancelled_prefill(*request, attempt);
-  const Micros noticed_at = std::min(context_.now() + close_propagation, *attempt.timer.due_at());
-  attempt.timer.set(context_.timers, noticed_at,
+  const Micros detected_at = std::min(context_.now() + close_propagation_delay, *attempt.timer.due_at());
+  attempt.timer.set(context_.timers, detected_at,
                     [this, &attempt, cancelled] { on_attempt_done(attempt, cancelled); });
 }
 
-// The Scheduler does not cancel an attempt that streams. Where the settings forbid cancellation it leaves
-// others alone as well; but one that was not sent would start later for nobody, and no node has heard of it.
+// The Scheduler does not cancel an attempt that is streaming, and cancels no attempt at all where the
+// settings forbid cancellation. An attempt that was not sent is ended all the same: no node has received it,
+// and it would start later without a client.
 void AttemptRunner::on_client_disconnected(RequestState& request) {
   AttemptState* attempt = request.attempt.get();
   if (attempt && (attempt->streaming || attempt->not_sent()))
@@ -201,7 +203,8 @@
   nodes_.record_answer(attempt.endpoint);
   if (!std::exchange(attempt.streaming, true))
     on_first_event(request, attempt);
-  // The stream began as its client disconnected, where the settings forbid cancellation: nobody reads it.
+  // The client disconnected before the stream started, and the settings forbid cancellation: the stream has
+  // no reader.
   if (!request.client) {
     attempt.timer.set(context_.timers, context_.now(), [this, &attempt] {
       on_attempt_done(attempt, {Outcome::cancelled, 0, {}, "client disconnected"});
@@ -211,15 +214,14 @@
   }
   if (request.client->on_data(data))
     return;
-  // While the stream is paused for a slow client, the node's silence is this router's own doing and must not
-  // count as a stalled stream.
+  // While reading is paused for a slow client, no data can arrive, which must not count as a stalled stream.
   attempt.timer.cancel();
   attempt.call->pause_reading(true);
 }
 
 void AttemptRunner::on_first_event(RequestState& request, AttemptState& attempt) {
-  // The stream takes the reservation of one node. What a cut prefill may have left at other nodes is still
-  // there.
+  // The stream uses up the reservation at one node. What interrupted prefills may have left at other nodes is
+  // still to be released.
   if (request.has_reservation)
     request.forget_orphaned_reservation(request.reservation.endpoint);
   logging::debug() << "attempt streaming: request=" << request.prompt.id << " attempt=" << attempt.number
--- a/src/core/router/attempt_runner.h
+++ b/src/core/router/attempt_runner.h
@@ -1,6 +1,6 @@
 /// \file
-/// The attempts under way, at most one of each request. Used on the serving thread only. All times are on the
-/// core's clock.
+/// Runs the attempts in progress, at most one per request. Used on the serving thread only. All times are on
+/// the core's clock.
 #pragma once
 
 #include <cstdint>
@@ -17,56 +17,60 @@
 
 namespace lemonroute {
 
-/// Starts attempts, watches over their time limits, passes their data on to clients and classifies their
-/// results: for the Scheduler, for the request's client, for its reservation and for the node's last contact.
-/// The attempts themselves belong to their requests.
+/// Starts attempts, enforces their time limits, forwards their data to clients and classifies their results:
+/// for the Scheduler, for the request's client, for its reservation and for the node's last contact. The
+/// requests own the attempts.
 class AttemptRunner : public AttemptListener {
  public:
-  /// The classes that attempts report to. All of them outlive the AttemptRunner.
-  struct Collaborators {
-    RequestTable& requests;         ///< owns the requests and with them their attempts
-    NodeRegistry& nodes;            ///< takes load reports and the last contact
-    ReservationReleaser& releaser;  ///< takes what attempts leave reserved
-    EventDispatcher& events;        ///< takes the results, for the Scheduler
-    ObserverReporter& reporter;     ///< hears of attempts that have ended
+  /// The objects that attempts use and report to. All of them must outlive the AttemptRunner.
+  struct Dependencies {
+    RequestTable& requests;         ///< owns the requests and thereby their attempts
+    NodeRegistry& nodes;            ///< records load reports and the last contact
+    ReservationReleaser& releaser;  ///< releases what attempts leave reserved
+    EventDispatcher& events;        ///< receives the results, for the Scheduler
+    ObserverReporter& reporter;     ///< reports ended attempts to the NodeObserver
   };
-  /// `context` outlives this object.
-  AttemptRunner(const RouterContext& context, Collaborators collaborators);
+  /// `context` must outlive this object.
+  AttemptRunner(const RouterContext& context, Dependencies dependencies);
 
-  /// Starts the next attempt of a request, or tells the Scheduler why none was started. Only for use while an
-  /// event is handled.
+  /// Starts the next attempt of a request, or reports to the Scheduler why none was started. Call it only
+  /// while an event is handled.
   void start(const Send& send);
-  /// Cancels an attempt that has not begun to answer.
+  /// Cancels an attempt whose answer has not started.
   void cancel(const CancelAttempt& cancel);
-  /// Ends the attempt of a request whose client has disconnected, if it streams or was never sent.
+  /// Ends the attempt of a request whose client has disconnected if it is streaming or was never sent.
   void on_client_disconnected(RequestState& request);
-  /// Reads on from a stream that was paused for its client.
+  /// Resumes reading a stream that was paused because its client was slow.
   void resume_stream(RequestId id);
-  /// Takes back attempts that do not start soon at a node that is not ready any more.
+  /// Sets a time limit on attempts that are not sent yet to nodes that are no longer ready, and withdraws
+  /// those that exceed it.
   void limit_starts_at_draining_nodes();
-  /// Attempts that have not begun to answer end at `at` at the latest.
+  /// Makes attempts whose answer has not started end at `at` at the latest.
   void set_shutdown_deadline(Micros at);
-  /// Goes on with a stream that another process began, as the request's attempt. Returns false if the node
-  /// transport cannot; the request then has an attempt without a call.
+  /// Continues a stream that another process started as the request's attempt. Returns false if the node
+  /// transport cannot continue it; the request then has an attempt without a call.
   [[nodiscard]] bool adopt(RequestState& request, const TransferredStream& stream, const Node& node);
-  /// Returns the number of attempts that were written whole to nodes.
+  /// Returns the number of attempts whose request was completely written to a node.
   [[nodiscard]] std::uint64_t sent_attempts() const { return sent_attempts_; }
 
+  /// Counts a sent attempt.
   void on_request_written() override { ++sent_attempts_; }
+  /// Forwards one event of the stream to the client, and pauses reading if the client is slow.
   void on_attempt_data(AttemptState& attempt, std::string_view data) override;
+  /// Classifies the result, reports it and destroys the attempt.
   void on_attempt_done(AttemptState& attempt, AttemptResult result) override;
 
  private:
-  /// Which process of this router began an attempt.
+  /// The process of this router that started a stream.
   enum class StreamOrigin { this_process, other_process };
-  /// What the client hears at the end of an attempt.
+  /// The call to the client at the end of an attempt.
   enum class ClientAnswer { none, finish, fail_as_bad_request, abort_stream };
 
-  [[nodiscard]] bool repeats(const RequestState& request, EndpointId endpoint) const;
+  [[nodiscard]] bool would_repeat(const RequestState& request, EndpointId endpoint) const;
   [[nodiscard]] std::optional<Outcome> reason_not_to_send(const RequestState* request, std::uint16_t number,
                                                           EndpointId endpoint, Micros now) const;
   void limit_idle_reservation(const RequestState& request, AttemptState& attempt);
-  void schedule_untaken_release(AttemptState& attempt, Micros due_at);
+  void schedule_unclaimed_release(AttemptState& attempt, Micros due_at);
   void limit_attempt_start(AttemptState& attempt, Micros at, AttemptResult result_if_not_sent);
   void restart_stream_timer(AttemptState& attempt);
   void on_first_event(RequestState& request, AttemptState& attempt);
--- a/src/core/router/event_dispatcher.h
+++ b/src/core/router/event_dispatcher.h
@@ -13,24 +13,25 @@
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
-  /// Comes before each event.
+  /// Called before each event.
   virtual void before_event() = 0;
-  /// Handles one event. May queue further ones.
+  /// Handles one event. May queue more events.
   virtual void handle_event(const Event& event) = 0;
-  /// Comes whenever the queue has become empty.
+  /// Called whenever the queue has become empty.
   virtual void after_last_event() = 0;
 };
 
-/// Delivers events one at a time and in the order of their arrival. Whatever the core calls may call back
-/// into it, so an event may arrive while another one is handled; it waits in the queue.
+/// Delivers events one at a time in the order of their arrival. An event that arrives while another one is
+/// handled, for example from a callback, waits in the queue.
 class EventDispatcher {
  public:
-  /// `handler` outlives this object. `notify_change` is called after each delivery of queued events.
+  /// `handler` must outlive this object. `notify_change` is called each time all queued events are delivered.
   EventDispatcher(EventHandler& handler, std::function<void()> notify_change);
 
-  /// Queues an event and delivers all queued ones, unless a delivery is under way, which includes it.
+  /// Queues an event and delivers all queued events, unless a delivery is in progress, which then includes
+  /// it.
   void enqueue(Event event);
-  /// Queues an event without a delivery. Only for use while one is under way.
+  /// Queues an event without starting a delivery. Call it only while a delivery is in progress.
   void append(Event event);
 
  private:
--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -1,4 +1,4 @@
-// StreamHandoff: what a process tells its successor of the nodes, and what the successor makes of it.
+// ProcessHandover: the information about nodes that a process passes to its successor.
 #include <algorithm>
 #include <map>
 #include <string>
@@ -6,21 +6,21 @@
 
 #include "base/log.h"
 #include "core/load_report.h"
-#include "core/router/stream_handoff.h"
+#include "core/router/process_handover.h"
 
 namespace lemonroute {
 
 namespace {
 
-// Loads change with the streams that begin and end: an older report misleads more than none.
+// Loads change as streams start and end, so an older report is worse than none.
 constexpr Micros max_report_age = std::chrono::seconds(3);
 
 }  // namespace
 
-NodeReport StreamHandoff::report_of(const Node& node) const {
+NodeReport ProcessHandover::report_of(const Node& node) const {
   NodeReport report;
   report.node = node.name;
-  // A report from before the node's start is one of another process.
+  // A report from before the node's start came from an earlier process of the node.
   const Micros age = context_.now() - node.load_reported_at;
   const bool of_this_process = node.load_reported_at > node.endpoint.started_at;
   if (!node.load_report.empty() && of_this_process && age <= max_report_age) {
@@ -30,7 +30,7 @@
   return report;
 }
 
-HandoverState StreamHandoff::handover_state() const {
+HandoverState ProcessHandover::handover_state() const {
   HandoverState handover_state;
   const Micros now = context_.now();
   const std::vector<EndpointId> ejected = scheduler_.ejected_endpoints(now);
@@ -51,16 +51,16 @@
   return handover_state;
 }
 
-bool StreamHandoff::is_current(const NodeReport& report, const Node& node, Micros reported_at) {
+bool ProcessHandover::is_current(const NodeReport& report, const Node& node, Micros reported_at) {
   const bool fresh = report.age >= Micros(0) && report.age <= max_report_age;
   const bool newest = reported_at > std::max(node.endpoint.started_at, node.load_reported_at);
   const bool has_content = report.ejected || !report.load_report.empty();
   return fresh && newest && has_content;
 }
 
-// The Scheduler hears of a report as of one health check, so that what the nodes themselves say next
-// outweighs it.
-void StreamHandoff::apply_handover_state(const HandoverState& handover_state) {
+// Each report is passed to the Scheduler as the result of one health check, so that the next results of the
+// node itself outweigh it.
+void ProcessHandover::apply_handover_state(const HandoverState& handover_state) {
   LearnedRates learned_rates{handover_state.prefill_rates, {}};
   std::size_t applied = 0;
   for (const NodeReport& report : handover_state.nodes) {
--- a/src/core/router/node_overlays.cpp
+++ b/src/core/router/node_overlays.cpp
@@ -1,4 +1,4 @@
-// NodeRegistry: what operators and the fleet view say, laid over what discovery lists.
+// NodeRegistry: the operators' overrides and the fleet view, which modify the endpoint list.
 #include <algorithm>
 #include <utility>
 
@@ -76,9 +76,9 @@
   return hints;
 }
 
-// The Scheduler sees a node that an operator drains, or that belongs to a pool of other routers or may do so
-// by now, as draining. It sees an undrained node as just started: the node may have restarted meanwhile, and
-// discovery tells of that seconds late.
+// For the Scheduler, a node is draining if an operator has drained it, if it belongs to a pool of other
+// routers, or if its overlay has expired so that it may belong to them. An undrained node counts as just
+// started: it may have restarted in the meantime, and discovery reports a restart seconds late.
 bool NodeRegistry::apply_overlay(Node& node) {
   const FleetView::NodeOverlay overlay = fleet_view_ ? fleet_view_->overlay(node) : FleetView::NodeOverlay{};
   const bool drained_by_view = overlay.drained || overlay.expires_at <= clock_.now();
--- a/src/core/router/node_registry.cpp
+++ b/src/core/router/node_registry.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-// Names of removed nodes that an operator may still drain or undrain. Bounds the memory of a router that
-// outlives its nodes many times over.
+// Number of removed nodes whose names are kept, so that an operator may still drain or undrain them. The
+// limit bounds the memory of a router whose nodes are replaced many times.
 constexpr std::size_t max_removed_names = 1024;
 
-// The Scheduler numbers zones and machine kinds by one byte. A name that is not in the list of names gets the
-// list's size as its number.
+// The Scheduler refers to zones and machine kinds by indexes of one byte. The index of a name that is not in
+// the list is the size of the list.
 constexpr std::ptrdiff_t max_index = 255;
 
 const char* state_name(EndpointState state) {
@@ -46,9 +46,9 @@
   if (kind != EndpointListKind::incremental)
     for (auto& [id, node] : known_nodes_)
       node.endpoint.state = node.listed_state = EndpointState::removed;
-  for (const ListedNode& one : listed) {
-    store(one);
-    update.endpoints.push_back(known_nodes_[endpoint_ids_[one.name]].endpoint);
+  for (const ListedNode& listed_node : listed) {
+    store(listed_node);
+    update.endpoints.push_back(known_nodes_[endpoint_ids_[listed_node.name]].endpoint);
   }
   log_update(update);
   erase_removed();
@@ -70,7 +70,7 @@
   node.listed_state = listed.state;
   node.listed_start = listed.started_at;
   apply_overlay(node);
-  // The Scheduler's own log lines name a node by its endpoint id.
+  // The log lines of the Scheduler identify a node by its endpoint id.
   logging::info() << "endpoint updated: name=" << listed.name << " endpoint=" << id
                   << " state=" << state_name(listed.state)
                   << " override=" << (admin_overrides_.is_drained(listed.name) ? "drained" : "none");
@@ -81,7 +81,7 @@
                   << " endpoints=" << update.endpoints.size() << " ready=" << ready_nodes();
 }
 
-// An attempt under way at a removed node has its own copy of the node's name.
+// Attempts that are in progress at a removed node have their own copy of the node's name.
 void NodeRegistry::erase_removed() {
   std::erase_if(known_nodes_, [this](const auto& known) {
     const auto& [id, node] = known;
--- a/src/core/router/observer_reporter.cpp
+++ b/src/core/router/observer_reporter.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-constexpr Micros demand_interval = std::chrono::seconds(1);  // between two reports of demand
-constexpr std::string_view memory_column = "x0";  // of load reports: the share of KV cache memory in use
+constexpr Micros demand_report_interval = std::chrono::seconds(1);
+// The column of load reports with the share of KV cache memory in use.
+constexpr std::string_view memory_column = "x0";
 
 }  // namespace
 
@@ -41,7 +42,7 @@
   const Micros now = context_.now();
   const bool has_prefilled = completed.outcome == Outcome::prefill_done || completed.outcome == Outcome::ok;
   if (ended.role != Role::decode && has_prefilled) {
-    // The observer compares the cache hit with what was known before this prefill, so the hit comes first.
+    // The observer compares the cache hit with its state before this prefill, so the hit is reported first.
     observer_->on_cache_hit(node, request.session_key, request.shared_prefix_key, completed.cached_tokens,
                             now);
     observer_->on_prefix_cached(node, request.session_key, request.shared_prefix_key, request.prompt_tokens,
@@ -73,7 +74,7 @@
     if (request->attempt && request->attempt->role != Role::prefill)
       own_tokens += request->prompt_tokens;
   observer_->on_demand(demand_.take_summary(own_tokens, memory, decode_nodes, now), now);
-  context_.timers.add(now + demand_interval, [this] { report_demand(); });
+  context_.timers.add(now + demand_report_interval, [this] { report_demand(); });
 }
 
 }  // namespace lemonroute
--- a/src/core/router/observer_reporter.h
+++ b/src/core/router/observer_reporter.h
@@ -1,5 +1,5 @@
 /// \file
-/// What this router tells the NodeObserver. Used on the serving thread only.
+/// Reports of this router to its NodeObserver. Used on the serving thread only.
 #pragma once
 
 #include "core/demand_tracker.h"
@@ -10,24 +10,25 @@
 
 namespace lemonroute {
 
-/// Reports what this router sees of nodes and of its clients' demand to an observer, once one is set. Owns
-/// the counts of demand.
+/// Reports observations of nodes and the demand of this router's clients to an observer, if one is set. Owns
+/// the DemandTracker, which counts requests even without an observer.
 class ObserverReporter {
  public:
-  /// All arguments outlive this object.
+  /// All arguments must outlive this object.
   ObserverReporter(const RouterContext& context, const NodeRegistry& nodes, const RequestTable& requests);
 
-  /// Reports to `observer` from now on, beginning with the endpoints and the demand; null ends it. `observer`
-  /// outlives this object, or is replaced before it is destroyed.
+  /// Sets the observer and reports the endpoints and the demand to it at once; null removes the observer. It
+  /// must outlive this object or be replaced before it is destroyed.
   void set_observer(NodeObserver* observer);
-  /// Reports all known nodes.
+  /// Reports all listed nodes.
   void report_endpoints();
-  /// Reports what an attempt that has ended says of its node. `node` is the node's entry in the registry.
+  /// Reports what the result of an ended attempt shows about its node. `node` is the node's entry in the
+  /// registry.
   void report_attempt(const RequestState& request, const AttemptState& ended, const Node& node,
                       const AttemptCompleted& completed);
-  /// Counts a request that was accepted.
+  /// Counts an accepted request.
   void record_accepted() { demand_.record_accepted(); }
-  /// Counts a request that was rejected.
+  /// Counts a rejected request.
   void record_rejected() { demand_.record_rejected(); }
 
  private:
--- a/src/core/router/pending_release.h
+++ b/src/core/router/pending_release.h
@@ -1,6 +1,6 @@
 /// \file
-/// One reservation that is being released, and the calls for it. Used on the serving thread only. All times
-/// are on the core's clock.
+/// The release of one request's reservations, and the calls for it. Used on the serving thread only. All
+/// times are on the core's clock.
 #pragma once
 
 #include <cstdint>
@@ -15,32 +15,32 @@
 
 namespace lemonroute {
 
-/// One release call under way. Destroying it closes the call.
+/// One release call in progress. Destroying it closes the call.
 struct ReleaseCall {
   std::uint64_t number = 0;     ///< unique within one ReservationReleaser
   EndpointId endpoint = 0;      ///< the node that is called
-  Micros sent_at{};             ///< when the call began
-  bool during_attempt = false;  ///< a decode attempt of the request was under way when the call began
-  std::unique_ptr<Call> call;   ///< the call under way
+  Micros sent_at{};             ///< when the call was sent
+  bool during_attempt = false;  ///< a decode attempt of the request was in progress when the call was sent
+  std::unique_ptr<Call> call;   ///< the call; null until it is made
 };
 
-/// What a request has left reserved and has to be released. The release is finished once any node has
-/// acknowledged a call, and each holder whose prefill was cut without an answer has acknowledged one itself
-/// or has restarted.
+/// The release of everything that a request has left reserved. It is complete once any node has acknowledged
+/// a call, and each holder whose prefill was interrupted without an answer has acknowledged a call itself or
+/// has restarted.
 struct PendingRelease {
-  RequestId request = 0;                                ///< the request, which may not be open any more
-  std::string id;                                       ///< the client's id, by which nodes know the request
-  std::vector<ReservationHolder> holders;               ///< never empty while the release is pending
-  Micros since{};                                       ///< when it was ordered
-  Micros expires_at{};                                  ///< when it is abandoned
-  Micros due_at{};                                      ///< by when a call has to have arrived
-  std::size_t tries = 0;                                ///< calls made
-  std::map<EndpointId, std::size_t> calls_by_endpoint;  ///< calls made, by the node they went to
-  bool arrived = false;  ///< a node acknowledged a call with no attempt under way
-  /// The number of the attempt that was under way when a node last acknowledged a call.
-  std::optional<std::uint16_t> notified_during_attempt;
-  std::vector<ReleaseCall> calls;  ///< under way, the oldest first
-  ScopedTimer timer;               ///< of the next try
+  RequestId request = 0;                   ///< the request, which may be closed already
+  std::string id;                          ///< the client's id of the request, which nodes use
+  std::vector<ReservationHolder> holders;  ///< nodes still to release; not empty while the release is pending
+  Micros since{};                          ///< when the release was requested
+  Micros expires_at{};                     ///< when the release is abandoned
+  Micros due_at{};                         ///< the time by which a call has to arrive
+  std::size_t tries = 0;                   ///< number of calls made
+  std::map<EndpointId, std::size_t> calls_by_endpoint;  ///< number of calls made to each node
+  bool arrived = false;  ///< a node acknowledged a call while no attempt was in progress
+  /// The number of the attempt that was in progress when a node last acknowledged a call during an attempt.
+  std::optional<std::uint16_t> acknowledged_during_attempt;
+  std::vector<ReleaseCall> calls;  ///< calls in progress, the oldest first
+  ScopedTimer timer;               ///< runs the next call
 
   /// Returns the number of calls that this release has made to the node.
   [[nodiscard]] std::size_t calls_to(EndpointId endpoint) const {
--- a/src/core/router/stream_handoff.cpp
+++ b/src/core/router/process_handover.cpp
@@ -1,4 +1,4 @@
-#include "core/router/stream_handoff.h"
+#include "core/router/process_handover.h"
 
 #include <memory>
 #include <utility>
@@ -7,16 +7,16 @@
 
 namespace lemonroute {
 
-StreamHandoff::StreamHandoff(const RouterContext& context, Collaborators collaborators)
+ProcessHandover::ProcessHandover(const RouterContext& context, Dependencies dependencies)
     : context_(context),
-      requests_(collaborators.requests),
-      nodes_(collaborators.nodes),
-      attempts_(collaborators.attempts),
-      events_(collaborators.events),
-      scheduler_(collaborators.scheduler),
-      metrics_(collaborators.metrics) {}
+      requests_(dependencies.requests),
+      nodes_(dependencies.nodes),
+      attempts_(dependencies.attempts),
+      events_(dependencies.events),
+      scheduler_(dependencies.scheduler),
+      metrics_(dependencies.metrics) {}
 
-std::vector<RequestId> StreamHandoff::streaming_requests() const {
+std::vector<RequestId> ProcessHandover::streaming_requests() const {
   std::vector<RequestId> streaming;
   for (const auto& [id, request] : requests_.all())
     if (request->client && request->is_streaming())
@@ -24,9 +24,9 @@
   return streaming;
 }
 
-// Both connections of a stream are transferred at once and between two events, so that one process only reads
-// and writes each byte.
-void StreamHandoff::transfer_streams(const std::function<bool(const TransferredStream&)>& transfer) {
+// Both connections of a stream are transferred together and between two events, so that each byte is read and
+// written by exactly one process.
+void ProcessHandover::transfer_streams(const std::function<bool(const TransferredStream&)>& transfer) {
   for (const RequestId id : streaming_requests()) {
     RequestState& request = *requests_.find(id);
     const AttemptState& attempt = *request.attempt;
@@ -43,7 +43,7 @@
   }
 }
 
-void StreamHandoff::close_transferred(RequestState& request) {
+void ProcessHandover::close_transferred(RequestState& request) {
   Client& client = *request.client;
   requests_.close_client(request);
   const std::unique_ptr<AttemptState> attempt = std::move(request.attempt);
@@ -60,8 +60,8 @@
                                    {}});
 }
 
-// The Scheduler never hears of such a stream: nothing about it is left to decide.
-bool StreamHandoff::adopt_stream(const TransferredStream& stream, Client& client, RequestId& id) {
+// The Scheduler is not informed of an adopted stream, since no decision about it remains.
+bool ProcessHandover::adopt_stream(const TransferredStream& stream, Client& client, RequestId& id) {
   if (requests_.has_client_id(stream.id))
     return false;
   Node node;
@@ -69,9 +69,9 @@
   node.id = nodes_.id_of(stream.node);
   if (const Node* known = nodes_.find(node.id))
     node = *known;
-  const AcceptedTerms terms{stream.request_class, context_.settings.max_attempts,
-                            metrics_.counts_of(stream.request_class)};
-  RequestState& request = requests_.add({stream.id, {}, {}}, client, terms);
+  const FixedRequestSettings fixed_settings{stream.request_class, context_.settings.max_attempts,
+                                            metrics_.counts_of(stream.request_class)};
+  RequestState& request = requests_.add({stream.id, {}, {}}, client, fixed_settings);
   request.attempt_count = static_cast<std::uint16_t>(stream.attempt + 1);
   request.adopted = true;
   id = request.id;
--- a/src/core/router/release_calls.cpp
+++ b/src/core/router/release_calls.cpp
@@ -1,4 +1,4 @@
-// ReservationReleaser: the calls to nodes, and what their answers change.
+// ReservationReleaser: the calls to nodes and the handling of their results.
 #include <algorithm>
 #include <utility>
 
@@ -11,15 +11,16 @@
 
 using std::chrono::milliseconds;
 
-// Each call has a connection of its own, and so a descriptor of the process.
-constexpr std::size_t max_calls = 128;             // of all releases together
-constexpr std::size_t max_calls_per_release = 3;   // the oldest call is closed for a further one
-constexpr Micros min_call_age = milliseconds(20);  // a node may still answer a younger call
+// Each call uses a connection, and thus a file descriptor, of its own.
+constexpr std::size_t max_open_calls = 128;            // of all releases together
+constexpr std::size_t max_open_calls_per_release = 3;  // the next call replaces the oldest one
+// A younger call may still be answered, so it is not closed for the sake of another one.
+constexpr Micros min_call_age = milliseconds(20);
 
 }  // namespace
 
 void ReservationReleaser::send_release(PendingRelease& pending, const Node& node) {
-  if (pending.calls.size() >= max_calls_per_release)
+  if (pending.calls.size() >= max_open_calls_per_release)
     pending.calls.erase(pending.calls.begin());
   ++pending.tries;
   ++pending.calls_by_endpoint[node.id];
@@ -35,7 +36,7 @@
 void ReservationReleaser::on_release_answered(std::uint64_t number, bool arrived) {
   for (PendingRelease& pending : releases_) {
     const auto found = std::find_if(pending.calls.begin(), pending.calls.end(),
-                                    [&](const auto& one) { return one.number == number; });
+                                    [&](const auto& call) { return call.number == number; });
     if (found == pending.calls.end())
       continue;
     const ReleaseCall answered = std::move(*found);
@@ -53,16 +54,16 @@
   schedule_release(pending, context_.now() + retry_pause);
 }
 
-// A node releases nothing that a decode attempt waits for. So a call that it acknowledged while an attempt
-// was under way proves only that nothing was idle until then. The node may end that attempt without a word,
-// and what the attempt leaves has to be released anew.
+// A node does not release a reservation that a decode attempt waits for. So a call that it acknowledged
+// during an attempt only proves that no reservation was idle until then. The node may end that attempt
+// without reporting it, and what the attempt leaves must then be released by another call.
 void ReservationReleaser::on_release_acknowledged(PendingRelease& pending, const ReleaseCall& call) {
   nodes_.record_answer(call.endpoint);
   RequestState* request = requests_.find(pending.request);
   if (request && request->awaits_decode_result()) {
     request->reservation_idle_since = call.sent_at;
     pending.due_at = call.sent_at + schedule_.release_timeout();
-    pending.notified_during_attempt = request->attempt->number;
+    pending.acknowledged_during_attempt = request->attempt->number;
     return schedule_release(pending, context_.now() + retry_pause);
   }
   if (call.during_attempt)
@@ -77,8 +78,8 @@
     drop_release(pending);
 }
 
-// The machine of a node may vanish with the connection open: then neither an answer nor an error ever comes,
-// while other nodes could be called.
+// If the machine of a node fails while the connection is open, the call gets neither an answer nor an error.
+// After the timeout, calls to other nodes take its place.
 void ReservationReleaser::expire_release_calls(PendingRelease& pending) {
   std::erase_if(pending.calls, [&](const ReleaseCall& call) {
     const bool expired = context_.now() - call.sent_at >= schedule_.call_timeout();
@@ -88,19 +89,19 @@
   });
 }
 
-// With max_calls under way, the oldest call of another release is closed: a node that can be reached would
-// have answered it.
+// With max_open_calls in progress, closes the oldest call of another release: a reachable node would have
+// answered it by now.
 bool ReservationReleaser::reserve_call_slot(const PendingRelease& pending) {
   std::size_t calls = 0;
   PendingRelease* oldest = nullptr;
-  for (PendingRelease& one : releases_) {
-    calls += one.calls.size();
-    if (&one == &pending || one.calls.empty())
+  for (PendingRelease& other : releases_) {
+    calls += other.calls.size();
+    if (&other == &pending || other.calls.empty())
       continue;
-    if (!oldest || one.calls.front().sent_at < oldest->calls.front().sent_at)
-      oldest = &one;
+    if (!oldest || other.calls.front().sent_at < oldest->calls.front().sent_at)
+      oldest = &other;
   }
-  if (calls < max_calls)
+  if (calls < max_open_calls)
     return true;
   if (!oldest || context_.now() - oldest->calls.front().sent_at < min_call_age)
     return false;
--- a/src/core/router/release_schedule.cpp
+++ b/src/core/router/release_schedule.cpp
@@ -10,14 +10,14 @@
 using std::chrono::seconds;
 
 constexpr Micros::rep calls_per_timeout = 8;           // calls that start within the release timeout
-constexpr Micros::rep max_calls_under_way = 3;         // so long a call may last, in intervals between calls
-constexpr Micros::rep other_nodes_timeouts = 8;        // release timeouts in which other nodes are called
-constexpr Micros default_timeout = seconds(1);         // where the settings state none
-constexpr Micros min_call_period = milliseconds(160);  // for calls_per_timeout calls
-constexpr Micros max_interval = seconds(1);            // between two calls, once the timeout has passed
-constexpr Micros max_shutdown_interval = milliseconds(40);  // between two calls, once the process ends
-// The platform kills the process 500 ms after the shutdown deadline; 200 ms are left to everything else.
-constexpr Micros calls_after_shutdown = milliseconds(300);
+constexpr Micros::rep call_timeout_intervals = 3;      // timeout of a call, in intervals between calls
+constexpr Micros::rep other_nodes_timeouts = 8;        // how long other nodes are called, in release timeouts
+constexpr Micros default_timeout = seconds(1);         // if the settings state no release timeout
+constexpr Micros min_call_period = milliseconds(160);  // minimum time for calls_per_timeout calls
+constexpr Micros max_interval = seconds(1);            // between two calls, after the release timeout
+constexpr Micros max_shutdown_interval = milliseconds(40);  // between two calls, after the shutdown deadline
+// The platform kills the process 500 ms after the shutdown deadline; the remaining 200 ms are for other work.
+constexpr Micros release_time_after_shutdown = milliseconds(300);
 
 }  // namespace
 
@@ -34,15 +34,15 @@
 }
 
 Micros ReleaseSchedule::call_timeout() const {
-  return release_timeout() * max_calls_under_way / calls_per_timeout;
+  return release_timeout() * call_timeout_intervals / calls_per_timeout;
 }
 
-// The calls are spread over the time until the release is due, and the second one follows sooner if the
-// holder failed at the last contact. Later, or when only a holder that hangs is left to be told, they become
-// slower.
+// The calls are spread evenly over the time until the release is due; the second one is made sooner if the
+// last contact with the holder was a failure. After the release timeout, or when only hanging holders are
+// left to call, the intervals become longer.
 Micros ReleaseSchedule::retry_interval(const PendingRelease& pending) const {
   const Micros now = context_.now();
-  // A process that ends has little time left, so it calls more nodes, each for less long.
+  // Little time is left before the process ends, so more nodes are called, at shorter intervals.
   if (shutdown_deadline_ && now >= *shutdown_deadline_)
     return std::min(release_timeout() / calls_per_timeout, max_shutdown_interval);
   if (pending.arrived)
@@ -55,15 +55,15 @@
   return std::min(interval * (1 + timeouts_passed), std::max(interval, max_interval));
 }
 
-// A holder that hangs may go on for a moment, complete its prefill and be cut off again. For a while the
-// other nodes are called in turn with it, since each of them passes a release on.
+// A hanging holder may resume briefly, complete its prefill and become unreachable again. Therefore other
+// nodes are called in turn with the holder for a limited time, since each node forwards a release.
 bool ReleaseSchedule::notifies_other_nodes(const PendingRelease& pending) const {
   return context_.now() - pending.since < release_timeout() * other_nodes_timeouts;
 }
 
 void ReleaseSchedule::limit_to_shutdown(PendingRelease& pending) const {
   if (shutdown_deadline_)
-    pending.expires_at = std::min(pending.expires_at, *shutdown_deadline_ + calls_after_shutdown);
+    pending.expires_at = std::min(pending.expires_at, *shutdown_deadline_ + release_time_after_shutdown);
 }
 
 }  // namespace lemonroute
--- a/src/core/router/release_schedule.h
+++ b/src/core/router/release_schedule.h
@@ -1,5 +1,6 @@
 /// \file
-/// When release calls are made and when they are given up. Used on the serving thread only.
+/// The times at which release calls are made and abandoned. Used on the serving thread only. All times are on
+/// the core's clock.
 #pragma once
 
 #include <optional>
@@ -10,27 +11,27 @@
 
 namespace lemonroute {
 
-/// Derives the times of release calls from Settings::reservation_release_timeout. Owns the shutdown deadline,
-/// after which calls follow each other sooner.
+/// Derives the times of release calls from Settings::reservation_release_timeout. Holds the shutdown
+/// deadline, after which calls are made at shorter intervals.
 class ReleaseSchedule {
  public:
-  /// `context` and `nodes` outlive this object.
+  /// `context` and `nodes` must outlive this object.
   ReleaseSchedule(const RouterContext& context, const NodeRegistry& nodes);
 
-  /// The process ends soon after `at`.
+  /// Sets the time shortly after which the process ends.
   void set_shutdown_deadline(Micros at) { shutdown_deadline_ = at; }
-  /// Returns how long a reservation may be held with no attempt under way.
+  /// Returns how long a reservation may be held while no attempt is in progress.
   [[nodiscard]] Micros release_timeout() const;
-  /// Returns when the calls for a reservation have to begin that has been idle since `idle_since`: after half
-  /// of the timeout, so that the other half is left to them.
+  /// Returns when the release calls for a reservation that has been idle since `idle_since` must start: after
+  /// half of the release timeout, so that the other half remains for the calls.
   [[nodiscard]] Micros release_due_at(Micros idle_since) const;
-  /// Returns how long a call may go unanswered. A node that can be reached answers much sooner.
+  /// Returns how long a call may wait for an answer. A reachable node answers much sooner.
   [[nodiscard]] Micros call_timeout() const;
-  /// Returns the time from one call of this release to the next.
+  /// Returns the time between the last call of this release and the next one.
   [[nodiscard]] Micros retry_interval(const PendingRelease& pending) const;
-  /// Returns whether nodes other than the holders are still called after one of them has acknowledged.
+  /// Returns whether nodes other than the holders are still called after a node has acknowledged a call.
   [[nodiscard]] bool notifies_other_nodes(const PendingRelease& pending) const;
-  /// Brings the end of the release forward to the end of the process.
+  /// Makes the release expire before the process ends, once a shutdown deadline is set.
   void limit_to_shutdown(PendingRelease& pending) const;
 
  private:
--- a/src/core/router/release_targets.cpp
+++ b/src/core/router/release_targets.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-constexpr std::size_t calls_per_round = 4;                 // one of so many calls goes to a holder
-constexpr Micros recent_answer = std::chrono::seconds(1);  // an answer so long ago shows that the node is up
-constexpr std::uint64_t spread_multiplier = 0x9E3779B97F4A7C15u;  // 2^64 over the golden ratio
+constexpr std::size_t holder_call_period = 4;  // one call in this many goes to a holder
+// A node whose last answer is not older is assumed to be up.
+constexpr Micros max_recent_answer_age = std::chrono::seconds(1);
+constexpr std::uint64_t golden_ratio_multiplier = 0x9E3779B97F4A7C15u;  // 2^64 divided by the golden ratio
 
-// What other nodes are compared by, in the order of importance; the lowest is called.
+// The rank of a node that is not a holder. Fields are in the order of comparison; the lowest rank is called.
 struct TargetRank {
-  std::size_t calls = 0;       // calls of this release to the node
-  int contact = 0;             // 0: has answered lately, 1: unknown, 2: failed at the last contact
-  bool unwanted_role = false;  // its role is not the one whose turn it is
-  std::uint64_t spread = 0;    // differs by request, so that not all requests call the same node
+  std::size_t calls = 0;          // calls of this release to the node
+  int contact = 0;                // 0: answered recently, 1: unknown, 2: the last contact was a failure
+  bool unpreferred_role = false;  // the node does not have the role that is preferred for this call
+  std::uint64_t tie_breaker = 0;  // depends on the request, so that not all requests call the same node
 
   friend bool operator<(const TargetRank& left, const TargetRank& right) {
-    return std::tie(left.calls, left.contact, left.unwanted_role, left.spread) <
-           std::tie(right.calls, right.contact, right.unwanted_role, right.spread);
+    return std::tie(left.calls, left.contact, left.unpreferred_role, left.tie_breaker) <
+           std::tie(right.calls, right.contact, right.unpreferred_role, right.tie_breaker);
   }
 };
 
@@ -30,16 +31,16 @@
                                const ReleaseSchedule& schedule)
     : context_(context), nodes_(nodes), schedule_(schedule) {}
 
-// The first call goes to a holder, and every fourth call after it: a holder that is lost but still listed
-// would take up most of the time in which the reservation has to be released if it got every second call.
-// Once a node has acknowledged the release, only holders whose prefill may still complete are left to be
-// told.
+// The first call and every fourth call after it go to a holder: if a holder that has failed but is still
+// listed got every second call, most of the time in which the reservation must be released would be lost on
+// it. Once a node has acknowledged the release, only holders whose prefill may still complete remain to be
+// called.
 const Node* ReleaseTargets::next_target(const PendingRelease& pending) const {
   const Node* holder = holder_target(pending);
   const bool holder_only = pending.tries % 2 == 0 || !schedule_.notifies_other_nodes(pending);
   if (pending.arrived && holder && holder_only)
     return holder;
-  if (!pending.arrived && holder && pending.tries % calls_per_round == 0)
+  if (!pending.arrived && holder && pending.tries % holder_call_period == 0)
     return holder;
   const Node* other = other_target(pending);
   return other ? other : holder;
@@ -65,22 +66,22 @@
   if (nodes_.suspected(endpoint))
     return 2;
   const auto last_answer = nodes_.last_answer(endpoint);
-  return last_answer && context_.now() - *last_answer <= recent_answer ? 0 : 1;
+  return last_answer && context_.now() - *last_answer <= max_recent_answer_age ? 0 : 1;
 }
 
-// The role that the holder does not have comes first, then the roles take turns: all nodes of one role may
-// fall silent together.
+// The preferred role starts with the one that the holder does not have and then alternates, since all nodes
+// of one role may become unreachable together.
 const Node* ReleaseTargets::other_target(const PendingRelease& pending) const {
   const Role holder_role = nodes_.role_of(pending.holders.front().endpoint);
-  const bool wants_holder_role = pending.tries % 2 == 0;
+  const bool prefers_holder_role = pending.tries % 2 == 0;
   const Node* best = nullptr;
   TargetRank lowest;
   for (const auto& [id, node] : nodes_.all()) {
     if (!node.ready() || pending.is_held_at(id))
       continue;
     const bool has_holder_role = nodes_.role_of(id) == holder_role;
-    const TargetRank rank{pending.calls_to(id), contact_rank(id), has_holder_role != wants_holder_role,
-                          (pending.request ^ id) * spread_multiplier};
+    const TargetRank rank{pending.calls_to(id), contact_rank(id), has_holder_role != prefers_holder_role,
+                          (pending.request ^ id) * golden_ratio_multiplier};
     if (best && !(rank < lowest))
       continue;
     best = &node;
--- a/src/core/router/release_targets.h
+++ b/src/core/router/release_targets.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which node gets the next release call. Used on the serving thread only.
+/// The choice of the node for the next release call. Used on the serving thread only.
 #pragma once
 
 #include "core/router/node_registry.h"
@@ -9,20 +9,21 @@
 
 namespace lemonroute {
 
-/// Chooses the targets of release calls: the holders, and in between other nodes, each of which accepts the
-/// call as well. Stateless.
+/// Chooses the targets of release calls: the holders and, in turn with them, other nodes, which also accept
+/// the call. Stateless.
 class ReleaseTargets {
  public:
-  /// All arguments outlive this object.
+  /// All arguments must outlive this object.
   ReleaseTargets(const RouterContext& context, const NodeRegistry& nodes, const ReleaseSchedule& schedule);
 
-  /// Returns the node to call next, or null if none can be called. Valid until the endpoint list changes.
+  /// Returns the node to call next, or null if there is none. The pointer is valid until the endpoint list
+  /// changes.
   [[nodiscard]] const Node* next_target(const PendingRelease& pending) const;
-  /// Returns the best ready node that is no holder, or null without one.
+  /// Returns the best ready node that is not a holder, or null if there is none.
   [[nodiscard]] const Node* other_target(const PendingRelease& pending) const;
 
  private:
-  /// Returns the listed holder with the fewest calls, or null if none is listed.
+  /// Returns the listed holder that got the fewest calls, or null if no holder is listed.
   [[nodiscard]] const Node* holder_target(const PendingRelease& pending) const;
   [[nodiscard]] int contact_rank(EndpointId endpoint) const;
 
--- a/src/core/router/request_table.cpp
+++ b/src/core/router/request_table.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Ids have 52 bits, so that a double represents each of them exactly.
+// Ids have 52 bits, so that a double represents every id exactly.
 constexpr RequestId request_id_mask = (RequestId(1) << 52) - 1;
 
 }  // namespace
@@ -26,7 +26,7 @@
   return requests_by_client_id_.count(client_id) > 0;
 }
 
-RequestState& RequestTable::add(const Prompt& prompt, Client& client, AcceptedTerms terms) {
+RequestState& RequestTable::add(const Prompt& prompt, Client& client, FixedRequestSettings fixed_settings) {
   RequestId id = hash_text(prompt.id) & request_id_mask;
   while (requests_.count(id))
     id = (id + 1) & request_id_mask;
@@ -35,9 +35,9 @@
   request->id = id;
   request->prompt = prompt;
   request->client = &client;
-  request->max_attempts = terms.max_attempts;
-  request->request_class = std::move(terms.request_class);
-  request->counts = std::move(terms.counts);
+  request->max_attempts = fixed_settings.max_attempts;
+  request->request_class = std::move(fixed_settings.request_class);
+  request->counts = std::move(fixed_settings.counts);
   ++waiting_clients_;
   return *(requests_[id] = std::move(request));
 }
--- a/src/core/router/request_table.h
+++ b/src/core/router/request_table.h
@@ -14,48 +14,49 @@
 
 namespace lemonroute {
 
-/// What a request keeps from the moment it is accepted, whatever the settings become.
-struct AcceptedTerms {
+/// Settings that are fixed for a request when it is accepted; later settings do not change them.
+struct FixedRequestSettings {
   std::string request_class;              ///< name of the class
-  std::uint32_t max_attempts = 1;         ///< the limit of attempts
-  std::shared_ptr<RequestCounts> counts;  ///< of the class
+  std::uint32_t max_attempts = 1;         ///< the limit of attempts of the request
+  std::shared_ptr<RequestCounts> counts;  ///< counters of the class
 };
 
-/// Owns the requests that are open: not answered, or answered with an attempt still under way. Finds them by
-/// the router's id and by the client's, and keeps their deadlines.
+/// Owns the open requests: those that are not answered, and those whose attempt is still in progress. Finds
+/// them by the router's id and by the client's id, and sets their deadlines.
 class RequestTable {
  public:
-  /// The open requests by their ids.
+  /// The open requests by the router's id.
   using Requests = std::unordered_map<RequestId, std::unique_ptr<RequestState>>;
 
   /// Returns the request, or null if it is not open.
   [[nodiscard]] RequestState* find(RequestId id);
   /// Returns the request, or null if it is not open.
   [[nodiscard]] const RequestState* find(RequestId id) const;
-  /// Returns whether a request with this id of the client's is open.
+  /// Returns whether a request with this client id is open.
   [[nodiscard]] bool has_client_id(const std::string& client_id) const;
   /// Returns all open requests.
   [[nodiscard]] const Requests& all() const { return requests_; }
   /// Returns whether no request is open.
   [[nodiscard]] bool empty() const { return requests_.empty(); }
-  /// Returns the number of requests whose client waits for the end of its answer.
+  /// Returns the number of requests whose client has not received the end of its answer.
   [[nodiscard]] std::size_t waiting_clients() const { return waiting_clients_; }
 
-  /// Adds a request whose client id is not open. The table owns it until erase; `client` must live until
-  /// close_client.
-  RequestState& add(const Prompt& prompt, Client& client, AcceptedTerms terms);
-  /// Sets the deadline, or the shutdown deadline if that is earlier.
+  /// Adds a request. No request with the same client id may be open. The table owns the request until erase;
+  /// `client` must live until close_client.
+  RequestState& add(const Prompt& prompt, Client& client, FixedRequestSettings fixed_settings);
+  /// Sets the request's deadline to `deadline` or to the shutdown deadline, whichever is earlier.
   void set_deadline(RequestState& request, Micros deadline);
-  /// From now on no deadline is later than `at`, neither of an open request nor of a later one.
+  /// Limits the deadlines of all open and later requests to `at`.
   void set_shutdown_deadline(Micros at);
-  /// The client hears nothing more: its request is answered, or it has disconnected. Call it once a request.
+  /// Detaches the client from its request, which is answered or whose client has disconnected. Call it once
+  /// per request.
   void close_client(RequestState& request);
   /// Destroys the request and its attempt.
   void erase(RequestId id);
 
-  /// Notes that an event or an action has concerned this request, so that it may have finished.
+  /// Records that an event or an action has affected this request, so that it may have finished.
   void mark_touched(RequestId id) { touched_.push_back(id); }
-  /// Returns the requests that were marked since the last call, in that order, some of them repeatedly.
+  /// Returns the requests that were marked since the last call, in that order and possibly with duplicates.
   [[nodiscard]] std::vector<RequestId> take_touched();
 
  private:
--- a/src/core/router/reservation_releaser.cpp
+++ b/src/core/router/reservation_releaser.cpp
@@ -12,9 +12,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Micros stream_check_interval = milliseconds(250);  // while a stream has to end first
-constexpr Micros release_lifetime = seconds(30);             // a network partition may last so long
-constexpr Micros clock_error = milliseconds(500);  // between the clocks of a node and of this process
+constexpr Micros stream_check_interval = milliseconds(250);  // while a release waits for the end of a stream
+constexpr Micros release_lifetime = seconds(30);             // covers the duration of a network partition
+constexpr Micros clock_error = milliseconds(500);            // maximum skew of a node's clock
 
 }  // namespace
 
@@ -51,7 +51,7 @@
   request.reservation_idle_since.reset();
 }
 
-void ReservationReleaser::release_untaken(RequestState& request) {
+void ReservationReleaser::release_unclaimed(RequestState& request) {
   std::vector<ReservationHolder> holders = std::exchange(request.orphaned_reservations, {});
   if (request.has_reservation)
     holders.push_back(request.reservation);
@@ -68,10 +68,10 @@
       {attempt.endpoint, attempt.process_started_at, context_.now(), true});
   release_orphaned(request);
   const auto pending = std::find_if(releases_.begin(), releases_.end(),
-                                    [&](const auto& one) { return one.request == request.id; });
+                                    [&](const auto& release) { return release.request == request.id; });
   if (pending == releases_.end())
     return;
-  // The prefill node is late, so another node is called beside it.
+  // The prefill node is slow, so another node is called in addition.
   const Node* other = targets_.other_target(*pending);
   if (other && reserve_call_slot(*pending))
     send_release(*pending, *other);
@@ -80,16 +80,16 @@
 void ReservationReleaser::start_release(const RequestState& request,
                                         const std::vector<ReservationHolder>& holders) {
   const auto found = std::find_if(releases_.begin(), releases_.end(),
-                                  [&](const auto& one) { return one.id == request.prompt.id; });
+                                  [&](const auto& release) { return release.id == request.prompt.id; });
   PendingRelease& pending = found == releases_.end() ? releases_.emplace_back() : *found;
   pending.timer.cancel();
   pending.request = request.id;
   pending.id = request.prompt.id;
   for (const ReservationHolder& holder : holders) {
-    std::erase_if(pending.holders, [&](const auto& one) { return one.endpoint == holder.endpoint; });
+    std::erase_if(pending.holders, [&](const auto& earlier) { return earlier.endpoint == holder.endpoint; });
     pending.holders.push_back(holder);
   }
-  // The holders of an earlier release come last.
+  // The new holders precede those of an earlier release.
   std::rotate(pending.holders.begin(), pending.holders.end() - static_cast<std::ptrdiff_t>(holders.size()),
               pending.holders.end());
   pending.since = context_.now();
@@ -126,12 +126,12 @@
 }
 
 void ReservationReleaser::drop_release(PendingRelease& pending) {
-  releases_.remove_if([&](const PendingRelease& one) { return &one == &pending; });
+  releases_.remove_if([&](const PendingRelease& release) { return &release == &pending; });
 }
 
-// A release call during an attempt would take away the KV cache that the attempt is about to use. So the
-// calls wait while an attempt streams. While one awaits its result they wait until the reservation has to be
-// released whether or not that attempt has arrived at its node.
+// A release call during an attempt could release the KV cache that the attempt is about to use. So the calls
+// are postponed while an attempt is streaming. While an attempt waits for its result, they are postponed
+// until the reservation must be released whether or not that attempt has arrived at its node.
 bool ReservationReleaser::waits_for_attempt(const PendingRelease& pending) const {
   const RequestState* request = requests_.find(pending.request);
   if (pending.tries == 0 || !request)
@@ -140,8 +140,9 @@
     return true;
   if (request->awaits_prefill_result())
     return pending.arrived || context_.now() < pending.due_at - schedule_.release_timeout() / 2;
-  const bool notified = request->attempt && pending.notified_during_attempt == request->attempt->number;
-  const bool expects_attempt = notified || (request->client && request->has_reservation);
+  const bool acknowledged =
+      request->attempt && pending.acknowledged_during_attempt == request->attempt->number;
+  const bool expects_attempt = acknowledged || (request->client && request->has_reservation);
   return expects_attempt && request->reservation_idle_since &&
          context_.now() < schedule_.release_due_at(*request->reservation_idle_since);
 }
@@ -149,7 +150,7 @@
 void ReservationReleaser::postpone_release(PendingRelease& pending, const RequestState& request) {
   const Micros now = context_.now();
   const Micros pause = request.is_streaming() ? stream_check_interval : retry_pause;
-  pending.since += pause;  // nothing is held in the meantime
+  pending.since += pause;  // no reservation is idle in the meantime
   pending.expires_at += pause;
   if (!request.awaits_prefill_result())
     pending.due_at = request.reservation_idle_since.value_or(now) + schedule_.release_timeout();
@@ -159,9 +160,8 @@
   schedule_release(pending, now + pause);
 }
 
-// The process of a node that has restarted holds no KV cache from before. A node that has left the endpoint
-// list may still hang and complete its prefill later, so it counts as a holder for as long as a listed node
-// would.
+// A node that has restarted holds no KV cache from before the restart. A node that has left the endpoint list
+// may be hanging and complete its prefill later, so it remains a holder for as long as a listed node would.
 void ReservationReleaser::drop_restarted_holders(PendingRelease& pending) const {
   std::erase_if(pending.holders, [&](const ReservationHolder& holder) {
     const Node* node = nodes_.find(holder.endpoint);
@@ -170,21 +170,21 @@
     const Micros started_at = node->listed_start;
     return started_at != holder.process_started_at && started_at >= holder.since + clock_error;
   });
-  // The node whose KV cache is being streamed has been asked for it by the decode node.
+  // The decode node of an active stream has already taken the KV cache from the reservation's node.
   const RequestState* request = requests_.find(pending.request);
   if (request && request->is_streaming() && request->has_reservation)
     std::erase_if(pending.holders,
-                  [&](const auto& one) { return one.endpoint == request->reservation.endpoint; });
+                  [&](const auto& holder) { return holder.endpoint == request->reservation.endpoint; });
 }
 
-// Each call has a connection of its own, and so a descriptor of the process. Once the release has arrived
-// somewhere, a holder that hangs is therefore called by one release at a time.
+// Each call uses a connection, and thus a file descriptor, of its own. Therefore, once its release has
+// arrived at any node, a release does not call a hanging holder that another release is calling.
 bool ReservationReleaser::waits_for_holder(const PendingRelease& pending, EndpointId endpoint) const {
   if (!pending.arrived || nodes_.has_answered_since(endpoint, pending.since))
     return false;
-  const auto calls_it = [&](const ReleaseCall& call) { return call.endpoint == endpoint; };
-  return std::any_of(releases_.begin(), releases_.end(), [&](const PendingRelease& one) {
-    return &one != &pending && std::any_of(one.calls.begin(), one.calls.end(), calls_it);
+  const auto calls_endpoint = [&](const ReleaseCall& call) { return call.endpoint == endpoint; };
+  return std::any_of(releases_.begin(), releases_.end(), [&](const PendingRelease& other) {
+    return &other != &pending && std::any_of(other.calls.begin(), other.calls.end(), calls_endpoint);
   });
 }
 
--- a/src/core/router/reservation_releaser.h
+++ b/src/core/router/reservation_releaser.h
@@ -17,34 +17,34 @@
 
 namespace lemonroute {
 
-/// Releases the KV caches that requests have left reserved at prefill nodes: it repeats the calls until one
-/// is known to have arrived, and holds them back while an attempt of the request needs what they would
-/// release. Owns the pending releases and their calls.
+/// Releases the KV caches that requests have left reserved at prefill nodes. Repeats the calls until one is
+/// known to have arrived, and postpones them while an attempt of the request needs the KV cache. Owns the
+/// pending releases and their calls.
 class ReservationReleaser {
  public:
-  /// All arguments outlive this object.
+  /// All arguments must outlive this object.
   ReservationReleaser(const RouterContext& context, RequestTable& requests, NodeRegistry& nodes);
 
-  /// Releases the request's reservation and what cut prefills may have left.
+  /// Releases the request's reservation and what its interrupted prefills may have left.
   void release_reservation(RequestState& request);
-  /// Releases what cut prefills of the request may have left.
+  /// Releases what interrupted prefills of the request may have left.
   void release_orphaned(RequestState& request);
-  /// Releases what the request holds, although an attempt is under way that may still take it.
-  void release_untaken(RequestState& request);
-  /// Releases what a prefill may leave whose call is being closed, at its node and at another one, before the
-  /// next prefill is sent: a release that came later would take away what that one leaves.
+  /// Releases everything that is reserved for the request, although its attempt in progress may still use it.
+  void release_unclaimed(RequestState& request);
+  /// Releases what a prefill may leave whose call is being closed. Calls its node and another node before the
+  /// next prefill is sent, since a later release would also release the KV cache of that prefill.
   void release_cancelled_prefill(RequestState& request, AttemptState& attempt);
 
-  /// Returns when a reservation has to be released that has been idle since `idle_since`.
+  /// Returns when the release calls for a reservation that has been idle since `idle_since` must start.
   [[nodiscard]] Micros release_due_at(Micros idle_since) const;
-  /// The process ends soon after `at`: no release goes on for much longer.
+  /// Sets the time shortly after which the process ends. Releases expire soon after that time.
   void set_shutdown_deadline(Micros at);
   /// Returns whether no release is pending.
   [[nodiscard]] bool idle() const { return releases_.empty(); }
 
  private:
-  static constexpr Micros retry_pause =
-      std::chrono::milliseconds(60);  // before a further call, after a failure
+  // The time between a failed call and the next one.
+  static constexpr Micros retry_pause = std::chrono::milliseconds(60);
 
   void start_release(const RequestState& request, const std::vector<ReservationHolder>& holders);
   void try_release(PendingRelease& pending);
--- a/src/core/router/router.cpp
+++ b/src/core/router/router.cpp
@@ -2,13 +2,13 @@
 #include <utility>
 
 #include "base/log.h"
-#include "core/router/router_parts.h"
+#include "core/router/router_impl.h"
 
 namespace lemonroute {
 
-Router::Parts::Parts(Router& router, Settings initial_settings, std::vector<std::string> zones,
-                     std::vector<std::string> kinds, std::uint64_t seed, const Clock& clock,
-                     NodeTransport& transport)
+Router::Impl::Impl(Router& router, Settings initial_settings, std::vector<std::string> zones,
+                   std::vector<std::string> kinds, std::uint64_t seed, const Clock& clock,
+                   NodeTransport& transport)
     : settings(std::move(initial_settings)),
       context{settings, clock, timers, transport,
               [&router] {
@@ -22,11 +22,11 @@
       reporter(context, nodes, requests),
       attempts(context, {requests, nodes, releaser, events, reporter}),
       actions(context, {scheduler, requests, nodes, releaser, attempts, events, reporter}),
-      handoff(context, {requests, nodes, attempts, events, scheduler, metrics}) {
+      handover(context, {requests, nodes, attempts, events, scheduler, metrics}) {
   metrics.set_classes(settings.classes);
 }
 
-void Router::Parts::reapply_overlays() {
+void Router::Impl::reapply_overlays() {
   EndpointListUpdate update = actions.refresh_overlays();
   if (!update.endpoints.empty())
     events.enqueue(std::move(update));
@@ -34,59 +34,59 @@
 
 Router::Router(Settings settings, std::vector<std::string> zones, std::vector<std::string> kinds,
                std::uint64_t seed, const Clock& clock, NodeTransport& transport)
-    : parts_(std::make_unique<Parts>(*this, std::move(settings), std::move(zones), std::move(kinds), seed,
-                                     clock, transport)) {}
+    : impl_(std::make_unique<Impl>(*this, std::move(settings), std::move(zones), std::move(kinds), seed,
+                                   clock, transport)) {}
 Router::~Router() = default;
 
 void Router::update_endpoints(EndpointListKind kind, std::uint32_t version,
                               const std::vector<ListedNode>& listed) {
-  EndpointListUpdate update = parts_->nodes.update(kind, version, listed);
-  parts_->attempts.limit_starts_at_draining_nodes();
-  parts_->events.enqueue(std::move(update));
-  parts_->reporter.report_endpoints();
+  EndpointListUpdate update = impl_->nodes.update(kind, version, listed);
+  impl_->attempts.limit_starts_at_draining_nodes();
+  impl_->events.enqueue(std::move(update));
+  impl_->reporter.report_endpoints();
 }
 
 void Router::update_settings(Settings settings, std::vector<std::string> zones,
                              std::vector<std::string> kinds) {
-  parts_->settings = std::move(settings);
-  parts_->metrics.set_classes(parts_->settings.classes);
-  parts_->scheduler.update_settings(parts_->nodes.effective_settings());
-  parts_->events.enqueue(parts_->nodes.renumber(std::move(zones), std::move(kinds)));
-  parts_->reporter.report_endpoints();
+  impl_->settings = std::move(settings);
+  impl_->metrics.set_classes(impl_->settings.classes);
+  impl_->scheduler.update_settings(impl_->nodes.effective_settings());
+  impl_->events.enqueue(impl_->nodes.renumber(std::move(zones), std::move(kinds)));
+  impl_->reporter.report_endpoints();
 }
 
 OverrideResult Router::drain_node(const std::string& node) {
-  const OverrideResult result = parts_->nodes.drain(node);
+  const OverrideResult result = impl_->nodes.drain(node);
   if (result == OverrideResult::applied)
-    parts_->reapply_overlays();
+    impl_->reapply_overlays();
   return result;
 }
 
 OverrideResult Router::undrain_node(const std::string& node) {
-  const OverrideResult result = parts_->nodes.undrain(node);
+  const OverrideResult result = impl_->nodes.undrain(node);
   if (result == OverrideResult::applied)
-    parts_->reapply_overlays();
+    impl_->reapply_overlays();
   return result;
 }
 
 void Router::load_overrides(std::string path, LockFile& lock) {
-  parts_->nodes.load_overrides(std::move(path), lock);
-  parts_->reapply_overlays();
+  impl_->nodes.load_overrides(std::move(path), lock);
+  impl_->reapply_overlays();
 }
 
 void Router::reload_overrides() {
-  if (parts_->nodes.reload_overrides())
-    parts_->reapply_overlays();
+  if (impl_->nodes.reload_overrides())
+    impl_->reapply_overlays();
 }
 
 RouterMetrics Router::metrics() const {
-  const NodeRegistry& nodes = parts_->nodes;
+  const NodeRegistry& nodes = impl_->nodes;
   RouterMetrics metrics;
-  metrics.classes = parts_->metrics.all();
-  metrics.sent_attempts = parts_->attempts.sent_attempts();
+  metrics.classes = impl_->metrics.all();
+  metrics.sent_attempts = impl_->attempts.sent_attempts();
   metrics.open_requests = open_requests();
   metrics.listed_nodes = nodes.all().size();
-  const std::vector<EndpointId> ejected = parts_->scheduler.ejected_endpoints(parts_->context.now());
+  const std::vector<EndpointId> ejected = impl_->scheduler.ejected_endpoints(impl_->context.now());
   for (const auto& [id, node] : nodes.all()) {
     const bool is_ejected = std::find(ejected.begin(), ejected.end(), id) != ejected.end();
     if (is_ejected || nodes.is_drained_by_operator(node.name))
@@ -96,71 +96,71 @@
 }
 
 std::string Router::endpoint_name(EndpointId id) const {
-  return parts_->nodes.name_of(id);
+  return impl_->nodes.name_of(id);
 }
 
 void Router::set_choice_observer(std::function<void(const Choice&)> observer) {
-  parts_->scheduler.set_choice_observer(std::move(observer));
+  impl_->scheduler.set_choice_observer(std::move(observer));
 }
 
 void Router::set_fleet_view(std::shared_ptr<const FleetView> fleet_view) {
-  NodeRegistry& nodes = parts_->nodes;
+  NodeRegistry& nodes = impl_->nodes;
   const std::uint32_t routers_before = nodes.effective_settings().router_count;
   nodes.set_fleet_view(std::move(fleet_view));
   const Settings effective = nodes.effective_settings();
   if (effective.router_count != routers_before) {
     logging::info() << "router count changed: routers=" << effective.router_count;
-    parts_->scheduler.update_settings(effective);
+    impl_->scheduler.update_settings(effective);
   }
   const std::vector<EndpointId> cache_losses = nodes.record_cache_losses();
-  parts_->reapply_overlays();
+  impl_->reapply_overlays();
   for (const EndpointId endpoint : cache_losses)
-    parts_->events.enqueue(CacheInvalidated{endpoint});
+    impl_->events.enqueue(CacheInvalidated{endpoint});
 }
 
 void Router::set_node_observer(NodeObserver* observer) {
-  parts_->reporter.set_observer(observer);
+  impl_->reporter.set_observer(observer);
 }
 
 void Router::transfer_streams(const std::function<bool(const TransferredStream&)>& transfer) {
-  parts_->handoff.transfer_streams(transfer);
+  impl_->handover.transfer_streams(transfer);
 }
 
 bool Router::adopt_stream(const TransferredStream& stream, Client& client, RequestId& id) {
-  return parts_->handoff.adopt_stream(stream, client, id);
+  return impl_->handover.adopt_stream(stream, client, id);
 }
 
 HandoverState Router::handover_state() const {
-  return parts_->handoff.handover_state();
+  return impl_->handover.handover_state();
 }
 
 void Router::apply_handover_state(const HandoverState& handover_state) {
-  parts_->handoff.apply_handover_state(handover_state);
+  impl_->handover.apply_handover_state(handover_state);
 }
 
 std::optional<Micros> Router::next_timer() const {
-  return parts_->timers.next_due();
+  return impl_->timers.next_due();
 }
 
 void Router::run_timers() {
-  parts_->timers.run_due(parts_->context.now());
-  parts_->context.notify_change();
+  impl_->timers.run_due(impl_->context.now());
+  impl_->context.notify_change();
 }
 
 std::size_t Router::open_requests() const {
-  return parts_->requests.waiting_clients();
+  return impl_->requests.waiting_clients();
 }
 
 std::size_t Router::known_nodes() const {
-  return parts_->nodes.all().size();
+  return impl_->nodes.all().size();
 }
 
 bool Router::idle() const {
-  return parts_->requests.empty() && parts_->releaser.idle();
+  return impl_->requests.empty() && impl_->releaser.idle();
 }
 
 std::size_t Router::ready_nodes() const {
-  return parts_->nodes.ready_nodes();
+  return impl_->nodes.ready_nodes();
 }
 
 }  // namespace lemonroute
--- a/src/core/router/router_context.h
+++ b/src/core/router/router_context.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all classes behind Router use. Used on the serving thread only.
+/// The objects that all classes of the router's implementation share. Used on the serving thread only.
 #pragma once
 
 #include <functional>
@@ -9,13 +9,13 @@
 
 namespace lemonroute {
 
-/// References to what the Router owns or was given. The Router outlives every class that holds them.
+/// References to objects that the Router owns or has received. The Router outlives every user of them.
 struct RouterContext {
-  const Settings& settings;  ///< the settings in force; Router::update_settings replaces their value
+  const Settings& settings;  ///< the current settings; Router::update_settings replaces their value
   const Clock& clock;        ///< the core's clock
   Timers& timers;            ///< the timers of the router
   NodeTransport& transport;  ///< makes the calls to nodes
-  /// Call it after a change that may have moved the next timer or made the router idle.
+  /// Must be called after every change that may have moved the next timer or made the router idle.
   std::function<void()> notify_change;
 
   /// Returns the present time on the core's clock.
--- a/src/core/router/router_parts.h
+++ b/src/core/router/router_impl.h
@@ -1,5 +1,5 @@
 /// \file
-/// The classes behind Router, in the order of their dependencies. Private to src/core.
+/// The implementation of Router. Private to src/core.
 #pragma once
 
 #include <string>
@@ -12,34 +12,35 @@
 #include "core/router/event_dispatcher.h"
 #include "core/router/node_registry.h"
 #include "core/router/observer_reporter.h"
+#include "core/router/process_handover.h"
 #include "core/router/request_table.h"
 #include "core/router/reservation_releaser.h"
 #include "core/router/router_context.h"
-#include "core/router/stream_handoff.h"
 #include "core/timers.h"
 
 namespace lemonroute {
 
-/// Owns the classes behind a Router and connects them. Members are destroyed from the last to the first:
-/// calls before the timers that they may use.
-struct Router::Parts : EventHandler {
-  /// Makes all classes. The arguments are those of Router's constructor; `router` owns this object.
-  Parts(Router& router, Settings initial_settings, std::vector<std::string> zones,
-        std::vector<std::string> kinds, std::uint64_t seed, const Clock& clock, NodeTransport& transport);
+/// Owns and connects the objects that implement a Router, in the order of their dependencies. Members are
+/// destroyed from the last to the first: calls before the timers that they may use.
+struct Router::Impl : EventHandler {
+  /// Creates all members. `router` owns this object; the other arguments are those of Router's constructor.
+  Impl(Router& router, Settings initial_settings, std::vector<std::string> zones,
+       std::vector<std::string> kinds, std::uint64_t seed, const Clock& clock, NodeTransport& transport);
 
-  /// Passes this on to the ActionExecutor, as do the next two.
+  /// Forwards the call to the ActionExecutor.
   void before_event() override { actions.before_event(); }
-  /// Passes the event on.
+  /// Forwards the event to the ActionExecutor.
   void handle_event(const Event& event) override { actions.handle_event(event); }
+  /// Forwards the call to the ActionExecutor.
   void after_last_event() override { actions.after_last_event(); }
-  /// Lays overrides and fleet view over the endpoint list again and tells the Scheduler of changes.
+  /// Applies overrides and fleet view to the endpoint list again, and passes the changes to the Scheduler.
   void reapply_overlays();
-  /// Puts a request that was accepted to the Scheduler. `class_index` is its class's place in the settings.
+  /// Passes an accepted request to the Scheduler. `class_index` is the index of its class in the settings.
   void schedule(RequestState& request, const ClientRequest& client_request, std::size_t class_index);
 
-  Settings settings;             ///< the settings in force, without the router count of the fleet view
-  Timers timers;                 ///< the timers of all classes
-  RouterContext context;         ///< what all classes use
+  Settings settings;             ///< the current settings, without the router count of the fleet view
+  Timers timers;                 ///< the timers of all members
+  RouterContext context;         ///< what all members share
   Scheduler scheduler;           ///< makes all decisions
   RequestMetrics metrics;        ///< counts requests by class
   NodeRegistry nodes;            ///< the nodes that this router knows
@@ -49,7 +50,7 @@
   ObserverReporter reporter;     ///< reports to the NodeObserver
   AttemptRunner attempts;        ///< runs attempts
   ActionExecutor actions;        ///< executes the Scheduler's actions
-  StreamHandoff handoff;         ///< transfers and adopts streams
+  ProcessHandover handover;      ///< transfers streams and state between processes
 };
 
 }  // namespace lemonroute
--- a/src/core/router/scoped_timer.h
+++ b/src/core/router/scoped_timer.h
@@ -1,5 +1,5 @@
 /// \file
-/// A timer that its owner cannot forget to cancel. Used on the serving thread only.
+/// A timer that is cancelled when its owner is destroyed. Used on the serving thread only.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,8 @@
 
 namespace lemonroute {
 
-/// Owns at most one job of a Timers queue and cancels it when the owner is destroyed or sets another job.
-/// The Timers queue must outlive this object.
+/// Owns at most one timer of a Timers object and cancels it when this object is destroyed or another job is
+/// set. The Timers object must outlive this object.
 class ScopedTimer {
  public:
   ScopedTimer() = default;
@@ -26,14 +26,14 @@
     id_ = timers.add(due_at, std::move(job));
   }
 
-  /// Cancels the job, unless it has run. Does nothing without one.
+  /// Cancels the job if it has not run yet. Does nothing if there is none.
   void cancel() {
     if (id_)
       timers_->cancel(*id_);
     id_.reset();
   }
 
-  /// Returns the time of the job that was set last, also once it has run; nothing if it was cancelled.
+  /// Returns the time of the job that was set last, even if it has run, or nothing if it was cancelled.
   [[nodiscard]] std::optional<Micros> due_at() const {
     return id_ ? std::optional(id_->first) : std::nullopt;
   }
--- a/src/core/router/submit.cpp
+++ b/src/core/router/submit.cpp
@@ -1,52 +1,52 @@
-// Router: how a request is accepted, and how its client or the process ends it.
+// Router: acceptance of requests, and their end by the client or at shutdown.
 #include <algorithm>
 #include <string>
 
 #include "base/log.h"
-#include "core/router/router_parts.h"
+#include "core/router/router_impl.h"
 
 namespace lemonroute {
 
 namespace {
 
 // Returns the index of the entry of this name, or the size of the list.
-template <class Named>
-std::size_t index_by_name(const std::vector<Named>& list, const std::string& name) {
+template <class Entry>
+std::size_t index_by_name(const std::vector<Entry>& list, const std::string& name) {
   const auto found =
-      std::find_if(list.begin(), list.end(), [&](const auto& one) { return one.name == name; });
+      std::find_if(list.begin(), list.end(), [&](const auto& entry) { return entry.name == name; });
   return static_cast<std::size_t>(found - list.begin());
 }
 
 std::uint8_t flags_of(const ClientRequest& client_request) {
   int flags = 0;
   if (client_request.is_retry)
-    flags |= 2;
+    flags |= RequestFlag::repeated_by_client;
   if (client_request.is_resumed)
-    flags |= 16;
+    flags |= RequestFlag::resumed_stream;
   return static_cast<std::uint8_t>(flags);
 }
 
 }  // namespace
 
-// Nodes know a request by the client's id. If a client used one id for two requests at a time, two attempts
-// would be under way under one name.
+// Nodes identify a request by the client's id. Two open requests with the same client id would lead to two
+// attempts that nodes cannot distinguish.
 Router::SubmitResult Router::submit(const ClientRequest& client_request, Client& client, RequestId& id) {
-  const Settings& settings = parts_->settings;
+  const Settings& settings = impl_->settings;
   const std::size_t class_index = index_by_name(settings.classes, client_request.request_class);
   if (class_index >= settings.classes.size())
     return SubmitResult::unknown_class;
-  if (parts_->requests.has_client_id(client_request.prompt.id))
+  if (impl_->requests.has_client_id(client_request.prompt.id))
     return SubmitResult::duplicate_id;
-  const AcceptedTerms terms{client_request.request_class, settings.max_attempts,
-                            parts_->metrics.counts_of(client_request.request_class)};
-  RequestState& request = parts_->requests.add(client_request.prompt, client, terms);
+  const FixedRequestSettings fixed_settings{client_request.request_class, settings.max_attempts,
+                                            impl_->metrics.counts_of(client_request.request_class)};
+  RequestState& request = impl_->requests.add(client_request.prompt, client, fixed_settings);
   id = request.id;
-  parts_->schedule(request, client_request, class_index);
+  impl_->schedule(request, client_request, class_index);
   return SubmitResult::accepted;
 }
 
-void Router::Parts::schedule(RequestState& request, const ClientRequest& client_request,
-                             std::size_t class_index) {
+void Router::Impl::schedule(RequestState& request, const ClientRequest& client_request,
+                            std::size_t class_index) {
   const ClassSettings& request_class = settings.classes[class_index];
   request.not_idempotent = request_class.idempotency == Idempotency::not_idempotent;
   if (request_class.idempotency == Idempotency::idempotent_with_key)
@@ -81,27 +81,27 @@
 }
 
 void Router::client_disconnected(RequestId id) {
-  RequestState* request = parts_->requests.find(id);
+  RequestState* request = impl_->requests.find(id);
   if (!request || !request->client)
     return;
   logging::debug() << "client disconnected: request=" << request->prompt.id
                    << " attempts=" << request->attempt_count;
-  parts_->requests.close_client(*request);
-  parts_->attempts.on_client_disconnected(*request);
-  parts_->events.enqueue(ClientDisconnected{id});
+  impl_->requests.close_client(*request);
+  impl_->attempts.on_client_disconnected(*request);
+  impl_->events.enqueue(ClientDisconnected{id});
 }
 
 void Router::resume_stream(RequestId id) {
-  parts_->attempts.resume_stream(id);
+  impl_->attempts.resume_stream(id);
 }
 
-// A process that is killed with an attempt under way leaves a reservation behind that nobody will release.
-// With the deadline its clients are answered, and its reservations released, while there is time.
+// If the process is killed during an attempt, no process releases the attempt's reservation. The deadline
+// ensures that clients are answered and reservations released before that.
 void Router::set_shutdown_deadline(Micros at) {
-  parts_->requests.set_shutdown_deadline(at);
-  parts_->attempts.set_shutdown_deadline(at);
-  parts_->releaser.set_shutdown_deadline(at);
-  parts_->context.notify_change();
+  impl_->requests.set_shutdown_deadline(at);
+  impl_->attempts.set_shutdown_deadline(at);
+  impl_->releaser.set_shutdown_deadline(at);
+  impl_->context.notify_change();
 }
 
 }  // namespace lemonroute
