--- a/src/guide/binding.h
+++ b/src/guide/binding.h
@@ -1,5 +1,7 @@
-// An extension with what it gives the serving loop and wants to hear from it. Extensions know neither
-// FleetView nor NodeObserver: what their snapshot answers and what they hear is taken up by name.
+/// \file
+/// Connects a peers extension to the serving loop. An extension implements neither FleetView nor
+/// NodeObserver: the adapters here call those functions of the extension and of its snapshot that have the
+/// expected name and arguments, and supply defaults for those that are missing.
 #pragma once
 
 #include <functional>
@@ -12,68 +14,75 @@
 
 namespace lemonroute::guide {
 
+/// An extension with its connections to the serving loop. Its functions are called on the peers' thread.
 struct Binding {
   std::unique_ptr<peers::Extension> extension;
-  std::unique_ptr<NodeObserver> observer;  // writes to the extension; null: it hears nothing
-  std::function<std::shared_ptr<const FleetView>()>
-      guide;  // its newest; another pointer where it has changed
+  /// Passes node events to the extension, which must outlive it; null: the extension gets no node events.
+  std::unique_ptr<NodeObserver> observer;
+  /// Returns the extension's newest view: a different pointer whenever the view has changed, or null where
+  /// there is none yet. An empty function: the extension has no view.
+  std::function<std::shared_ptr<const FleetView>()> fleet_view;
 };
 
-// The FleetView of a snapshot that has any of overlay(node), cache_locations(session, shared),
-// cache_lost_at(node).
+/// Adapts a snapshot to FleetView. The snapshot may have any of overlay(node),
+/// cache_locations(session_key, shared_prefix_key) and cache_lost_at(node).
 template <class Snapshot>
-class Says final : public FleetView {
+class SnapshotFleetView final : public FleetView {
  public:
-  explicit Says(std::shared_ptr<const Snapshot> of) : of_(std::move(of)) {}
+  explicit SnapshotFleetView(std::shared_ptr<const Snapshot> snapshot) : snapshot_(std::move(snapshot)) {}
   NodeOverlay overlay(const Node& node) const override {
     if constexpr (requires(const Snapshot& s) { s.overlay(node); })
-      return of_->overlay(node);
+      return snapshot_->overlay(node);
     else
       return {};
   }
-  std::vector<CacheLocation> cache_locations(Key session, Key shared) const override {
-    if constexpr (requires(const Snapshot& s) { s.cache_locations(session, shared); })
-      return of_->cache_locations(session, shared);
+  std::vector<CacheLocation> cache_locations(Key session_key, Key shared_prefix_key) const override {
+    if constexpr (requires(const Snapshot& s) { s.cache_locations(session_key, shared_prefix_key); })
+      return snapshot_->cache_locations(session_key, shared_prefix_key);
     else
       return {};
   }
   Micros cache_lost_at(const Node& node) const override {
     if constexpr (requires(const Snapshot& s) { s.cache_lost_at(node); })
-      return of_->cache_lost_at(node);
+      return snapshot_->cache_lost_at(node);
     else
       return {};
   }
 
  private:
-  std::shared_ptr<const Snapshot> of_;
+  std::shared_ptr<const Snapshot> snapshot_;
 };
 
-// The NodeObserver for an extension that has any of its functions.
+/// Passes node events to an extension, which may have any of the functions of NodeObserver.
 template <class Extension>
-class Hears final : public NodeObserver {
+class ExtensionObserver final : public NodeObserver {
  public:
-  explicit Hears(Extension& extension) : extension_(extension) {}
-  void on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
-                        Micros now) override {
-    if constexpr (requires(Extension & r) {
-                    r.on_prefix_cached(node, session, shared, tokens, shared_tokens, now);
+  /// Keeps the reference; the extension must outlive the observer.
+  explicit ExtensionObserver(Extension& extension) : extension_(extension) {}
+  void on_prefix_cached(const Node& node, Key session_key, Key shared_prefix_key, double tokens,
+                        double shared_tokens, Micros now) override {
+    if constexpr (requires(Extension & e) {
+                    e.on_prefix_cached(node, session_key, shared_prefix_key, tokens, shared_tokens, now);
                   })
-      extension_.on_prefix_cached(node, session, shared, tokens, shared_tokens, now);
+      extension_.on_prefix_cached(node, session_key, shared_prefix_key, tokens, shared_tokens, now);
   }
-  void on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) override {
-    if constexpr (requires(Extension & r) { r.on_cache_hit(node, session, shared, tokens, now); })
-      extension_.on_cache_hit(node, session, shared, tokens, now);
+  void on_cache_hit(const Node& node, Key session_key, Key shared_prefix_key, double tokens,
+                    Micros now) override {
+    if constexpr (requires(Extension & e) {
+                    e.on_cache_hit(node, session_key, shared_prefix_key, tokens, now);
+                  })
+      extension_.on_cache_hit(node, session_key, shared_prefix_key, tokens, now);
   }
   void on_cache_lost(const Node& node, Micros now) override {
-    if constexpr (requires(Extension & r) { r.on_cache_lost(node, now); })
+    if constexpr (requires(Extension & e) { e.on_cache_lost(node, now); })
       extension_.on_cache_lost(node, now);
   }
   void on_endpoints(const std::vector<Node>& nodes, Micros now) override {
-    if constexpr (requires(Extension & r) { r.on_endpoints(nodes, now); })
+    if constexpr (requires(Extension & e) { e.on_endpoints(nodes, now); })
       extension_.on_endpoints(nodes, now);
   }
   void on_demand(const Demand& demand, Micros now) override {
-    if constexpr (requires(Extension & r) { r.on_demand(demand, now); })
+    if constexpr (requires(Extension & e) { e.on_demand(demand, now); })
       extension_.on_demand(demand, now);
   }
 
@@ -81,20 +90,23 @@
   Extension& extension_;
 };
 
-// `newest`: the snapshot of an extension, a std::shared_ptr<const Snapshot> that may be null.
-template <class Extension, class Newest>
-Binding binding_of(std::unique_ptr<Extension> extension, Newest newest) {
-  using Pointer = std::invoke_result_t<Newest, const Extension&>;
+/// Binds an extension.
+/// \param extension the extension; the binding owns it.
+/// \param newest_snapshot called with the extension, returns its newest snapshot: a
+/// std::shared_ptr<const Snapshot> that may be null.
+template <class Extension, class NewestSnapshot>
+Binding bind_extension(std::unique_ptr<Extension> extension, NewestSnapshot newest_snapshot) {
+  using Pointer = std::invoke_result_t<NewestSnapshot, const Extension&>;
   using Snapshot = std::remove_const_t<typename Pointer::element_type>;
   Binding binding;
-  binding.observer = std::make_unique<Hears<Extension>>(*extension);
-  binding.guide = [&at = *extension, newest, last = Pointer{},
-                   said = std::shared_ptr<const FleetView>{}]() mutable {
-    if (auto now = newest(at); now != last) {
-      last = now;
-      said = now ? std::make_shared<const Says<Snapshot>>(std::move(now)) : nullptr;
+  binding.observer = std::make_unique<ExtensionObserver<Extension>>(*extension);
+  binding.fleet_view = [&bound = *extension, newest_snapshot, last_snapshot = Pointer{},
+                        view = std::shared_ptr<const FleetView>{}]() mutable {
+    if (auto snapshot = newest_snapshot(bound); snapshot != last_snapshot) {
+      last_snapshot = snapshot;
+      view = snapshot ? std::make_shared<const SnapshotFleetView<Snapshot>>(std::move(snapshot)) : nullptr;
     }
-    return said;
+    return view;
   };
   binding.extension = std::move(extension);
   return binding;
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -8,10 +8,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t told_at_most = 8;
-// Notes that are not urgent are read so often, and the text is renewed so often; a large fleet's costs more
-// to make.
-constexpr milliseconds look_again{100}, text_per_member{1};
+constexpr std::size_t update_ring_capacity = 8;
+// Node events that don't wake the peers' thread are read once in poll_interval. The status is made anew as
+// often, but in a large fleet, where making it takes longer, only once in status_interval_per_member times
+// the number of members.
+constexpr milliseconds poll_interval{100}, status_interval_per_member{1};
 
 std::vector<peers::Extension*> extensions_of(const std::vector<Binding>& bindings) {
   std::vector<peers::Extension*> extensions;
@@ -24,13 +25,13 @@
 }  // namespace
 
 Fleet::Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
-             Guided guided)
-    : guided_(std::move(guided)),
+             ViewCallback on_view)
+    : on_view_(std::move(on_view)),
       bindings_(std::move(bindings)),
-      notes_([this] { service_->wake(); }),
-      told_(told_at_most),
-      take_(loop, [this] { take(); }),
-      siblings_(options.siblings),
+      node_events_([this] { service_->wake(); }),
+      updates_(update_ring_capacity),
+      updates_wake_(loop, [this] { take_updates(); }),
+      router_count_estimator_(options.siblings),
       service_(std::make_unique<peers::Service>(std::move(options.service), clock, extensions_of(bindings_),
                                                 static_cast<peers::Service::Desk&>(*this))) {
   for (const auto& binding : bindings_)
@@ -45,71 +46,72 @@
 
 std::shared_ptr<const std::string> Fleet::text() const {
   if (!service_->failed())
-    return text_;
+    return status_;
   return std::make_shared<const std::string>("{\"failed\":true}\n");
 }
 
 void Fleet::woken(Micros) {
-  notes_.read(observers_);
+  node_events_.deliver(observers_);
 }
 
 void Fleet::round(Micros now, const peers::Service& service) {
-  notes_.read(observers_);
-  const bool guide = renew_guide(now, service), text = renew_text(now, service);
-  if (guide || text || waiting_) {
-    waiting_ = !told_.push(newest_);
-    take_.ring();
+  node_events_.deliver(observers_);
+  const bool view_changed = refresh_view(now, service), status_changed = refresh_status(now, service);
+  if (view_changed || status_changed || unsent_) {
+    unsent_ = !updates_.push(latest_);
+    updates_wake_.ring();
   }
-  std::erase_if(given_, [](const auto& one) { return one.use_count() == 1; });
-  next_ = std::min(next_text_, now + look_again);
-  if (next_guide_ > now)
-    next_ = std::min(next_, next_guide_);
+  std::erase_if(published_, [](const auto& object) { return object.use_count() == 1; });
+  next_round_at_ = std::min(next_status_at_, now + poll_interval);
+  if (next_view_at_ > now)
+    next_round_at_ = std::min(next_round_at_, next_view_at_);
 }
 
-bool Fleet::renew_guide(Micros now, const peers::Service& service) {
-  const auto count = siblings_.see(now, service.view());
-  FleetGuide::Parts parts;
+bool Fleet::refresh_view(Micros now, const peers::Service& service) {
+  const auto router_count = router_count_estimator_.update(now, service.view());
+  CombinedFleetView::Views views;
   for (const auto& binding : bindings_)
-    if (auto part = binding.guide ? binding.guide() : nullptr)
-      parts.push_back(std::move(part));
-  if (newest_.guide && count == count_ && parts == parts_)
+    if (auto view = binding.fleet_view ? binding.fleet_view() : nullptr)
+      views.push_back(std::move(view));
+  if (latest_.view && router_count == router_count_ && views == extension_views_)
     return false;
-  // A change that comes early waits; next_due sees to it.
-  if (now < next_guide_)
+  // A change within min_view_interval of the previous view waits for the round at next_view_at_.
+  if (now < next_view_at_)
     return false;
-  next_guide_ = now + least_between;
-  count_ = count;
-  parts_ = parts;
-  newest_.guide = std::make_shared<const FleetGuide>(count, std::move(parts));
-  given_.push_back(newest_.guide);
+  next_view_at_ = now + min_view_interval;
+  router_count_ = router_count;
+  extension_views_ = views;
+  latest_.view = std::make_shared<const CombinedFleetView>(router_count, std::move(views));
+  published_.push_back(latest_.view);
   return true;
 }
 
-bool Fleet::renew_text(Micros now, const peers::Service& service) {
-  if (newest_.text && now < next_text_)
+bool Fleet::refresh_status(Micros now, const peers::Service& service) {
+  if (latest_.status && now < next_status_at_)
     return false;
-  next_text_ = now + std::max<Micros>(look_again, text_per_member * service.view().members.size());
-  auto all = service.describe(now);
-  all["siblings"] = count_;
-  all["notes_dropped"] = notes_.dropped();
-  newest_.text = std::make_shared<const std::string>(
-      all.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n");
-  given_.push_back(newest_.text);
+  next_status_at_ =
+      now + std::max<Micros>(poll_interval, status_interval_per_member * service.view().members.size());
+  auto status = service.describe(now);
+  status["siblings"] = router_count_;
+  status["notes_dropped"] = node_events_.dropped();
+  latest_.status = std::make_shared<const std::string>(
+      status.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n");
+  published_.push_back(latest_.status);
   return true;
 }
 
-void Fleet::take() {
-  Told told;
-  bool some = false;
-  while (told_.pop(told))
-    some = true;
-  if (!some)
+void Fleet::take_updates() {
+  Update update;
+  bool received = false;
+  while (updates_.pop(update))
+    received = true;
+  if (!received)
     return;
-  text_ = told.text;
-  if (!told.guide || told.guide == guide_)
+  status_ = update.status;
+  if (!update.view || update.view == view_)
     return;
-  guide_ = told.guide;
-  guided_(guide_);
+  view_ = update.view;
+  on_view_(view_);
 }
 
 }  // namespace lemonroute::guide
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -1,5 +1,7 @@
-// What puts the peers' service, its extensions and the serving loop together: guides come to the one side,
-// notes go to the other, each through a bounded ring. Made and met on the serving loop.
+/// \file
+/// Connects the peers' service and its extensions, which run on the peers' thread, with the serving loop.
+/// Fleet views and the status go to the serving loop, node events to the peers' thread, each through a
+/// bounded ring.
 #pragma once
 
 #include <atomic>
@@ -10,69 +12,79 @@
 #include <vector>
 
 #include "guide/binding.h"
-#include "guide/fleet_guide.h"
-#include "guide/notes.h"
-#include "guide/siblings.h"
+#include "guide/combined_fleet_view.h"
+#include "guide/node_event_queue.h"
+#include "guide/router_count_estimator.h"
 #include "peers/service.h"
 #include "peers/wake.h"
 
 namespace lemonroute::guide {
 
+/// Runs the peers' service. Constructed, used and destroyed on the serving loop's thread.
 class Fleet final : peers::Service::Desk {
  public:
   struct Options {
     peers::Service::Options service;
-    Siblings::Limits siblings;
+    RouterCountEstimator::Limits siblings;  ///< limits of the number of routers
   };
-  // `guided` is called on the loop with each newer guide, within reason: at most once in `least_between`.
-  using Guided = std::function<void(std::shared_ptr<const FleetView>)>;
-  Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings, Guided guided);
+  /// Called on the serving loop with each newer view.
+  using ViewCallback = std::function<void(std::shared_ptr<const FleetView>)>;
+  /// Starts the service's thread. `loop` and `clock` must outlive this object. Throws if the service's
+  /// address is taken.
+  Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
+        ViewCallback on_view);
+  /// Tells the other routers that this one leaves, and ends the service's thread.
   ~Fleet() override;
 
-  static constexpr std::chrono::milliseconds least_between{10};
+  /// Shortest time between two new views.
+  static constexpr std::chrono::milliseconds min_view_interval{10};
 
-  NodeObserver& observer() { return notes_; }
-  // What is known, as JSON; a moment old. Null until the first was made; says so where the peers' thread has
-  // ended.
+  /// Returns the observer that passes node events to the extensions. It belongs to this object.
+  NodeObserver& observer() { return node_events_; }
+  /// Returns the status of peers and extensions as JSON, which may be a moment old: null until the peers'
+  /// thread has made the first, and {"failed":true} once that thread has failed.
   std::shared_ptr<const std::string> text() const;
+  /// Returns the address at which the service receives datagrams, as IP:PORT.
   const std::string& address() const { return service_->address(); }
 
  private:
-  struct Told {
-    std::shared_ptr<const FleetView> guide;
-    std::shared_ptr<const std::string> text;
+  struct Update {
+    std::shared_ptr<const FleetView> view;
+    std::shared_ptr<const std::string> status;
   };
 
-  // On the thread of the peers.
+  // On the peers' thread.
   void woken(Micros now) override;
   void round(Micros now, const peers::Service& service) override;
-  Micros next_due() const override { return next_; }
-  bool renew_guide(Micros now, const peers::Service& service);
-  bool renew_text(Micros now, const peers::Service& service);
+  Micros next_due() const override { return next_round_at_; }
+  // Both return whether latest_ has changed.
+  bool refresh_view(Micros now, const peers::Service& service);
+  bool refresh_status(Micros now, const peers::Service& service);
 
   // On the serving loop.
-  void take();
+  void take_updates();
 
-  Guided guided_;
+  ViewCallback on_view_;
   std::vector<Binding> bindings_;
   std::vector<NodeObserver*> observers_;
-  Notes notes_;
-  boost::lockfree::spsc_queue<Told> told_;
-  peers::Wake take_;
-  std::shared_ptr<const FleetView> guide_;
-  std::shared_ptr<const std::string> text_;
+  NodeEventQueue node_events_;
+  boost::lockfree::spsc_queue<Update> updates_;
+  peers::Wake updates_wake_;
+  std::shared_ptr<const FleetView> view_;
+  std::shared_ptr<const std::string> status_;
 
-  // The thread's own.
-  Siblings siblings_;
-  std::uint32_t count_ = 0;
-  FleetGuide::Parts parts_;
-  Told newest_;
-  std::vector<std::shared_ptr<const void>>
-      given_;             // freed here and not on the serving loop, once it is done with them
-  bool waiting_ = false;  // the ring was full: the newest is still to be told
-  Micros next_{}, next_guide_{}, next_text_{};
+  // Used on the peers' thread only.
+  RouterCountEstimator router_count_estimator_;
+  std::uint32_t router_count_ = 0;
+  CombinedFleetView::Views extension_views_;
+  Update latest_;
+  // Everything published. An object that the serving loop no longer holds is freed here, on the peers'
+  // thread, so that the serving loop doesn't spend time on that.
+  std::vector<std::shared_ptr<const void>> published_;
+  bool unsent_ = false;  // the ring was full, so latest_ must still be pushed
+  Micros next_round_at_{}, next_view_at_{}, next_status_at_{};
 
-  std::unique_ptr<peers::Service> service_;  // ends the thread first
+  std::unique_ptr<peers::Service> service_;  // declared last, so that its thread ends before the rest goes
 };
 
 }  // namespace lemonroute::guide
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Routers' peers on real sockets and threads, all on one serving loop. Waits are for facts, never for a time.
+// Fleets of routers with real sockets and peers' threads, all on one serving loop. The tests wait for
+// conditions, never for a fixed time.
 #include "guide/fleet.h"
 
 #include <gtest/gtest.h>
@@ -15,99 +16,105 @@
 
 using std::chrono::milliseconds;
 
-peers::seal::Key key(unsigned char of) {
+peers::seal::Key test_key(unsigned char byte) {
   std::array<unsigned char, peers::seal::Key::size> bytes;
-  bytes.fill(of);
+  bytes.fill(byte);
   return peers::seal::make_key(bytes);
 }
 
 struct Router {
   Router(net::Loop& loop, const Clock& clock, const std::string& name, std::vector<std::string> seeds,
          std::vector<peers::seal::Key> keys, std::vector<Binding> bindings = {},
-         std::string listen = "127.0.0.1:0", bool beside = false)
-      : fleet(loop, clock, options(clock, name, std::move(seeds), std::move(keys), std::move(listen), beside),
-              std::move(bindings), [this](auto newer) { siblings = newer->router_count(); }) {}
+         std::string listen = "127.0.0.1:0", bool predecessor_running = false)
+      : fleet(loop, clock,
+              options(clock, name, std::move(seeds), std::move(keys), std::move(listen), predecessor_running),
+              std::move(bindings), [this](auto view) { counted_routers = view->router_count(); }) {}
   static Fleet::Options options(const Clock& clock, const std::string& name, std::vector<std::string> seeds,
-                                std::vector<peers::seal::Key> keys, std::string listen, bool beside) {
-    Fleet::Options to;
-    to.service.agent.name = name;
-    to.service.agent.site.assign(1, 'a');
-    to.service.agent.start = static_cast<std::uint64_t>(clock.now().count());
-    to.service.agent.seeds = std::move(seeds);
-    to.service.agent.period = milliseconds(40);
-    to.service.listen = std::move(listen);
-    to.service.beside_another = beside;
-    to.service.keys = std::move(keys);
-    return to;
+                                std::vector<peers::seal::Key> keys, std::string listen,
+                                bool predecessor_running) {
+    Fleet::Options fleet_options;
+    fleet_options.service.agent.name = name;
+    fleet_options.service.agent.site.assign(1, 'a');
+    fleet_options.service.agent.start = static_cast<std::uint64_t>(clock.now().count());
+    fleet_options.service.agent.seeds = std::move(seeds);
+    fleet_options.service.agent.period = milliseconds(40);
+    fleet_options.service.listen = std::move(listen);
+    fleet_options.service.beside_another = predecessor_running;
+    fleet_options.service.keys = std::move(keys);
+    return fleet_options;
   }
-  nlohmann::json json() const {
+  nlohmann::json status() const {
     return fleet.text() ? nlohmann::json::parse(*fleet.text()) : nlohmann::json::object();
   }
-  std::uint64_t refused(const char* why) const {
-    const auto all = json();
-    return all.empty() ? 0 : all["datagrams"]["refused"][why].get<std::uint64_t>();
+  std::uint64_t refused_datagrams(const char* reason) const {
+    const auto json = status();
+    return json.empty() ? 0 : json["datagrams"]["refused"][reason].get<std::uint64_t>();
   }
-  int there() const { return json().value("there", 0); }
-  std::uint32_t siblings = 0;
+  int present_routers() const { return status().value("there", 0); }
+  std::uint32_t counted_routers = 0;
   Fleet fleet;
 };
 
-struct World : testing::Test {
-  // For as long as a machine may take that does a lot else.
-  template <class Fact>
-  bool comes(Fact fact) {
-    net::Timer again(loop, [] {});
-    for (int i = 0; i < 3000 && !fact(); ++i) {
-      again.start(milliseconds(10));
+struct FleetTest : testing::Test {
+  // Runs the loop until the condition holds, for at most about 30 s, since the machine may be busy.
+  template <class Condition>
+  bool eventually(Condition condition) {
+    net::Timer tick(loop, [] {});
+    for (int i = 0; i < 3000 && !condition(); ++i) {
+      tick.start(milliseconds(10));
       loop.run_once();
     }
-    return fact();
+    return condition();
   }
   net::Loop loop;
   SystemClock clock;
-  std::vector<peers::seal::Key> keys{key(1)};
+  std::vector<peers::seal::Key> keys{test_key(1)};
 };
 
-TEST_F(World, three_join_by_one_seed_count_each_other_and_see_one_leave) {
+TEST_F(FleetTest, three_routers_join_through_one_seed_and_notice_one_leaving) {
   Router one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
   auto three = std::make_unique<Router>(loop, clock, "three", std::vector{one.fleet.address()}, keys);
-  EXPECT_TRUE(comes([&] { return one.siblings == 3 && two.siblings == 3 && three->siblings == 3; }));
-  EXPECT_TRUE(comes([&] { return two.there() == 3; }));
+  EXPECT_TRUE(eventually(
+      [&] { return one.counted_routers == 3 && two.counted_routers == 3 && three->counted_routers == 3; }));
+  EXPECT_TRUE(eventually([&] { return two.present_routers() == 3; }));
   three.reset();
-  EXPECT_TRUE(comes([&] { return one.there() == 2 && two.there() == 2; }));
-  EXPECT_EQ(one.json()["known"], 2);  // it said so itself
-  EXPECT_TRUE(comes([&] { return one.siblings == 2 && two.siblings == 2; }));
+  EXPECT_TRUE(eventually([&] { return one.present_routers() == 2 && two.present_routers() == 2; }));
+  EXPECT_EQ(one.status()["known"], 2);  // a router that leaves of its own accord is no longer known
+  EXPECT_TRUE(eventually([&] { return one.counted_routers == 2 && two.counted_routers == 2; }));
 }
 
-TEST_F(World, keys_change_one_process_at_a_time_and_a_foreign_key_is_nobody) {
-  Router one(loop, clock, "one", {}, {key(1), key(2)});
+TEST_F(FleetTest, routers_join_during_a_key_rotation_and_one_with_an_unknown_key_is_refused) {
+  Router one(loop, clock, "one", {}, {test_key(1), test_key(2)});
   const std::vector seeds{one.fleet.address()};
-  Router two(loop, clock, "two", seeds, {key(2), key(1)}), foreign(loop, clock, "x", seeds, {key(3)});
-  EXPECT_TRUE(comes([&] { return one.there() == 2 && two.there() == 2; }));
-  EXPECT_TRUE(comes([&] { return one.refused("unknown_key") > 3; }));
-  EXPECT_EQ(foreign.there(), 1);
-  EXPECT_EQ(one.there(), 2);
+  Router two(loop, clock, "two", seeds, {test_key(2), test_key(1)}),
+      foreign(loop, clock, "x", seeds, {test_key(3)});
+  EXPECT_TRUE(eventually([&] { return one.present_routers() == 2 && two.present_routers() == 2; }));
+  EXPECT_TRUE(eventually([&] { return one.refused_datagrams("unknown_key") > 3; }));
+  EXPECT_EQ(foreign.present_routers(), 1);
+  EXPECT_EQ(one.present_routers(), 2);
 }
 
-TEST_F(World, an_upgrade_takes_a_port_beside_the_old_process_and_the_address_after_it) {
-  auto before = std::make_unique<Router>(loop, clock, "one", std::vector<std::string>{}, keys);
-  const auto address = before->fleet.address();
+TEST_F(FleetTest, an_upgraded_process_uses_another_port_until_the_old_process_frees_the_address) {
+  auto old_process = std::make_unique<Router>(loop, clock, "one", std::vector<std::string>{}, keys);
+  const auto address = old_process->fleet.address();
   Router two(loop, clock, "two", {address}, keys);
   EXPECT_THROW(Router(loop, clock, "one", {}, keys, {}, address, false), std::runtime_error);
-  Router after(loop, clock, "one", {two.fleet.address()}, keys, {}, address, true);
-  EXPECT_NE(after.fleet.address(), address);
-  EXPECT_TRUE(comes([&] { return after.there() == 2 && two.there() == 2; }));
-  before.reset();
-  // A newcomer that knows the old address only finds the others by it.
+  Router new_process(loop, clock, "one", {two.fleet.address()}, keys, {}, address, true);
+  EXPECT_NE(new_process.fleet.address(), address);
+  EXPECT_TRUE(eventually([&] { return new_process.present_routers() == 2 && two.present_routers() == 2; }));
+  old_process.reset();
+  // A new router that knows only the old address joins through it.
   Router late(loop, clock, "late", {address}, keys);
-  EXPECT_TRUE(comes([&] { return late.there() == 3 && two.there() == 3 && after.there() == 3; }));
+  EXPECT_TRUE(eventually([&] {
+    return late.present_routers() == 3 && two.present_routers() == 3 && new_process.present_routers() == 3;
+  }));
 }
 
-TEST_F(World, junk_and_copies_are_counted_and_cost_nothing_else) {
+TEST_F(FleetTest, invalid_and_replayed_datagrams_are_counted_and_change_nothing_else) {
   Router one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
-  ASSERT_TRUE(comes([&] { return one.there() == 2; }));
+  ASSERT_TRUE(eventually([&] { return one.present_routers() == 2; }));
   peers::Udp stranger(loop, "127.0.0.1:0", 2000, [](auto&, auto) { return true; });
-  peers::seal::Sealer sealer(key(1), {1, 1});
+  peers::seal::Sealer sealer(test_key(1), {1, 1});
   const auto sealed = sealer.seal("no packet");
   auto forged = sealer.seal("forged");
   forged.back() = static_cast<char>(forged.back() ^ 1);
@@ -117,80 +124,84 @@
   std::mt19937 random(1);
   for (int i = 0; i < 300; ++i)
     stranger.send(one.fleet.address(), std::string(random() % 200, char(random())));
-  EXPECT_TRUE(comes([&] {
-    return one.refused("replayed") == 1 && one.refused("forged") >= 1 && one.refused("oversize") == 1 &&
-           one.refused("flood") > 20 && one.refused("unknown_version") >= 1;
-  })) << one.json()["datagrams"];
-  EXPECT_EQ(one.there(), 2);
+  EXPECT_TRUE(eventually([&] {
+    return one.refused_datagrams("replayed") == 1 && one.refused_datagrams("forged") >= 1 &&
+           one.refused_datagrams("oversize") == 1 && one.refused_datagrams("flood") > 20 &&
+           one.refused_datagrams("unknown_version") >= 1;
+  })) << one.status()["datagrams"];
+  EXPECT_EQ(one.present_routers(), 2);
 }
 
-// An extension that hears of nodes and says of each that it is away once a loss was told of it.
-struct Talker : peers::Extension {
-  struct Away {
+// Sends cache losses to the other router; a router that receives one overlays all nodes as drained.
+struct LossSharingExtension : peers::Extension {
+  struct AllDrained {
     FleetView::NodeOverlay overlay(const Node&) const { return {true, Micros(0), Micros::max()}; }
   };
   peers::Topic topic() const override { return peers::Topic::tiers; }
   void viewed(Micros, const peers::View& view) override {
     for (const auto& member : view.members)
       if (member.name != view.me)
-        other = member.name;
+        other_router = member.name;
   }
   void receive(Micros, std::string_view, std::string_view bytes, peers::Outbox&) override {
     if (bytes == "lost")
-      guide = std::make_shared<const Away>();
+      snapshot = std::make_shared<const AllDrained>();
   }
   void run_due(Micros now, peers::Outbox& out) override {
-    if (std::exchange(told, false))
-      out.send(topic(), other, "lost");
-    due = now + milliseconds(20);
+    if (std::exchange(loss_to_send, false))
+      out.send(topic(), other_router, "lost");
+    due_at = now + milliseconds(20);
   }
-  Micros next_due() const override { return due; }
+  Micros next_due() const override { return due_at; }
   nlohmann::json describe(Micros) const override { return nlohmann::json::object(); }
-  void on_cache_lost(const Node&, Micros) { told = true; }
-  std::string other;
-  std::shared_ptr<const Away> guide;
-  bool told = false;
-  Micros due{};
+  void on_cache_lost(const Node&, Micros) { loss_to_send = true; }
+  std::string other_router;
+  std::shared_ptr<const AllDrained> snapshot;
+  bool loss_to_send = false;
+  Micros due_at{};
 };
 
-TEST_F(World, what_one_sees_of_a_node_guides_the_other) {
-  const auto binding = [] {
+TEST_F(FleetTest, a_cache_loss_at_one_router_reaches_the_view_of_another) {
+  const auto make_bindings = [] {
     std::vector<Binding> bindings;
-    bindings.push_back(binding_of(std::make_unique<Talker>(), [](const Talker& at) { return at.guide; }));
+    bindings.push_back(
+        bind_extension(std::make_unique<LossSharingExtension>(),
+                       [](const LossSharingExtension& extension) { return extension.snapshot; }));
     return bindings;
   };
-  std::shared_ptr<const FleetView> newest;
-  Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), binding(),
+  std::shared_ptr<const FleetView> newest_view;
+  Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), make_bindings(),
             [](auto) {});
   Fleet two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false),
-            binding(), [&](auto newer) { newest = std::move(newer); });
-  ASSERT_TRUE(comes([&] { return newest && newest->router_count() == 2; }));
+            make_bindings(), [&](auto view) { newest_view = std::move(view); });
+  ASSERT_TRUE(eventually([&] { return newest_view && newest_view->router_count() == 2; }));
   Node node;
   node.id = 4;
-  EXPECT_FALSE(newest->overlay(node).drained);
+  EXPECT_FALSE(newest_view->overlay(node).drained);
   one.observer().on_endpoints({node}, clock.now());
   one.observer().on_cache_lost(node, clock.now());
-  EXPECT_TRUE(comes([&] { return newest->overlay(node).drained; }));
+  EXPECT_TRUE(eventually([&] { return newest_view->overlay(node).drained; }));
 }
 
-struct Broken : Talker {
-  void on_cache_lost(const Node&, Micros) { throw std::runtime_error("a slip"); }
+struct ThrowingExtension : LossSharingExtension {
+  void on_cache_lost(const Node&, Micros) { throw std::runtime_error("test failure"); }
 };
 
-TEST_F(World, a_fault_on_the_thread_of_the_peers_ends_them_and_not_what_serves) {
+TEST_F(FleetTest, an_exception_on_the_peers_thread_ends_the_peers_but_not_serving) {
   std::vector<Binding> bindings;
-  bindings.push_back(binding_of(std::make_unique<Broken>(), [](const Broken& at) { return at.guide; }));
+  bindings.push_back(bind_extension(std::make_unique<ThrowingExtension>(),
+                                    [](const ThrowingExtension& extension) { return extension.snapshot; }));
   Router one(loop, clock, "one", {}, keys, std::move(bindings)),
       two(loop, clock, "two", {one.fleet.address()}, keys);
-  ASSERT_TRUE(comes([&] { return one.siblings == 2 && two.there() == 2; }));
+  ASSERT_TRUE(eventually([&] { return one.counted_routers == 2 && two.present_routers() == 2; }));
   Node node;
   one.fleet.observer().on_endpoints({node}, clock.now());
   one.fleet.observer().on_cache_lost(node, clock.now());
-  EXPECT_TRUE(comes([&] { return one.json().value("failed", false); }));
-  for (std::size_t i = 0; i < 2 * Notes::room; ++i)
+  EXPECT_TRUE(eventually([&] { return one.status().value("failed", false); }));
+  for (std::size_t i = 0; i < 2 * NodeEventQueue::capacity; ++i)
     one.fleet.observer().on_prefix_cached(node, i, 0, 1, 0, clock.now());
-  EXPECT_EQ(one.siblings, 2u);  // what was known last
-  EXPECT_TRUE(comes([&] { return two.there() == 1; }));
+  EXPECT_EQ(one.counted_routers, 2u);  // the last view stays in force
+  EXPECT_TRUE(eventually([&] { return two.present_routers() == 1; }));
 }
 
 }  // namespace
