--- a/tests/peers/decisions_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -1,4 +1,4 @@
-// The decisions of membership one by one: tables and properties.
+// Tests of the parts of membership one by one, with tables of cases and random input.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -17,22 +17,22 @@
 
 using namespace std::chrono_literals;
 constexpr Micros period = 1s;
-constexpr std::uint64_t day = 86'400'000'000, noon = 1'764'000'000'000'000;
+constexpr std::uint64_t day_us = 86'400'000'000, start_us = 1'764'000'000'000'000;
 
 Fact fact(std::string name, std::uint64_t incarnation = 0, Standing standing = Standing::alive,
-          std::uint64_t start = noon, std::string address = "10.0.0.1:1") {
+          std::uint64_t start = start_us, std::string address = "10.0.0.1:1") {
   return {std::move(name), "north", std::move(address), start, incarnation, standing, "by"};
 }
 
-TEST(Judge, sayings_are_ordered_by_process_then_incarnation_then_standing) {
+TEST(Judge, orders_facts_by_process_then_incarnation_then_standing) {
   using enum Standing;
   constexpr auto nothing = Verdict::nothing, refuted = Verdict::refuted, suspect = Verdict::suspect,
                  confirm = Verdict::confirm, hearsay = Verdict::hearsay, newer = Verdict::newer,
                  older = Verdict::older, implausible = Verdict::implausible, unknown = Verdict::unknown;
   const struct {
     Standing held;
-    int later;  // the incarnation said less the one held
-    Standing said;
+    int incarnation_step;  // received incarnation minus the held one
+    Standing received;
     Verdict verdict;
   } rows[] = {
       {alive, 0, alive, nothing},     {alive, 1, alive, refuted},         {suspected, 0, alive, nothing},
@@ -46,42 +46,44 @@
   for (const auto& row : rows) {
     Entry held;
     held.fact = fact("a", 5, row.held);
-    const auto said = fact("a", 5 + static_cast<std::uint64_t>(row.later), row.said);
-    EXPECT_EQ(judge(&held, said, noon), row.verdict)
-        << int(row.held) << " held, " << int(row.said) << " said of " << row.later << " later";
+    const auto received = fact("a", 5 + static_cast<std::uint64_t>(row.incarnation_step), row.received);
+    EXPECT_EQ(judge(&held, received, start_us), row.verdict)
+        << int(row.held) << " held, " << int(row.received) << " received, incarnation "
+        << row.incarnation_step << " later";
   }
   Entry held;
   held.fact = fact("a", 5);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, noon + 1), noon), newer);
-  EXPECT_EQ(judge(&held, fact("a", 9, left, noon - 1), noon), older);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, noon, "10.0.0.2:1"), noon), newer)
-      << "a tie is broken by address";
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, noon + 2 * day), noon), implausible);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, noon + 2 * day), 0), newer) << "it is this clock that is wrong";
-  EXPECT_EQ(judge(nullptr, fact("a"), noon), unknown);
-  EXPECT_EQ(judge(nullptr, fact("a", 0, gone), noon), nothing) << "one who never was there is not remembered";
+  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 1), start_us), newer);
+  EXPECT_EQ(judge(&held, fact("a", 9, left, start_us - 1), start_us), older);
+  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us, "10.0.0.2:1"), start_us), newer)
+      << "equal start times are ordered by address";
+  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 2 * day_us), start_us), implausible);
+  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 2 * day_us), 0), newer) << "the local clock is wrong";
+  EXPECT_EQ(judge(nullptr, fact("a"), start_us), unknown);
+  EXPECT_EQ(judge(nullptr, fact("a", 0, gone), start_us), nothing)
+      << "a gone member that was never present is not added";
 }
 
-TEST(Suspicion, grows_with_the_members_and_shortens_with_each_other_word_but_not_below_the_least) {
-  Micros before{};
+TEST(Suspicion, grows_with_members_and_shortens_with_each_confirmation_down_to_the_minimum) {
+  Micros previous{};
   for (const std::size_t members : {2u, 10u, 100u, 1000u}) {
-    const Micros least = least_suspicion(members, period);
-    EXPECT_GE(least, before);
-    before = least;
+    const Micros min_duration = least_suspicion(members, period);
+    EXPECT_GE(min_duration, previous);
+    previous = min_duration;
     Suspicion suspicion(10s, members, period, "first");
     Micros deadline = suspicion.deadline();
-    EXPECT_EQ(deadline, 10s + least * (members > 2 ? limits::suspicion_most : 1));
+    EXPECT_EQ(deadline, 10s + min_duration * (members > 2 ? limits::suspicion_most : 1));
     EXPECT_FALSE(suspicion.confirm("first"));
     for (int other = 0; other < 10; ++other) {
       suspicion.confirm(std::to_string(other));
       EXPECT_LE(suspicion.deadline(), deadline);
       deadline = suspicion.deadline();
     }
-    EXPECT_EQ(deadline, 10s + least);
+    EXPECT_EQ(deadline, 10s + min_duration);
   }
 }
 
-TEST(ProbeOrder, each_is_probed_once_in_a_round_and_the_order_is_drawn_anew) {
+TEST(ProbeOrder, probes_each_member_once_a_round_in_a_new_random_order) {
   Table table(100);
   ProbeOrder order;
   Random random(7);
@@ -102,11 +104,11 @@
     EXPECT_NE(order.next(random)->fact.name, "c3");
 }
 
-TEST(News, each_is_told_a_bounded_number_of_times_and_a_later_one_replaces_it) {
+TEST(News, sends_each_fact_a_bounded_number_of_times_and_replaces_it_by_a_later_one) {
   Table table(1000);
   News news;
   std::string evicted;
-  std::map<std::string, std::size_t> told;
+  std::map<std::string, std::size_t> sent;
   for (int at = 0; at < 200; ++at)
     news.add(*table.add(fact("c" + std::to_string(at)), 0s, &evicted));
   news.add(*table.find("c7"));
@@ -116,62 +118,64 @@
     ASSERT_LE(offer.size(), limits::offered);
     const std::size_t room = 5;
     for (std::size_t at = 0; at < std::min(room, offer.size()); ++at)
-      ++told[offer[at]->fact.name];
+      ++sent[offer[at]->fact.name];
     news.told(std::min(room, offer.size()));
   }
-  EXPECT_EQ(told.size(), 200u);
-  for (const auto& [name, times] : told)
+  EXPECT_EQ(sent.size(), 200u);
+  for (const auto& [name, times] : sent)
     EXPECT_EQ(times, News::times(100)) << name;
 }
 
-TEST(Table, is_bounded_and_its_digest_says_who_is_there_whatever_the_order) {
-  Table one(50), other(50);
+TEST(Table, is_bounded_and_its_digest_depends_on_present_members_in_any_order) {
+  Table table(50), reversed(50);
   std::string evicted;
   for (int at = 0; at < 50; ++at)
-    one.add(fact("c" + std::to_string(at)), 0s, &evicted);
+    table.add(fact("c" + std::to_string(at)), 0s, &evicted);
   for (int at = 49; at >= 0; --at)
-    other.add(fact("c" + std::to_string(at)), 0s, &evicted);
-  EXPECT_EQ(one.digest(), other.digest());
-  EXPECT_EQ(one.add(fact("more"), 0s, &evicted), nullptr);
-  EXPECT_EQ(evicted, "") << "nobody who is there makes room";
-  one.mark(*one.find("c1"), Standing::suspected, "x", 0s);
-  EXPECT_EQ(one.digest(), other.digest());
-  one.mark(*one.find("c1"), Standing::gone, "x", 0s);
-  EXPECT_NE(one.digest(), other.digest());
-  EXPECT_EQ(one.add(fact("more"), 0s, &evicted), nullptr);
+    reversed.add(fact("c" + std::to_string(at)), 0s, &evicted);
+  EXPECT_EQ(table.digest(), reversed.digest());
+  EXPECT_EQ(table.add(fact("more"), 0s, &evicted), nullptr);
+  EXPECT_EQ(evicted, "") << "a present member is never evicted";
+  table.mark(*table.find("c1"), Standing::suspected, "x", 0s);
+  EXPECT_EQ(table.digest(), reversed.digest());
+  table.mark(*table.find("c1"), Standing::gone, "x", 0s);
+  EXPECT_NE(table.digest(), reversed.digest());
+  EXPECT_EQ(table.add(fact("more"), 0s, &evicted), nullptr);
   EXPECT_EQ(evicted, "c1");
-  one.forget("c1");
-  EXPECT_EQ(one.there(), 49u);
-  EXPECT_EQ(one.gone(), 0u);
+  table.forget("c1");
+  EXPECT_EQ(table.there(), 49u);
+  EXPECT_EQ(table.gone(), 0u);
 }
 
-TEST(OwnName, refutes_yields_to_a_newer_process_that_is_heard_and_takes_back_a_name_that_nobody_holds) {
+TEST(OwnName, refutes_yields_to_a_newer_process_that_is_heard_and_reclaims_an_unheld_name) {
   using Then = OwnName::Then;
   OwnName own(fact("a"), period);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::suspected), 0s, noon), Then::refuted);
+  EXPECT_EQ(own.told(fact("a", 0, Standing::suspected), 0s, start_us), Then::refuted);
   EXPECT_EQ(own.own().incarnation, 1u);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::gone), 0s, noon), Then::nothing) << "that was refuted";
-  EXPECT_EQ(own.told(fact("a", limits::incarnation - 1, Standing::gone), 0s, noon), Then::refuted);
-  EXPECT_EQ(own.own().start, noon + 1) << "a start voids an absurd incarnation";
+  EXPECT_EQ(own.told(fact("a", 0, Standing::gone), 0s, start_us), Then::nothing) << "already refuted";
+  EXPECT_EQ(own.told(fact("a", limits::incarnation - 1, Standing::gone), 0s, start_us), Then::refuted);
+  EXPECT_EQ(own.own().start, start_us + 1) << "a later start time invalidates an incarnation near the limit";
   EXPECT_EQ(own.own().incarnation, 0u);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, noon - 5), 0s, noon), Then::nothing);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, noon + 2 * day, "10.0.0.9:1"), 0s, noon), Then::nothing)
-      << "not believed";
+  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us - 5), 0s, start_us), Then::nothing);
+  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us + 2 * day_us, "10.0.0.9:1"), 0s, start_us),
+            Then::nothing)
+      << "an implausible start time is ignored";
 
-  const auto newer = fact("a", 0, Standing::alive, noon + 9, "10.0.0.2:1");
-  EXPECT_EQ(own.told(newer, 0s, noon), Then::superseded);
+  const auto newer = fact("a", 0, Standing::alive, start_us + 9, "10.0.0.2:1");
+  EXPECT_EQ(own.told(newer, 0s, start_us), Then::superseded);
   EXPECT_EQ(own.check(period * (limits::claim - 1)), Then::nothing);
-  EXPECT_EQ(own.check(period * limits::claim), Then::reclaimed) << "it was never heard";
-  EXPECT_EQ(own.own().start, noon + 10);
+  EXPECT_EQ(own.check(period * limits::claim), Then::reclaimed) << "the newer process was never heard";
+  EXPECT_EQ(own.own().start, start_us + 10);
 
-  const auto heard = fact("a", 0, Standing::alive, noon + 20, "10.0.0.2:1");
-  EXPECT_EQ(own.told(heard, 0s, noon), Then::superseded);
+  const auto heard = fact("a", 0, Standing::alive, start_us + 20, "10.0.0.2:1");
+  EXPECT_EQ(own.told(heard, 0s, start_us), Then::superseded);
   own.heard(heard, 1s);
   EXPECT_EQ(own.check(1000s), Then::nothing);
-  EXPECT_EQ(own.told(fact("a", 5, Standing::suspected), 0s, noon), Then::nothing) << "quiet about itself";
-  auto ended = heard;
-  ended.standing = Standing::left;
-  EXPECT_EQ(own.told(ended, 0s, noon), Then::reclaimed);
+  EXPECT_EQ(own.told(fact("a", 5, Standing::suspected), 0s, start_us), Then::nothing)
+      << "a superseded process doesn't refute";
+  auto left = heard;
+  left.standing = Standing::left;
+  EXPECT_EQ(own.told(left, 0s, start_us), Then::reclaimed);
 }
 
 wire::Packet packet_with(wire::Body body, std::size_t facts) {
@@ -191,19 +195,19 @@
           wire::Payload{1, std::string(Outbox::most, '\xff')}};
 }
 
-TEST(Wire, what_is_written_is_read_and_never_longer_than_a_datagram) {
+TEST(Wire, decodes_what_was_encoded_within_the_datagram_size) {
   for (const auto& body : bodies()) {
-    std::size_t told = 0;
-    const auto bytes = wire::encode(packet_with(body, 100), &told);
+    std::size_t encoded_facts = 0;
+    const auto bytes = wire::encode(packet_with(body, 100), &encoded_facts);
     EXPECT_LE(bytes.size(), limits::plain_bytes);
-    wire::Packet read;
+    wire::Packet decoded;
     std::uint64_t left_out = 0;
-    ASSERT_EQ(wire::decode(bytes, read, left_out), wire::Fault::none);
-    EXPECT_EQ(read.body.index(), body.index());
-    EXPECT_EQ(read.facts.size(), told);
+    ASSERT_EQ(wire::decode(bytes, decoded, left_out), wire::Fault::none);
+    EXPECT_EQ(decoded.body.index(), body.index());
+    EXPECT_EQ(decoded.facts.size(), encoded_facts);
     EXPECT_EQ(left_out, 0u);
   }
-  // The longest names there are still leave room for the longest payload.
+  // The longest name leaves room for the longest payload.
   wire::Packet longest{
       fact(std::string(limits::name_bytes, 'n'), limits::incarnation, Standing::alive, limits::start),
       wire::Payload{~0u, std::string(Outbox::most, 'x')},
@@ -213,7 +217,7 @@
   EXPECT_LE(wire::encode(longest).size(), limits::plain_bytes);
 }
 
-TEST(Wire, whatever_comes_is_within_its_bounds_or_refused) {
+TEST(Wire, corrupted_packets_decode_within_bounds_or_are_refused) {
   Random random(3);
   std::uint64_t left_out = 0;
   std::size_t refused = 0;
@@ -224,28 +228,28 @@
       bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
     if (random.below(4) == 0)
       bytes.resize(random.below(bytes.size()));
-    wire::Packet read;
-    if (wire::decode(bytes, read, left_out) != wire::Fault::none) {
+    wire::Packet decoded;
+    if (wire::decode(bytes, decoded, left_out) != wire::Fault::none) {
       ++refused;
       continue;
     }
-    EXPECT_TRUE(valid_name(read.sender.name));
-    for (const auto& one : read.facts)
-      EXPECT_TRUE(valid(one));
+    EXPECT_TRUE(valid_name(decoded.sender.name));
+    for (const auto& received : decoded.facts)
+      EXPECT_TRUE(valid(received));
   }
   EXPECT_GT(refused, 0u);
   const auto good = wire::encode(packet_with(wire::Facts{}, 0));
-  wire::Packet read;
-  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), read, left_out), wire::Fault::version);
+  wire::Packet decoded;
+  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), decoded, left_out), wire::Fault::version);
   for (const auto& bad :
        {fact(""), fact("with blank"), fact(std::string(65, 'x')), fact("\xff\xfe"), fact("a", ~0ull),
-        fact("a", 0, Standing::alive, ~0ull), fact("a", 0, Standing::alive, noon, "nowhere"),
-        fact("a", 0, Standing::alive, noon, "host:70000"), fact("a", 0, static_cast<Standing>(9))}) {
+        fact("a", 0, Standing::alive, ~0ull), fact("a", 0, Standing::alive, start_us, "nowhere"),
+        fact("a", 0, Standing::alive, start_us, "host:70000"), fact("a", 0, static_cast<Standing>(9))}) {
     wire::Packet packet = packet_with(wire::Facts{}, 1);
     packet.facts.push_back(bad);
     left_out = 0;
-    EXPECT_EQ(wire::decode(wire::encode(packet), read, left_out), wire::Fault::none);
-    EXPECT_EQ(read.facts.size(), 1u);
+    EXPECT_EQ(wire::decode(wire::encode(packet), decoded, left_out), wire::Fault::none);
+    EXPECT_EQ(decoded.facts.size(), 1u);
     EXPECT_EQ(left_out, 1u) << bad.name << " " << bad.address;
   }
 }
--- a/tests/peers/schedules_main.cpp
+++ b/tests/peers/schedules_main.cpp
@@ -1,5 +1,7 @@
-// Plays seeded schedules of faults: peers_schedules [--count N] [--from SEED] [--jobs N], or one again:
-// --seed SEED. The digests of so many from seed 1: --digests N.
+// Runs random schedules of faults, one for each seed.
+// Usage: peers_schedules [--count N] [--from SEED] [--jobs N]
+//        peers_schedules --seed SEED    runs one schedule and prints its trace
+//        peers_schedules --digests N    prints the digests of seeds 1 to N
 #include <algorithm>
 #include <atomic>
 #include <cstdlib>
@@ -7,18 +9,18 @@
 #include <mutex>
 #include <thread>
 
-#include "schedule.h"
+#include "fault_schedule.h"
 
 using namespace lemonroute::peers;
 
 namespace {
 
-void print(std::uint64_t seed, const Played& played) {
-  std::cout << "seed " << seed << ", " << played.members
-            << " members: " << (played.held ? "held" : played.why) << "\n";
-  for (const auto& line : played.trace)
+void print(std::uint64_t seed, const ScheduleResult& result) {
+  std::cout << "seed " << seed << ", " << result.members
+            << " members: " << (result.passed ? "passed" : result.why) << "\n";
+  for (const auto& line : result.trace)
     std::cout << "  " << line << "\n";
-  std::cout << "again: peers_schedules --seed " << seed << "\n" << std::flush;
+  std::cout << "run again: peers_schedules --seed " << seed << "\n" << std::flush;
 }
 
 }  // namespace
@@ -26,50 +28,50 @@
 int main(int argc, char** argv) {
   std::uint64_t count = 200, from = 1, jobs = std::max(1u, std::thread::hardware_concurrency());
   for (int at = 1; at + 1 < argc; at += 2) {
-    const std::string word = argv[at];
+    const std::string option = argv[at];
     const std::uint64_t value = std::strtoull(argv[at + 1], nullptr, 10);
-    if (word == "--seed") {
-      const Played played = play_schedule(value);
-      print(value, played);
-      return played.held ? 0 : 1;
+    if (option == "--seed") {
+      const ScheduleResult result = run_schedule(value);
+      print(value, result);
+      return result.passed ? 0 : 1;
     }
-    if (word == "--digests") {
+    if (option == "--digests") {
       for (std::uint64_t seed = 1; seed <= value; ++seed)
-        std::cout << seed << ' ' << play_schedule(seed).digest << "\n";
+        std::cout << seed << ' ' << run_schedule(seed).digest << "\n";
       return 0;
     }
-    if (word == "--count")
+    if (option == "--count")
       count = value;
-    else if (word == "--from")
+    else if (option == "--from")
       from = value;
-    else if (word == "--jobs")
+    else if (option == "--jobs")
       jobs = std::max<std::uint64_t>(1, value);
     else
-      return std::cerr << "no such option: " << word << "\n", 2;
+      return std::cerr << "unknown option: " << option << "\n", 2;
   }
   std::atomic<std::uint64_t> next{from}, failed{0};
-  std::mutex lock;
-  std::vector<double> healed;
+  std::mutex mutex;
+  std::vector<double> convergence;
   std::vector<std::thread> threads;
   for (std::uint64_t job = 0; job < jobs; ++job)
     threads.emplace_back([&] {
       for (std::uint64_t seed = next++; seed < from + count; seed = next++) {
-        const Played played = play_schedule(seed);
-        const std::lock_guard guard(lock);
-        healed.push_back(played.healed_in);
-        if (played.held)
+        const ScheduleResult result = run_schedule(seed);
+        const std::lock_guard guard(mutex);
+        convergence.push_back(result.convergence_periods);
+        if (result.passed)
           continue;
         if (++failed <= 5)
-          print(seed, played);
+          print(seed, result);
       }
     });
   for (auto& thread : threads)
     thread.join();
-  std::sort(healed.begin(), healed.end());
-  if (!healed.empty())
+  std::sort(convergence.begin(), convergence.end());
+  if (!convergence.empty())
     std::cout << count << " schedules from seed " << from << ", " << failed
-              << " failed; one view after a heal in " << healed[healed.size() / 2]
-              << " periods in the middle, " << healed[healed.size() * 99 / 100] << " in 99 of 100, "
-              << healed.back() << " at the most\n";
+              << " failed; periods until all members had one view after the last fault: median "
+              << convergence[convergence.size() / 2] << ", 99th percentile "
+              << convergence[convergence.size() * 99 / 100] << ", maximum " << convergence.back() << "\n";
   return failed ? 1 : 0;
 }
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -17,88 +17,88 @@
 using std::chrono::microseconds;
 using std::chrono::seconds;
 
-Key key(unsigned char of) {
+Key test_key(unsigned char byte) {
   std::array<unsigned char, Key::size> bytes;
-  bytes.fill(of);
+  bytes.fill(byte);
   return make_key(bytes);
 }
 
-struct Pair {
-  Sealer sealer{key(1), {11, 22}};
-  Opener opener{{key(1)}, 16};
-  Refusal why{};
-  std::optional<std::string> open(const std::string& sealed) { return opener.open(sealed, why); }
+struct SealerAndOpener {
+  Sealer sealer{test_key(1), {11, 22}};
+  Opener opener{{test_key(1)}, 16};
+  Refusal refusal{};
+  std::optional<std::string> open(const std::string& sealed) { return opener.open(sealed, refusal); }
 };
 
-TEST(Seal, opens_what_was_sealed_at_every_length_that_fits) {
-  Pair p;
+TEST(Seal, opens_sealed_datagrams_of_every_valid_length) {
+  SealerAndOpener pair;
   for (std::size_t length : {std::size_t{0}, std::size_t{1}, std::size_t{100}, most_plain}) {
-    const std::string plain(length, 'x'), sealed = p.sealer.seal(plain);
+    const std::string plain(length, 'x'), sealed = pair.sealer.seal(plain);
     EXPECT_EQ(sealed.size(), length + overhead);
     EXPECT_LE(sealed.size(), most_sealed);
-    EXPECT_EQ(p.open(sealed), plain);
+    EXPECT_EQ(pair.open(sealed), plain);
   }
-  EXPECT_THROW(p.sealer.seal(std::string(most_plain + 1, 'x')), std::length_error);
+  EXPECT_THROW(pair.sealer.seal(std::string(most_plain + 1, 'x')), std::length_error);
 }
 
-TEST(Seal, no_byte_can_be_changed_and_none_cut_off_or_added) {
-  Pair p;
-  const std::string sealed = p.sealer.seal("the rights to pool nord/3");
+TEST(Seal, refuses_datagrams_with_changed_removed_or_added_bytes) {
+  SealerAndOpener pair;
+  const std::string sealed = pair.sealer.seal("the rights to pool nord/3");
   for (std::size_t at = 0; at < sealed.size(); ++at)
     for (int bit = 0; bit < 8; ++bit) {
-      std::string wrong = sealed;
-      wrong[at] = static_cast<char>(wrong[at] ^ (1 << bit));
-      EXPECT_EQ(p.open(wrong), std::nullopt) << at;
-      EXPECT_EQ(p.why, at == 0 ? Refusal::version : at < 5 ? Refusal::key : p.why);
+      std::string modified = sealed;
+      modified[at] = static_cast<char>(modified[at] ^ (1 << bit));
+      EXPECT_EQ(pair.open(modified), std::nullopt) << at;
+      EXPECT_EQ(pair.refusal, at == 0 ? Refusal::version : at < 5 ? Refusal::key : pair.refusal);
     }
   for (std::size_t length = 0; length < sealed.size(); ++length)
-    EXPECT_FALSE(p.open(sealed.substr(0, length)));
-  EXPECT_FALSE(p.open(sealed + "x"));
-  EXPECT_FALSE(p.open(std::string(most_sealed + 1, '\1')));
-  EXPECT_EQ(p.why, Refusal::oversize);
-  // All of that cost the real one nothing.
-  EXPECT_TRUE(p.open(sealed));
+    EXPECT_FALSE(pair.open(sealed.substr(0, length)));
+  EXPECT_FALSE(pair.open(sealed + "x"));
+  EXPECT_FALSE(pair.open(std::string(most_sealed + 1, '\1')));
+  EXPECT_EQ(pair.refusal, Refusal::oversize);
+  // The refused datagrams don't make the original count as replayed.
+  EXPECT_TRUE(pair.open(sealed));
 }
 
-TEST(Seal, a_copy_is_refused_and_other_processes_are_told_apart) {
-  Pair p;
-  Sealer restarted(key(1), {11, 23}), twin(key(1), {12, 22});
+TEST(Seal, refuses_replays_and_keeps_processes_apart) {
+  SealerAndOpener pair;
+  Sealer restarted(test_key(1), {11, 23}), same_start(test_key(1), {12, 22});
   std::set<std::string> all;
   for (int i = 0; i < 50; ++i)
-    for (Sealer* sealer : {&p.sealer, &restarted, &twin})
+    for (Sealer* sealer : {&pair.sealer, &restarted, &same_start})
       all.insert(sealer->seal("same"));
-  EXPECT_EQ(all.size(), 150u);  // no two alike
+  EXPECT_EQ(all.size(), 150u);  // all sealed datagrams differ
   for (const auto& one : all)
-    EXPECT_TRUE(p.open(one));
+    EXPECT_TRUE(pair.open(one));
   for (const auto& one : all) {
-    EXPECT_FALSE(p.open(one));
-    EXPECT_EQ(p.why, Refusal::replay);
+    EXPECT_FALSE(pair.open(one));
+    EXPECT_EQ(pair.refusal, Refusal::replay);
   }
 }
 
-TEST(Seal, keys_change_without_a_stop) {
-  const Key old_key = key(1), new_key = key(2), other = key(3);
+TEST(Seal, keys_rotate_without_interruption) {
+  const Key old_key = test_key(1), new_key = test_key(2), other = test_key(3);
   struct Step {
     std::vector<Key> keys;
     Key sealed_with;
     Refusal expected;
   };
-  // First the new key opens everywhere, then it seals, then the old one goes.
+  // The rotation: all routers open with the new key as well, then seal with it, then drop the old key.
   for (const auto& step :
        {Step{{old_key, new_key}, new_key, Refusal::none}, Step{{new_key, old_key}, old_key, Refusal::none},
         Step{{new_key}, old_key, Refusal::key}, Step{{old_key, new_key}, other, Refusal::key}}) {
     Opener opener(step.keys, 4);
-    auto why = Refusal::none;
-    opener.open(Sealer(step.sealed_with, {1, 1}).seal("x"), why);
-    EXPECT_EQ(why, step.expected);
+    auto refusal = Refusal::none;
+    opener.open(Sealer(step.sealed_with, {1, 1}).seal("x"), refusal);
+    EXPECT_EQ(refusal, step.expected);
   }
 }
 
-TEST(Window, edges) {
+TEST(Window, accepts_numbers_at_its_edges_once) {
   const auto w = Window::width;
   struct Case {
     std::vector<std::uint64_t> marked;
-    std::uint64_t asked;
+    std::uint64_t number;
     bool fresh;
   };
   for (const auto& c :
@@ -109,29 +109,29 @@
     Window window;
     for (const auto one : c.marked)
       window.mark(one);
-    EXPECT_EQ(window.fresh(c.asked), c.fresh) << c.asked;
+    EXPECT_EQ(window.fresh(c.number), c.fresh) << c.number;
   }
 }
 
-TEST(Window, takes_each_number_once_in_any_order_and_says_no_to_all_that_is_too_old) {
+TEST(Window, accepts_each_number_once_in_any_order_and_refuses_numbers_that_are_too_old) {
   std::mt19937_64 random(26);
   Window window;
-  std::set<std::uint64_t> taken;
+  std::set<std::uint64_t> marked;
   std::uint64_t newest = 0;
   for (int i = 0; i < 20000; ++i) {
     const auto ahead = newest + random() % 40, back = random() % (2 * Window::width);
     const auto at = random() % 2 || ahead <= back ? ahead : ahead - back;
-    const bool expected = at > 0 && !taken.count(at) && at + Window::width > newest;
+    const bool expected = at > 0 && !marked.count(at) && at + Window::width > newest;
     ASSERT_EQ(window.fresh(at), expected) << at << " with " << newest;
     if (!expected)
       continue;
     window.mark(at);
-    taken.insert(at);
+    marked.insert(at);
     newest = std::max(newest, at);
   }
 }
 
-TEST(Windows, are_bounded_and_forget_who_was_silent_for_longest) {
+TEST(Windows, are_bounded_and_evict_the_sender_that_was_silent_for_longest) {
   Windows windows(3);
   for (std::uint64_t tag = 1; tag <= 3; ++tag)
     windows.mark({tag, 0}, 1);
@@ -139,20 +139,20 @@
   windows.mark({4, 0}, 1);
   EXPECT_EQ(windows.size(), 3u);
   EXPECT_FALSE(windows.fresh({1, 0}, 1));
-  EXPECT_TRUE(windows.fresh({2, 0}, 1));  // forgotten
+  EXPECT_TRUE(windows.fresh({2, 0}, 1));  // its window was evicted, so the number counts as new
   EXPECT_FALSE(windows.fresh({4, 0}, 1));
 }
 
-TEST(Flood, the_stated_cost_is_the_most_whoever_floods) {
+TEST(Flood, bounds_taken_datagrams_and_verifications_for_any_number_of_source_addresses) {
   const Flood::Rates rates{2000, 800, 100, 50};
   std::mt19937_64 random(7);
   struct Case {
     const char* name;
     std::uint64_t addresses;
-    double bound;  // proofs a second
+    double bound;  // verifications a second
   };
   for (const auto& c : {Case{"one address", 1, rates.strangers / 10}, Case{"twenty", 20, rates.strangers},
-                        Case{"any", 1 << 30, rates.strangers}}) {
+                        Case{"many", 1 << 30, rates.strangers}}) {
     Flood flood(rates, {1});
     int taken = 0, looked = 0;
     for (Micros now{}; now < seconds(10); now += microseconds(20)) {
@@ -167,26 +167,26 @@
   }
 }
 
-TEST(Flood, takes_nothing_from_who_is_proven_and_leaves_room_to_join) {
+TEST(Flood, admits_all_datagrams_of_proven_peers_and_of_a_new_router) {
   Flood flood({20000, 800, 100, 50}, {1});
   flood.prove(Micros(1), "10.0.0.1:1");
-  int peer = 0, newcomer = 0, strangers = 0, asked = 0;
+  int proven_peer = 0, new_router = 0, strangers = 0, sent = 0;
   for (Micros now(1); now < seconds(10); now += microseconds(500)) {
     for (int i = 0; i < 5; ++i)
       strangers += flood.look(now, "10.9.9." + std::to_string(i) + ":1");
     if (now.count() % 100'000 != 1)
       continue;
-    ++asked;
-    peer += flood.look(now, "10.0.0.1:1");
+    ++sent;
+    proven_peer += flood.look(now, "10.0.0.1:1");
     flood.prove(now, "10.0.0.1:1");
-    newcomer += flood.look(now, "10.0.0.2:1");
+    new_router += flood.look(now, "10.0.0.2:1");
   }
-  EXPECT_EQ(peer, asked);
-  EXPECT_EQ(newcomer, asked);
+  EXPECT_EQ(proven_peer, sent);
+  EXPECT_EQ(new_router, sent);
   EXPECT_LE(strangers, 5 * 10.0 * 10.5 + 5);
 }
 
-TEST(Flood, a_proven_address_has_a_bound_too_and_the_table_of_them) {
+TEST(Flood, bounds_the_datagrams_of_a_proven_address_and_the_table_of_addresses) {
   Flood flood({1e9, 800, 100, 50}, {1});
   flood.prove(Micros(0), "a");
   int looked = 0;
@@ -200,7 +200,7 @@
   EXPECT_EQ(flood.addresses(), 1u);
 }
 
-TEST(Refusals, are_said_once_a_minute_in_one_line) {
+TEST(Refusals, are_logged_in_one_line_at_most_once_a_minute) {
   Refusals refusals;
   EXPECT_EQ(refusals.line(seconds(0)), std::nullopt);
   for (int i = 0; i < 1000; ++i)
@@ -214,29 +214,29 @@
   EXPECT_EQ(refusals.line(seconds(200)), std::nullopt);
 }
 
-TEST(KeyFile, is_read_whole_or_not_at_all) {
-  const auto folder = std::filesystem::temp_directory_path() / ("seal_test" + std::to_string(getpid()));
-  std::filesystem::create_directory(folder);
-  const std::string path = folder / "fleet.key", digits(64, 'a');
-  const auto reads = [&](const std::string& content, mode_t mode) {
+TEST(KeyFile, is_read_only_if_valid_and_private) {
+  const auto directory = std::filesystem::temp_directory_path() / ("seal_test" + std::to_string(getpid()));
+  std::filesystem::create_directory(directory);
+  const std::string path = directory / "fleet.key", digits(64, 'a');
+  const auto read_error = [&](const std::string& content, mode_t mode) {
     std::ofstream(path) << content;
     chmod(path.c_str(), mode);
-    const auto read = read_key(path);
-    return std::holds_alternative<Key>(read) ? "" : std::get<std::string>(read);
+    const auto key = read_key(path);
+    return std::holds_alternative<Key>(key) ? "" : std::get<std::string>(key);
   };
-  EXPECT_EQ(reads(digits + "\n", 0600), "");
-  EXPECT_EQ(reads(digits, 0400), "");
+  EXPECT_EQ(read_error(digits + "\n", 0600), "");
+  EXPECT_EQ(read_error(digits, 0400), "");
   for (const mode_t mode : {0640, 0604, 0620, 0601})
-    EXPECT_NE(reads(digits, mode).find("by others"), std::string::npos);
-  for (const std::string& wrong : {std::string(), digits.substr(1), digits + "a", "g" + digits.substr(1),
-                                   digits + "\n" + digits, digits.substr(2) + "  "})
-    EXPECT_NE(reads(wrong, 0600).find("64 hexadecimal"), std::string::npos) << wrong;
-  EXPECT_NE(write_new_key(path), "");  // it is there
+    EXPECT_NE(read_error(digits, mode).find("by others"), std::string::npos);
+  for (const std::string& content : {std::string(), digits.substr(1), digits + "a", "g" + digits.substr(1),
+                                     digits + "\n" + digits, digits.substr(2) + "  "})
+    EXPECT_NE(read_error(content, 0600).find("64 hexadecimal"), std::string::npos) << content;
+  EXPECT_NE(write_new_key(path), "");  // the file exists already
   std::filesystem::remove(path);
   EXPECT_EQ(write_new_key(path), "");
   EXPECT_TRUE(std::holds_alternative<Key>(read_key(path)));
-  EXPECT_TRUE(std::holds_alternative<std::string>(read_key(folder.string())));
-  std::filesystem::remove_all(folder);
+  EXPECT_TRUE(std::holds_alternative<std::string>(read_key(directory.string())));
+  std::filesystem::remove_all(directory);
   EXPECT_TRUE(std::holds_alternative<std::string>(read_key(path)));
 }
 
