--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -71,9 +71,9 @@
 }
 
 TEST_P(FailureCase, members_with_latency_or_loss_are_not_given_up) {
-  simulation.add_latency(1, 200ms);
+  simulation.set_extra_latency(1, 200ms);
   simulation.run_periods(60);
-  simulation.add_latency(1, 0ms);
+  simulation.set_extra_latency(1, 0ms);
   simulation.set_loss(1, 0.3);
   for (int period = 0; period < 100; ++period, simulation.run_periods(1))
     ASSERT_EQ(simulation.count_false_gone(), 0u) << period;
--- a/tests/peers/fault_schedule.cpp
+++ b/tests/peers/fault_schedule.cpp
@@ -74,7 +74,7 @@
     case 4:
       return simulation.resume(member);
     case 5:
-      return simulation.add_latency(member, Micros(random.below(800'000)));
+      return simulation.set_extra_latency(member, Micros(random.below(800'000)));
     case 6:
       return simulation.set_loss(member, 0.3);
     case 7: {
--- a/tests/peers/measure_main.cpp
+++ b/tests/peers/measure_main.cpp
@@ -1,5 +1,7 @@
 // Measures membership in the simulation and prints a table that gnuplot can read: columns separated by
-// blanks, with their names in a line that begins with #. Usage: peers_measure loss | traffic | heal [SEEDS]
+// blanks, with their names in a line that begins with #.
+//
+// Usage: peers_measure loss | traffic | heal [SEEDS]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -28,7 +28,7 @@
   Micros wake_at = Micros::max();
   Micros offset{};
   double drift = 0;
-  Micros added_latency{};
+  Micros extra_latency{};
   double loss = 0;
   Traffic traffic;
   std::int64_t traffic_period = -1;  // period that period_datagrams counts
@@ -203,15 +203,15 @@
   record("heal all");
   partitions_.clear();
   for (std::size_t member = 0; member < nodes_.size(); ++member) {
-    nodes_[member]->added_latency = Micros{};
+    nodes_[member]->extra_latency = Micros{};
     nodes_[member]->loss = 0;
     resume(member);
   }
 }
 
-void Simulation::add_latency(std::size_t member, Micros latency) {
+void Simulation::set_extra_latency(std::size_t member, Micros latency) {
   record("slow " + nodes_[member]->name + " by " + std::to_string(latency.count()) + " us");
-  nodes_[member]->added_latency = latency;
+  nodes_[member]->extra_latency = latency;
 }
 
 void Simulation::set_loss(std::size_t member, double loss) {
@@ -274,7 +274,7 @@
   if (is_blocked(from, to) || chance(random_, loss))
     return;
   for (int copies = chance(random_, link.duplication) ? 2 : 1; copies > 0; --copies) {
-    Event event{now_ + link.latency + node.added_latency + nodes_[to]->added_latency,
+    Event event{now_ + link.latency + node.extra_latency + nodes_[to]->extra_latency,
                 ++events_,
                 to,
                 false,
--- a/tests/peers/simulation.h
+++ b/tests/peers/simulation.h
@@ -59,8 +59,7 @@
   void leave(std::size_t member);                                // tells the others that it leaves, then ends
   void freeze(std::size_t member);
   void resume(std::size_t member);  // its buffered datagrams arrive at once, and its timers run late
-  // Sets the clock at once, so the member should be restarted afterwards. Drift: 0.01 is a clock that gains 1
-  // %.
+  // Sets the clock at once, so the member should be restarted afterwards. A drift of 0.01 gains 1 %.
   void set_clock(std::size_t member, Micros offset, double drift);
 
   // ---- the network ----
@@ -68,9 +67,9 @@
   // heal().
   std::size_t partition(const Members& from, const Members& to, bool both_ways = true);
   void heal(std::size_t number);
-  // Ends all partitions, and the added latency and loss of all members; resumes frozen members.
+  // Ends all partitions, and the extra latency and loss of all members; resumes frozen members.
   void heal_all();
-  void add_latency(std::size_t member, Micros latency);  // to each datagram from or to the member
+  void set_extra_latency(std::size_t member, Micros latency);  // to each datagram from or to the member
   void set_loss(std::size_t member, double loss);  // probability for each datagram from or to the member
   void set_link(const Link& link) { settings_.link = link; }
 
@@ -91,8 +90,9 @@
   Extension& extension(std::size_t member, Topic topic) const;
   const std::string& name(std::size_t member) const;
   const std::string& address(std::size_t member) const;
-  std::size_t find(std::string_view name) const;
+  std::size_t find(std::string_view name) const;  // size(): no member has the name
   const Traffic& traffic(std::size_t member) const;
+  // Delivers a datagram to the address `to` as if it came from `from`.
   void inject(const std::string& to, std::string bytes, const std::string& from = "6.6.6.6:666");
 
   // Returns whether all running members have the same view: exactly the running members are present, and all
@@ -101,7 +101,7 @@
   // Returns the number of pairs of running members in which the first holds the second to be gone.
   std::size_t count_false_gone() const;
 
-  // What was done to the simulation, one line each with the time in periods.
+  // The actions on members and the network, one line each with the time in periods.
   const std::vector<std::string>& trace() const { return trace_; }
   const Digest& digest() const { return digest_; }  // of the trace and all datagrams
 
