--- a/tests/acceptance/evidence_test.cpp
+++ b/tests/acceptance/evidence_test.cpp
@@ -19,14 +19,15 @@
 TEST(Evidence, FullWritersAreAskedAgainSoon) {
   const Settings s = reporting();
   SchedulerFixture fixture(s);
-  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(8, decode_kind), host(9, decode_kind)});
-  fixture.serve(fixture.request(2000), 60ms);
+  fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(2, prefill_kind),
+                            make_endpoint(8, decode_kind), make_endpoint(9, decode_kind)});
+  fixture.serve(fixture.make_request(2000), 60ms);
   for (int i = 0; i < 5; ++i)
     for (const EndpointId id : {8, 9})
       fixture.handle(HealthResult{id, Outcome::ok, 1ms, {1, 0}});
-  EXPECT_EQ(SchedulerFixture::sent_to(fixture.handle(fixture.request(2000))), 0u) << "full as they are";
+  EXPECT_EQ(SchedulerFixture::sent_to(fixture.handle(fixture.make_request(2000))), 0u) << "full as they are";
   const Micros longest = s.classes[0].deadline, from = fixture.now;
-  while (!SchedulerFixture::sent_to(fixture.handle(fixture.request(2000))) &&
+  while (!SchedulerFixture::sent_to(fixture.handle(fixture.make_request(2000))) &&
          fixture.now < from + 20 * longest)
     fixture.now += 500ms;
   EXPECT_LE(fixture.now - from, 2 * longest);
@@ -38,15 +39,16 @@
   for (const float tokens : {2000.f, 4000.f, 8000.f, 16000.f})
     for (const float queue : {10.f, 20.f, 25.f, 30.f, 40.f, 60.f}) {
       SchedulerFixture fixture(reporting());
-      fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(3, prefill_kind), host(8, decode_kind),
-                    host(9, decode_kind)});
+      fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(2, prefill_kind),
+                                make_endpoint(3, prefill_kind), make_endpoint(8, decode_kind),
+                                make_endpoint(9, decode_kind)});
       for (int i = 0; i < 30; ++i)
-        fixture.serve(fixture.request(2000), 120ms);
+        fixture.serve(fixture.make_request(2000), 120ms);
       const EndpointId home =
-          fixture.serve(fixture.request(tokens, 0, 77), Micros(static_cast<long>(60 * tokens)));
+          fixture.serve(fixture.make_request(tokens, 0, 77), Micros(static_cast<long>(60 * tokens)));
       for (const EndpointId id : {1, 2, 3})
         fixture.handle(HealthResult{id, Outcome::ok, 1ms, {0, id == home ? queue : 0}});
-      EXPECT_NE(SchedulerFixture::sent_to(fixture.handle(fixture.request(tokens + 300, 0, 77))), 0u)
+      EXPECT_NE(SchedulerFixture::sent_to(fixture.handle(fixture.make_request(tokens + 300, 0, 77))), 0u)
           << tokens << " tokens, " << queue << " thousand waiting where they are kept, two readers idle";
     }
 }
@@ -55,30 +57,31 @@
 // the table ends up with the largest keys there ever were.
 TEST(Evidence, SessionsOfNowAreRemembered) {
   SchedulerFixture fixture;
-  fixture.list({host(1, prefill_kind), host(2, prefill_kind), host(3, prefill_kind), host(8, decode_kind),
-                host(9, decode_kind)});
+  fixture.update_endpoints({make_endpoint(1, prefill_kind), make_endpoint(2, prefill_kind),
+                            make_endpoint(3, prefill_kind), make_endpoint(8, decode_kind),
+                            make_endpoint(9, decode_kind)});
   std::mt19937_64 random(1);
   for (int i = 0; i < 40000; ++i) {  // more than are remembered
-    const Request r = fixture.request(2000, 0, random());
+    const Request r = fixture.make_request(2000, 0, random());
     const EndpointId at = SchedulerFixture::sent_to(fixture.handle(r));
     fixture.handle(ClientDisconnected{r.id});
-    fixture.complete(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
+    fixture.complete_attempt(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
     fixture.timers.clear();
     fixture.now += 1ms;
   }
   int known = 0;
   for (int i = 0; i < 100; ++i) {
     const Key key = random();
-    const EndpointId at = fixture.serve(fixture.request(2000, 0, key), 50ms);
+    const EndpointId at = fixture.serve(fixture.make_request(2000, 0, key), 50ms);
     for (int k = 0; k < 10; ++k)
-      fixture.serve(fixture.request(2000, 0, random()), 50ms);
+      fixture.serve(fixture.make_request(2000, 0, random()), 50ms);
     double match = 0;
     fixture.scheduler.set_choice_observer([&](const Choice& choice) {
       for (const auto& one : choice.candidates)
         if (one.endpoint == at)
           match = std::max(match, one.recorded_match);
     });
-    fixture.serve(fixture.request(2300, 0, key), 50ms);
+    fixture.serve(fixture.make_request(2300, 0, key), 50ms);
     fixture.scheduler.set_choice_observer({});
     known += match > 1000;
   }
--- a/tests/acceptance/floors_test.cpp
+++ b/tests/acceptance/floors_test.cpp
@@ -22,12 +22,12 @@
   Fleet() : bed_(stated()) {
     std::vector<Endpoint> hosts;
     for (EndpointId id = 1; id <= 5; ++id) {
-      hosts.push_back(host(id, prefill_kind));
-      hosts.push_back(host(10 + id, decode_kind));
+      hosts.push_back(make_endpoint(id, prefill_kind));
+      hosts.push_back(make_endpoint(10 + id, decode_kind));
     }
-    bed_.list(hosts);
+    bed_.update_endpoints(hosts);
     for (int i = 0; i < 40; ++i)
-      bed_.serve(bed_.request(4000), 200ms);
+      bed_.serve(bed_.make_request(4000), 200ms);
   }
   double unit() { return std::uniform_real_distribution<>(0, 1)(random_); }
   // The wait at a reader in seconds, and the share of a writer's memory that others hold.
@@ -35,7 +35,8 @@
   void draw(Wait wait, Load load) {
     bed_.now += 1s;
     report([] { return 0.0; }, [] { return 0.0; });
-    bed_.serve(bed_.request(2000), 100ms);  // what was learned of reads is fresh: 20 thousand tokens a second
+    bed_.serve(bed_.make_request(2000),
+               100ms);  // what was learned of reads is fresh: 20 thousand tokens a second
     report(wait, load);
   }
   template <class Wait, class Load>
@@ -50,12 +51,12 @@
   }
   // Asked, and given up at once, so that the next one meets what is drawn and nothing else.
   bool taken(const Drawn& drawn) {
-    Request r = bed_.request(static_cast<float>(drawn.tokens), drawn.cls, drawn.session);
+    Request r = bed_.make_request(static_cast<float>(drawn.tokens), drawn.cls, drawn.session);
     r.tenant_index = drawn.tenant;
     const EndpointId at = SchedulerFixture::sent_to(bed_.handle(r));
     if (at) {
       bed_.handle(ClientDisconnected{r.id});
-      bed_.complete(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
+      bed_.complete_attempt(r.id, 0, at, Outcome::cancelled, 1ms, 0, true);
     }
     bed_.timers.clear();
     return at != 0;
