--- a/src/tiers/describe.cpp
+++ b/src/tiers/describe.cpp
@@ -1,4 +1,4 @@
-// What operators see of the map, on the management listener.
+// The state of the cache tiers as JSON for the management listener.
 #include <nlohmann/json.hpp>
 
 #include "tiers/extension.h"
@@ -6,62 +6,64 @@
 namespace lemonroute::tiers {
 
 namespace {
-nlohmann::json described(const Level& level, const std::string& me) {
-  nlohmann::json shards_of = nlohmann::json::array();
-  for (std::size_t shard = 0; shard < shards; ++shard)
-    shards_of.push_back({{"shard", shard},
-                         {"keepers", level.homes().collectors(shard)},
-                         {"kept_here", level.homes().keeps(me, shard)},
-                         {"headed_here", level.homes().heads(me, shard)}});
-  const auto& counts = level.vote_table().counts();
-  return {{"members", level.homes().members().size()},
-          {"shards", shards_of},
-          {"keys_kept", level.vote_table().size()},
-          {"keys_headed", level.announcements().size()},
-          {"keys_told", level.told().size()},
+nlohmann::json describe_tier(const CacheTier& tier, const std::string& own_name) {
+  nlohmann::json described_shards = nlohmann::json::array();
+  for (std::size_t shard = 0; shard < shard_count; ++shard)
+    described_shards.push_back({{"shard", shard},
+                                {"keepers", tier.shard_collectors().collectors(shard)},
+                                {"kept_here", tier.shard_collectors().is_collector(own_name, shard)},
+                                {"headed_here", tier.shard_collectors().is_head(own_name, shard)}});
+  const auto& counts = tier.vote_table().counts();
+  return {{"members", tier.shard_collectors().members().size()},
+          {"shards", described_shards},
+          {"keys_kept", tier.vote_table().size()},
+          {"keys_headed", tier.advertised().size()},
+          {"keys_told", tier.received().size()},
           {"votes", counts.votes},
-          {"evicted", counts.evicted + level.told().evicted()},
+          {"evicted", counts.evicted + tier.received().evicted()},
           {"over_quota", counts.over_quota},
           {"expired", counts.expired},
-          {"told_by_no_keeper", level.not_collectors()}};
+          {"told_by_no_keeper", tier.non_collector_entries()}};
 }
 }  // namespace
 
-nlohmann::json Tiers::describe(Micros now) const {
+nlohmann::json TiersExtension::describe(Micros now) const {
   nlohmann::json traffic = nlohmann::json::object();
-  for (const auto& [kind, counts] : known_.traffic)
+  for (const auto& [kind, counts] : state_.traffic)
     traffic[kind] = {{"payloads_out", counts.payloads_out},
                      {"bytes_out", counts.bytes_out},
                      {"payloads_in", counts.payloads_in},
                      {"bytes_in", counts.bytes_in}};
   nlohmann::json devices = nlohmann::json::object();
   for (const auto& [id, device] : devices_)
-    if (const auto* generation = known_.generations.find(id))
-      devices[device.name] = {{"start", generation->start},
+    if (const auto* epoch = state_.epochs.find(id))
+      devices[device.name] = {{"start", epoch->start},
                               {"losses",
-                               {generation->lanes & 0xffff, generation->lanes >> 16 & 0xffff,
-                                generation->lanes >> 32 & 0xffff, generation->lanes >> 48}}};
-  const auto& generations = known_.generations.counts();
+                               {epoch->lanes & 0xffff, epoch->lanes >> 16 & 0xffff,
+                                epoch->lanes >> 32 & 0xffff, epoch->lanes >> 48}}};
+  const auto& epoch_counts = state_.epochs.counts();
   return {{"device",
-           {{"keys", device_.size()}, {"evicted", device_.evicted()}, {"worth_error", device_.error()}}},
-          {"site", described(site_, known_.options.name)},
-          {"region", described(region_, known_.options.name)},
-          {"map", {{"version", map_->version()}, {"keys", map_->keys()}, {"holders_bound", holders_bound}}},
+           {{"keys", device_tier_.size()},
+            {"evicted", device_tier_.evicted()},
+            {"worth_error", device_tier_.error()}}},
+          {"site", describe_tier(site_, state_.options.name)},
+          {"region", describe_tier(region_, state_.options.name)},
+          {"map", {{"version", map_->version()}, {"keys", map_->keys()}, {"holders_bound", max_holders}}},
           {"eras",
-           {{"known", known_.generations.size()},
-            {"digest", known_.generations.digest()},
-            {"advanced", generations.advanced},
-            {"voids_told", generations.told_voids},
-            {"voids_held_back", generations.held_back},
-            {"losses_disproved", generations.disproved},
-            {"refused", generations.refused},
+           {{"known", state_.epochs.size()},
+            {"digest", state_.epochs.digest()},
+            {"advanced", epoch_counts.advanced},
+            {"voids_told", epoch_counts.invalidations},
+            {"voids_held_back", epoch_counts.suppressed_invalidations},
+            {"losses_disproved", epoch_counts.disproved},
+            {"refused", epoch_counts.refused},
             {"devices", devices}}},
           {"trust",
-           {{"judged", known_.trust.size()},
-            {"distrusted", known_.trust.distrusted(now)},
-            {"hints_denied", known_.denied.size()}}},
+           {{"judged", state_.trust.size()},
+            {"distrusted", state_.trust.distrusted_count(now)},
+            {"hints_denied", state_.false_hints.size()}}},
           {"traffic", traffic},
-          {"dropped", known_.dropped}};
+          {"dropped", state_.dropped}};
 }
 
 }  // namespace lemonroute::tiers
--- /dev/null
+++ b/src/tiers/epoch/cache_epoch.cpp
@@ -0,0 +1,30 @@
+#include "tiers/epoch/cache_epoch.h"
+
+#include <algorithm>
+
+namespace lemonroute::tiers {
+
+namespace {
+constexpr std::uint64_t max_loss_count = 0xffff;
+std::uint64_t loss_count(std::uint64_t lanes, unsigned i) {
+  return lanes >> (16 * i) & max_loss_count;
+}
+}  // namespace
+
+Generation join(const Generation& a, const Generation& b) {
+  if (a.start != b.start)
+    return a.start > b.start ? a : b;
+  Generation joined{a.start, 0};
+  for (unsigned i = 0; i < 4; ++i)
+    joined.lanes |= std::max(loss_count(a.lanes, i), loss_count(b.lanes, i)) << (16 * i);
+  return joined;
+}
+
+Generation after_loss(Generation epoch, unsigned counter) {
+  counter %= 4;
+  if (loss_count(epoch.lanes, counter) < max_loss_count)
+    epoch.lanes += std::uint64_t{1} << (16 * counter);
+  return epoch;
+}
+
+}  // namespace lemonroute::tiers
--- /dev/null
+++ b/src/tiers/epoch/cache_epoch.h
@@ -0,0 +1,29 @@
+/// \file
+/// The cache epoch of a device: the time between two losses of its KV cache. A sighting from an earlier epoch
+/// is invalid at every tier as soon as the new epoch is known.
+#pragma once
+
+#include <cstdint>
+
+namespace lemonroute::tiers {
+
+/// A cache epoch. Epochs form a join semilattice, ordered by the start time and then by the losses noticed
+/// since that start, which are counted in four counters. Each site increments one of the counters, so two
+/// routers of one site that notice the same loss count it once, and two partitioned sites that each notice a
+/// loss produce an epoch that is later than both.
+struct Generation {
+  std::uint64_t start = 0;  ///< start of the device from the endpoint list, in Unix us; 0: unknown
+  std::uint64_t lanes = 0;  ///< four 16-bit loss counters
+  friend bool operator==(const Generation&, const Generation&) = default;
+};
+
+/// Returns the least epoch that is not earlier than either.
+Generation join(const Generation& a, const Generation& b);
+/// Returns the epoch after one more loss in the given counter; a saturated counter stays as it is.
+Generation after_loss(Generation epoch, unsigned counter);
+/// Whether `a` is not earlier than `b`.
+inline bool covers(const Generation& a, const Generation& b) {
+  return join(a, b) == a;
+}
+
+}  // namespace lemonroute::tiers
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -8,273 +8,275 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 namespace {
-constexpr std::size_t generations_of_payload = 40;
-constexpr std::size_t keys_at_once = 256;     // told to collectors in a tick
-constexpr std::size_t vote_bytes_about = 75;  // of one key, to its three collectors
-constexpr std::size_t generation_bytes =
-    32 * 1024;  // a second: who floods with generations makes nobody pass on more
-constexpr double most_tokens = 1 << 24;
-constexpr unsigned most_asks = 3;  // datagrams may be lost
-std::uint32_t whole(double tokens) {
-  return static_cast<std::uint32_t>(std::clamp(tokens, 0.0, most_tokens));
+constexpr std::size_t max_epochs_per_payload = 40;
+constexpr std::size_t max_votes_per_tick = 256;     // keys sent to collectors in a tick
+constexpr std::size_t approximate_vote_bytes = 75;  // of one key, sent to its three collectors
+// Limits what this router forwards if a peer floods it with cache epochs.
+constexpr std::size_t epoch_bytes_per_second = 32 * 1024;
+constexpr double max_tokens = 1 << 24;
+constexpr unsigned max_requests = 3;  // after the start, because datagrams may be lost
+std::uint32_t to_token_count(double tokens) {
+  return static_cast<std::uint32_t>(std::clamp(tokens, 0.0, max_tokens));
 }
 }  // namespace
 
-Tiers::Tiers(Options options, std::uint64_t seed)
-    : known_(std::move(options)),
-      device_(known_.options.limits),
-      site_(known_, Tier::site, known_.options.limits.site_keys),
-      region_(known_, Tier::region, known_.options.limits.region_keys),
-      gossip_(seed ^ known_.me),
-      vote_budget_(known_.options.limits.vote_bytes),
-      generation_budget_(generation_bytes),
-      map_(std::make_shared<Map>(known_.names)) {}
+TiersExtension::TiersExtension(Options options, std::uint64_t seed)
+    : state_(std::move(options)),
+      device_tier_(state_.options.limits),
+      site_(state_, Tier::site, state_.options.limits.site_keys),
+      region_(state_, Tier::region, state_.options.limits.region_keys),
+      gossip_(seed ^ state_.own_id),
+      vote_budget_(state_.options.limits.vote_bytes),
+      epoch_budget_(epoch_bytes_per_second),
+      map_(std::make_shared<HintMap>(state_.hasher)) {}
 
-void Tiers::on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
-                             Micros now) {
-  const auto device = known_.names.of(node.name);
-  const auto* generation = known_.generations.find(device);
-  if (!generation)
-    return;  // not of the list
+void TiersExtension::on_prefix_cached(const Node& node, Key session, Key shared, double tokens,
+                                      double shared_tokens, Micros now) {
+  const auto device = state_.hasher.name(node.name);
+  const auto* epoch = state_.epochs.find(device);
+  if (!epoch)
+    return;  // not listed
   if (session != 0)
-    device_.saw(known_.names.session(session), device, *generation, whole(tokens), now);
+    device_tier_.record_cached(state_.hasher.session(session), device, *epoch, to_token_count(tokens), now);
   if (shared != 0)
-    device_.saw(known_.names.shared(shared), device, *generation, whole(std::min(tokens, shared_tokens)),
-                now);
+    device_tier_.record_cached(state_.hasher.shared_prefix(shared), device, *epoch,
+                               to_token_count(std::min(tokens, shared_tokens)), now);
 }
 
-void Tiers::judge(KeyId key, NameId device, double tokens, Micros now, std::map<NameId, double>& wrong,
-                  std::set<NameId>& right) {
-  for (const auto* told : {&site_.told(), &region_.told()}) {
-    const auto* row = told->find(key);
-    if (!row)
+void TiersExtension::check_hints(KeyId key, NameId device, double tokens, Micros now,
+                                 std::map<NameId, double>& contradicted_by, std::set<NameId>& confirmed_by) {
+  for (const auto* entries : {&site_.received(), &region_.received()}) {
+    const auto* entry = entries->find(key);
+    if (!entry)
       continue;
-    for (const auto& holder : row->holders) {
-      if (holder.device != device || MapMaker::confidence(known_, key, *row, holder, now) <= 0)
+    for (const auto& holder : entry->holders) {
+      if (holder.device != device || HintMapBuilder::confidence(state_, key, *entry, holder, now) <= 0)
         continue;
       if (tokens < holder.tokens / 2.0) {
-        wrong[holder.by] = 0.5;
-        wrong.try_emplace(row->teller, 0.9);
-        known_.denied.add(key, device, now + known_.options.limits.fade);
-        changed_ = true;
+        contradicted_by[holder.by] = 0.5;
+        contradicted_by.try_emplace(entry->sender, 0.9);
+        state_.false_hints.add(key, device, now + state_.options.limits.fade);
+        hints_changed_ = true;
       } else {
-        right.insert(holder.by);
-        right.insert(row->teller);
+        confirmed_by.insert(holder.by);
+        confirmed_by.insert(entry->sender);
       }
     }
   }
 }
 
-void Tiers::on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) {
-  const auto device = known_.names.of(node.name);
-  const auto* generation = known_.generations.find(device);
-  if (!generation)
+void TiersExtension::on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) {
+  const auto device = state_.hasher.name(node.name);
+  const auto* epoch = state_.epochs.find(device);
+  if (!epoch)
     return;
-  std::map<NameId, double> wrong;
-  std::set<NameId> right;
+  std::map<NameId, double> contradicted_by;
+  std::set<NameId> confirmed_by;
   for (const auto key :
-       {session ? known_.names.session(session) : 0, shared ? known_.names.shared(shared) : 0}) {
+       {session ? state_.hasher.session(session) : 0, shared ? state_.hasher.shared_prefix(shared) : 0}) {
     if (key == 0)
       continue;
-    judge(key, device, tokens, now, wrong, right);
-    const auto* own = device_.find(key, device);
-    // Only what this router saw before the loss was told can disprove it, and only a session's text: an
-    // opening may have been read there anew for somebody else.
-    if (session != 0 && key == known_.names.session(session) && own && !(own->generation == *generation) &&
-        tokens >= own->tokens / 2.0 && known_.generations.void_lately(device, now))
-      known_.generations.disproved(device, now);
-    device_.found(key, device, whole(tokens), now);
+    check_hints(key, device, tokens, now, contradicted_by, confirmed_by);
+    const auto* own = device_tier_.find(key, device);
+    // Only a sighting from before the reported loss can disprove it, and only one of a session: another
+    // request may have prefilled a shared prefix there since.
+    if (session != 0 && key == state_.hasher.session(session) && own && !(own->epoch == *epoch) &&
+        tokens >= own->tokens / 2.0 && state_.epochs.recently_invalidated(device, now))
+      state_.epochs.record_disproof(device, now);
+    device_tier_.record_hit(key, device, to_token_count(tokens), now);
   }
-  for (const auto& [name, factor] : wrong)
-    if (name != known_.me)
-      known_.trust.contradicted(name, now, factor);
-  for (const auto name : right)
-    if (name != known_.me && !wrong.count(name))
-      known_.trust.confirmed(name, now);
+  for (const auto& [name, factor] : contradicted_by)
+    if (name != state_.own_id)
+      state_.trust.record_contradicted(name, now, factor);
+  for (const auto name : confirmed_by)
+    if (name != state_.own_id && !contradicted_by.count(name))
+      state_.trust.record_confirmed(name, now);
 }
 
-void Tiers::advanced(NameId device) {
-  gossip_.advanced(device);
-  site_.generations_advanced();
-  region_.generations_advanced();
-  changed_ = true;
+void TiersExtension::on_epoch_advanced(NameId device) {
+  gossip_.add(device);
+  site_.on_epoch_advanced();
+  region_.on_epoch_advanced();
+  hints_changed_ = true;
   due_ = Micros{};  // at once
 }
 
-void Tiers::on_cache_lost(const Node& node, Micros now) {
-  const auto device = known_.names.of(node.name);
-  if (devices_.count(device) && known_.generations.lost(device, now))
-    advanced(device);
+void TiersExtension::on_cache_lost(const Node& node, Micros now) {
+  const auto device = state_.hasher.name(node.name);
+  if (devices_.count(device) && state_.epochs.record_loss(device, now))
+    on_epoch_advanced(device);
 }
 
-void Tiers::on_endpoints(const std::vector<Node>& nodes, Micros now) {
-  known_.generations.unlist_all();
+void TiersExtension::on_endpoints(const std::vector<Node>& nodes, Micros now) {
+  state_.epochs.unlist_all();
   devices_.clear();
   for (const auto& node : nodes) {
-    const auto device = known_.names.of(node.name);
-    const bool before = known_.generations.find(device) != nullptr;
+    const auto device = state_.hasher.name(node.name);
+    const bool was_known = state_.epochs.find(device) != nullptr;
     const auto start = static_cast<std::uint64_t>(std::max<std::int64_t>(0, node.listed_start.count()));
     devices_[device] = {node.name, node.zone};
-    if (known_.generations.listed(device, start, now) && before)
-      advanced(device);
+    if (state_.epochs.update_listed(device, start, now) && was_known)
+      on_epoch_advanced(device);
   }
-  changed_ = true;
+  hints_changed_ = true;
 }
 
-void Tiers::viewed(Micros, const peers::View& view) {
+void TiersExtension::viewed(Micros, const peers::View& view) {
   members_.clear();
   for (const auto& member : view.members)
     if (member.there())
       members_.push_back(member.name);
-  const auto moved = site_.viewed(view);
-  const auto has = [&](KeyId key) {
-    return std::find(moved.begin(), moved.end(), shard_of(key)) != moved.end();
+  const auto changed_shards = site_.update_view(view);
+  const auto in_changed_shard = [&](KeyId key) {
+    return std::find(changed_shards.begin(), changed_shards.end(), shard_of(key)) != changed_shards.end();
   };
-  if (!moved.empty())
-    device_.again(has);
-  uplift_.again(region_.viewed(view));
+  if (!changed_shards.empty())
+    device_tier_.resend(in_changed_shard);
+  promotion_.resend(region_.update_view(view));
 }
 
-void Tiers::learn(const Payload& payload, Micros now) {
-  for (const auto& [device, generation] : payload.devices) {
-    const auto* had = known_.generations.find(device);
-    const bool before = had != nullptr, same = before && *had == generation;
+void TiersExtension::merge_epochs(const Payload& payload, Micros now) {
+  for (const auto& [device, epoch] : payload.devices) {
+    const auto* known_epoch = state_.epochs.find(device);
+    const bool was_known = known_epoch != nullptr, same = was_known && *known_epoch == epoch;
     if (same)
-      gossip_.heard(device);
-    else if (known_.generations.told(device, generation, now) && before)
-      advanced(device);
+      gossip_.record_duplicate(device);
+    else if (state_.epochs.merge_report(device, epoch, now) && was_known)
+      on_epoch_advanced(device);
   }
 }
 
-void Tiers::receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) {
+void TiersExtension::receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) {
   const char* why = "";
   const auto payload = read(bytes, now, why);
   if (!payload) {
-    ++known_.dropped[why];
+    ++state_.dropped[why];
     return;
   }
-  static constexpr const char* words[] = {"", "votes", "rows", "eras", "digests", "asks"};
-  auto& traffic = known_.traffic[words[static_cast<int>(payload->kind)]];
+  static constexpr const char* traffic_kinds[] = {"", "votes", "rows", "eras", "digests", "asks"};
+  auto& traffic = state_.traffic[traffic_kinds[static_cast<int>(payload->kind)]];
   ++traffic.payloads_in;
   traffic.bytes_in += bytes.size();
-  auto& level = payload->tier == Tier::site ? site_ : region_;
-  const bool ours = level.homes().has(from);
-  if (!ours && payload->kind != Kind::generations && payload->kind != Kind::digest) {
-    ++known_.dropped["stranger"];
+  auto& tier = payload->tier == Tier::site ? site_ : region_;
+  const bool is_member = tier.shard_collectors().is_member(from);
+  if (!is_member && payload->kind != Kind::generations && payload->kind != Kind::digest) {
+    ++state_.dropped["stranger"];
     return;
   }
-  learn(*payload, now);
+  merge_epochs(*payload, now);
   switch (payload->kind) {
     case Kind::votes:
-      level.votes(now, known_.names.of(from), *payload);
+      tier.receive_votes(now, state_.hasher.name(from), *payload);
       break;
     case Kind::rows:
-      changed_ |= level.rows(now, from, *payload);
+      hints_changed_ |= tier.receive_entries(now, from, *payload);
       break;
     case Kind::ask:
-      level.asked(now, from);
+      tier.receive_request(now, from);
       break;
     case Kind::digest:
-      generation_budget_.refill(now);
-      if (payload->digest != known_.generations.digest() && generation_budget_.left() > 0)
-        send_generations(from, known_.generations.slice(generations_cursor_, generations_of_payload), out);
+      epoch_budget_.refill(now);
+      if (payload->digest != state_.epochs.digest() && epoch_budget_.remaining() > 0)
+        send_epochs(from, state_.epochs.slice(epoch_cursor_, max_epochs_per_payload), out);
       break;
     case Kind::generations:
       break;
   }
   if (due_ == Micros{})
-    gossip(now, out);
+    gossip_epochs(now, out);
 }
 
-void Tiers::send_generations(std::string_view to,
-                             const std::vector<std::pair<NameId, Generation>>& generations,
-                             peers::Outbox& out) {
+void TiersExtension::send_epochs(std::string_view to,
+                                 const std::vector<std::pair<NameId, Generation>>& epochs,
+                                 peers::Outbox& out) {
   Packer packer(Kind::generations, Tier::site, {});
-  for (const auto& [device, generation] : generations)
-    packer.add(device, generation);
+  for (const auto& [device, epoch] : epochs)
+    packer.add(device, epoch);
   if (packer.empty())
     return;
   const auto bytes = packer.bytes();
-  generation_budget_.spend(bytes.size());
-  known_.send("eras", out, to, bytes);
+  epoch_budget_.spend(bytes.size());
+  state_.send("eras", out, to, bytes);
 }
 
-void Tiers::gossip(Micros now, peers::Outbox& out) {
-  generation_budget_.refill(now);
-  if (generation_budget_.left() <= 0)
+void TiersExtension::gossip_epochs(Micros now, peers::Outbox& out) {
+  epoch_budget_.refill(now);
+  if (epoch_budget_.remaining() <= 0)
     return;
-  std::vector<std::pair<NameId, Generation>> generations;
-  for (const auto device : gossip_.take(generations_of_payload))
-    if (const auto* generation = known_.generations.find(device))
-      generations.emplace_back(device, *generation);
-  if (generations.empty())
+  std::vector<std::pair<NameId, Generation>> epochs;
+  for (const auto device : gossip_.take_round(max_epochs_per_payload))
+    if (const auto* epoch = state_.epochs.find(device))
+      epochs.emplace_back(device, *epoch);
+  if (epochs.empty())
     return;
-  for (const auto& to : gossip_.draw(members_, known_.options.name, Gossip::fan_out))
-    send_generations(to, generations, out);
+  for (const auto& to : gossip_.draw_members(members_, state_.options.name, EpochGossip::fan_out))
+    send_epochs(to, epochs, out);
 }
 
-void Tiers::compare(Micros now, peers::Outbox& out) {
-  if (now - compared_ < seconds(1))
+void TiersExtension::send_digest(Micros now, peers::Outbox& out) {
+  if (now - digest_sent_at_ < seconds(1))
     return;
-  compared_ = now;
-  for (const auto& to : gossip_.draw(members_, known_.options.name, 1))
-    known_.send("digests", out, to, Packer(Kind::digest, Tier::site, {}).bytes(known_.generations.digest()));
+  digest_sent_at_ = now;
+  for (const auto& to : gossip_.draw_members(members_, state_.options.name, 1))
+    state_.send("digests", out, to, Packer(Kind::digest, Tier::site, {}).bytes(state_.epochs.digest()));
 }
 
-void Tiers::contribute(Micros now, peers::Outbox& out) {
+void TiersExtension::send_votes(Micros now, peers::Outbox& out) {
   vote_budget_.refill(now);
-  if (vote_budget_.left() <= 0)
+  if (vote_budget_.remaining() <= 0)
     return;
-  Level::Mail mail;
-  const auto room = static_cast<std::size_t>(vote_budget_.left()) / vote_bytes_about + 1;
-  for (const auto key : device_.due(now, std::min(keys_at_once, room))) {
-    Line line{key, device_.weight(key), {}};
-    for (const auto& holder : device_.holders(key))
-      if (known_.generations.holds(holder.device, holder.generation))
+  CacheTier::VoteBatch batch;
+  const auto room = static_cast<std::size_t>(vote_budget_.remaining()) / approximate_vote_bytes + 1;
+  for (const auto key : device_tier_.due(now, std::min(max_votes_per_tick, room))) {
+    Line line{key, device_tier_.weight(key), {}};
+    for (const auto& holder : device_tier_.holders(key))
+      if (state_.epochs.is_current(holder.device, holder.epoch))
         line.holders.push_back(
-            {holder.device, holder.generation, holder.tokens, holder.confidence, holder.seen});
-    site_.vote(mail, line, now, vote_budget_, out);
+            {holder.device, holder.epoch, holder.tokens, holder.confidence, holder.seen_at});
+    site_.vote(batch, line, now, vote_budget_, out);
   }
-  site_.flush(mail, vote_budget_, out);
-  if (now - uplifted_ < milliseconds(500))
+  site_.flush(batch, vote_budget_, out);
+  if (now - promoted_at_ < milliseconds(500))
     return;
-  uplifted_ = now;
-  uplift_.run(now, known_.options, known_.me, site_, region_, vote_budget_, out);
+  promoted_at_ = now;
+  promotion_.run(now, state_.options, state_.own_id, site_, region_, vote_budget_, out);
 }
 
-void Tiers::ask(Micros now, peers::Outbox& out) {
-  if (asks_ >= most_asks || members_.size() < 2 || (asks_ > 0 && now - asked_ < seconds(1)))
+void TiersExtension::request_entries(Micros now, peers::Outbox& out) {
+  if (requests_sent_ >= max_requests || members_.size() < 2 ||
+      (requests_sent_ > 0 && now - requested_at_ < seconds(1)))
     return;
-  ++asks_;
-  asked_ = now;
-  site_.ask(now, out);
-  region_.ask(now, out);
+  ++requests_sent_;
+  requested_at_ = now;
+  site_.request_entries(now, out);
+  region_.request_entries(now, out);
 }
 
-void Tiers::run_due(Micros now, peers::Outbox& out) {
+void TiersExtension::run_due(Micros now, peers::Outbox& out) {
   if (now < due_)
     return;
-  due_ = now + tick;
-  ask(now, out);
-  gossip(now, out);
-  compare(now, out);
-  if (now - swept_ >= seconds(1)) {
-    swept_ = now;
-    device_.expire(
-        [&](NameId device, const Generation& generation) {
-          return known_.generations.holds(device, generation) || known_.generations.void_lately(device, now);
+  due_ = now + tick_interval;
+  request_entries(now, out);
+  gossip_epochs(now, out);
+  send_digest(now, out);
+  if (now - swept_at_ >= seconds(1)) {
+    swept_at_ = now;
+    device_tier_.expire(
+        [&](NameId device, const Generation& epoch) {
+          return state_.epochs.is_current(device, epoch) || state_.epochs.recently_invalidated(device, now);
         },
         now);
-    known_.denied.expire(now);
+    state_.false_hints.expire(now);
   }
-  contribute(now, out);
-  changed_ |= site_.run(now, out);
-  changed_ |= region_.run(now, out);
-  const bool fading = map_->keys() > 0 && now - made_ >= seconds(1);
-  if ((changed_ || fading) && now - made_ >= tick) {
-    map_ = MapMaker::make(known_, devices_, site_.told(), region_.told(), map_->version() + 1, now);
-    made_ = now;
-    changed_ = false;
+  send_votes(now, out);
+  hints_changed_ |= site_.run(now, out);
+  hints_changed_ |= region_.run(now, out);
+  const bool decaying = map_->keys() > 0 && now - map_built_at_ >= seconds(1);
+  if ((hints_changed_ || decaying) && now - map_built_at_ >= tick_interval) {
+    map_ = HintMapBuilder::build(state_, devices_, site_.received(), region_.received(), map_->version() + 1,
+                                 now);
+    map_built_at_ = now;
+    hints_changed_ = false;
   }
 }
 
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -1,5 +1,5 @@
-// The map of kept state from device to site to region, as an extension on the datagrams between routers.
-// docs/tiers-design.md has the ways weighed, the bounds and what was measured. No I/O, no clock.
+/// \file
+/// The cache tiers as an extension of the peers' protocol.
 #pragma once
 
 #include <map>
@@ -8,29 +8,37 @@
 
 #include "core/fleet_view.h"
 #include "peers/extension.h"
-#include "tiers/generation/gossip.h"
-#include "tiers/share/uplift.h"
-#include "tiers/snapshot/maker.h"
-#include "tiers/store/device.h"
+#include "tiers/epoch/epoch_gossip.h"
+#include "tiers/share/promotion.h"
+#include "tiers/snapshot/hint_map_builder.h"
+#include "tiers/store/device_tier.h"
 
 namespace lemonroute::tiers {
 
-class Tiers : public peers::Extension, public NodeObserver {
+/// Shares between routers which devices hold which KV cache, from the device tier to the site tier to the
+/// region tier. Does no I/O and reads no clock. docs/tiers-design.md describes the alternatives, the bounds
+/// and the measurements.
+class TiersExtension : public peers::Extension, public NodeObserver {
  public:
-  Tiers(Options options, std::uint64_t seed);
+  TiersExtension(Options options, std::uint64_t seed);
 
-  // What this router sees while it serves, as a NodeObserver hears it; on the peers' thread.
+  /// Records a prefill that this router saw. Like the other observer functions, called on the peers' thread.
   void on_prefix_cached(const Node& node, Key session, Key shared, double tokens, double shared_tokens,
                         Micros now) override;
-  // What a node itself has counted as kept of a prompt, from its beginning, when it read it: hints that said
-  // much more were wrong. The one thing that corrects trust in others.
+  /// Records the cached tokens that a node itself counted, from the beginning of the prompt, when it
+  /// prefilled the prompt. Hints of much more were false. Only these counts change the trust in other
+  /// routers.
   void on_cache_hit(const Node& node, Key session, Key shared, double tokens, Micros now) override;
+  /// Records a loss of the node's cache that this router noticed.
   void on_cache_lost(const Node& node, Micros now) override;
+  /// Replaces the endpoint list.
   void on_endpoints(const std::vector<Node>& nodes, Micros now) override;
+  /// Ignored.
   void on_demand(const Demand&, Micros) override {}
 
-  // Never null. Another one at the most every 200 ms, and every second as what it says fades.
-  std::shared_ptr<const Map> map() const { return map_; }
+  /// Returns the current hints, never null. Replaced at most every 200 ms, and every second while confidence
+  /// decays.
+  std::shared_ptr<const HintMap> map() const { return map_; }
 
   peers::Topic topic() const override { return peers::Topic::tiers; }
   void viewed(Micros now, const peers::View& view) override;
@@ -40,30 +48,30 @@
   nlohmann::json describe(Micros now) const override;
 
  private:
-  void advanced(NameId device);
-  void learn(const Payload& payload, Micros now);
-  void gossip(Micros now, peers::Outbox& out);
-  void compare(Micros now, peers::Outbox& out);
-  void send_generations(std::string_view to, const std::vector<std::pair<NameId, Generation>>& generations,
-                        peers::Outbox& out);
-  void contribute(Micros now, peers::Outbox& out);
-  void ask(Micros now, peers::Outbox& out);
-  void judge(KeyId key, NameId device, double tokens, Micros now, std::map<NameId, double>& wrong,
-             std::set<NameId>& right);
+  void on_epoch_advanced(NameId device);
+  void merge_epochs(const Payload& payload, Micros now);
+  void gossip_epochs(Micros now, peers::Outbox& out);
+  void send_digest(Micros now, peers::Outbox& out);
+  void send_epochs(std::string_view to, const std::vector<std::pair<NameId, Generation>>& epochs,
+                   peers::Outbox& out);
+  void send_votes(Micros now, peers::Outbox& out);
+  void request_entries(Micros now, peers::Outbox& out);
+  void check_hints(KeyId key, NameId device, double tokens, Micros now,
+                   std::map<NameId, double>& contradicted, std::set<NameId>& confirmed);
 
-  Known known_;
-  DeviceTier device_;
-  Level site_, region_;
-  Uplift uplift_;
-  Gossip gossip_;
-  Budget vote_budget_, generation_budget_;
-  std::vector<std::string> members_;  // that are there, of all sites
-  MapMaker::Devices devices_;
-  std::shared_ptr<const Map> map_;
-  bool changed_ = false;
-  Micros due_{}, made_{}, compared_{}, uplifted_{}, swept_{}, asked_{};
-  unsigned asks_ = 0;
-  NameId generations_cursor_ = 0;
+  SharedState state_;
+  DeviceTier device_tier_;
+  CacheTier site_, region_;
+  Promotion promotion_;
+  EpochGossip gossip_;
+  ByteBudget vote_budget_, epoch_budget_;
+  std::vector<std::string> members_;  // present members of all sites
+  HintMapBuilder::Devices devices_;
+  std::shared_ptr<const HintMap> map_;
+  bool hints_changed_ = false;
+  Micros due_{}, map_built_at_{}, digest_sent_at_{}, promoted_at_{}, swept_at_{}, requested_at_{};
+  unsigned requests_sent_ = 0;
+  NameId epoch_cursor_ = 0;
 };
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/merge/row.cpp
+++ b/src/tiers/merge/vote_set.cpp
@@ -1,4 +1,4 @@
-#include "tiers/merge/row.h"
+#include "tiers/merge/vote_set.h"
 
 #include <algorithm>
 #include <tuple>
@@ -6,76 +6,76 @@
 namespace lemonroute::tiers {
 
 namespace {
-auto said(const Holder& holder) {
-  return std::tuple(holder.device, holder.generation.start, holder.generation.lanes, holder.tokens,
-                    holder.confidence);
+auto contents(const Holder& holder) {
+  return std::tuple(holder.device, holder.epoch.start, holder.epoch.lanes, holder.tokens, holder.confidence);
 }
-// A total order of what was said, the times apart: two different votes under one stamp (a liar's) have a
-// winner too.
-bool earlier(const Vote& a, const Vote& b) {
+// A total order of votes without their times. It also orders two different votes with the same stamp, which
+// only a lying contributor sends.
+bool precedes(const Vote& a, const Vote& b) {
   if (a.stamp != b.stamp)
     return a.stamp < b.stamp;
   if (a.weight != b.weight)
     return a.weight < b.weight;
   return std::lexicographical_compare(a.holders.begin(), a.holders.end(), b.holders.begin(), b.holders.end(),
-                                      [](const auto& x, const auto& y) { return said(x) < said(y); });
+                                      [](const auto& x, const auto& y) { return contents(x) < contents(y); });
 }
-bool before(const Row::Entry& a, const Row::Entry& b) {
+bool ranks_before(const VoteSet::Entry& a, const VoteSet::Entry& b) {
   return std::pair(a.rank, a.contributor) < std::pair(b.rank, b.contributor);
 }
 }  // namespace
 
-Row::Put Row::put(Entry entry) {
-  const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry, before);
+VoteSet::PutResult VoteSet::put(Entry entry) {
+  const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry, ranks_before);
   if (at == entries_.end() || at->contributor != entry.contributor) {
-    if (entries_.size() >= most && at == entries_.end())
-      return Put::outranked;
+    if (entries_.size() >= max_votes && at == entries_.end())
+      return PutResult::outranked;
     entries_.insert(at, std::move(entry));
-    if (entries_.size() > most)
+    if (entries_.size() > max_votes)
       entries_.pop_back();
-    return Put::taken;
+    return PutResult::stored;
   }
   auto& vote = at->vote;
-  if (earlier(entry.vote, vote))
-    return Put::known;
-  if (earlier(vote, entry.vote)) {
+  if (precedes(entry.vote, vote))
+    return PutResult::not_newer;
+  if (precedes(vote, entry.vote)) {
     vote = std::move(entry.vote);
-    return Put::taken;
+    return PutResult::stored;
   }
-  // The same words once more: never younger for having been on the way twice.
+  // A repetition of the same vote. The earlier sighting time holds, so a vote never gets younger by a second
+  // transfer.
   for (std::size_t i = 0; i < vote.holders.size(); ++i)
-    vote.holders[i].seen = std::min(vote.holders[i].seen, entry.vote.holders[i].seen);
-  vote.at = std::max(vote.at, entry.vote.at);
-  return Put::known;
+    vote.holders[i].seen_at = std::min(vote.holders[i].seen_at, entry.vote.holders[i].seen_at);
+  vote.received_at = std::max(vote.received_at, entry.vote.received_at);
+  return PutResult::not_newer;
 }
 
-void Row::merge(const Row& other) {
+void VoteSet::merge(const VoteSet& other) {
   for (const auto& entry : other.entries_)
     put(entry);
 }
 
-std::vector<NameId> Row::expire(Micros before) {
-  std::vector<NameId> whose;
+std::vector<NameId> VoteSet::expire(Micros before) {
+  std::vector<NameId> contributors;
   std::erase_if(entries_, [&](const Entry& entry) {
-    if (entry.vote.at >= before)
+    if (entry.vote.received_at >= before)
       return false;
-    whose.push_back(entry.contributor);
+    contributors.push_back(entry.contributor);
     return true;
   });
-  return whose;
+  return contributors;
 }
 
-const Vote* Row::find(NameId contributor) const {
+const Vote* VoteSet::find(NameId contributor) const {
   for (const auto& entry : entries_)
     if (entry.contributor == contributor)
       return &entry.vote;
   return nullptr;
 }
-void Row::erase(NameId contributor) {
+void VoteSet::erase(NameId contributor) {
   std::erase_if(entries_, [&](const auto& one) { return one.contributor == contributor; });
 }
 
-double Row::weight() const {
+double VoteSet::weight() const {
   double first = 0, second = 0;
   for (const auto& entry : entries_) {
     const double weight = entry.vote.weight;
@@ -87,14 +87,14 @@
   return std::max(second, first / 2);
 }
 
-bool same(const Row& a, const Row& b) {
+bool same_votes(const VoteSet& a, const VoteSet& b) {
   return std::equal(a.entries().begin(), a.entries().end(), b.entries().begin(), b.entries().end(),
-                    [](const Row::Entry& x, const Row::Entry& y) {
+                    [](const VoteSet::Entry& x, const VoteSet::Entry& y) {
                       return x.contributor == y.contributor && x.vote.stamp == y.vote.stamp &&
                              x.vote.weight == y.vote.weight &&
                              std::equal(x.vote.holders.begin(), x.vote.holders.end(), y.vote.holders.begin(),
                                         y.vote.holders.end(), [](const auto& p, const auto& q) {
-                                          return said(p) == said(q) && p.seen == q.seen;
+                                          return contents(p) == contents(q) && p.seen_at == q.seen_at;
                                         });
                     });
 }
--- a/src/tiers/store/vote_table.h
+++ b/src/tiers/store/vote_table.h
@@ -1,6 +1,5 @@
-// What a router keeps for its site or region: the votes for the keys of all shards that reach it, a bounded
-// number of keys for each shard, and of these a bounded number for each contributor. Soft: votes not said
-// again are forgotten.
+/// \file
+/// The votes that a collector stores for its site or region.
 #pragma once
 
 #include <array>
@@ -9,48 +8,59 @@
 #include <unordered_map>
 #include <vector>
 
-#include "tiers/merge/row.h"
+#include "tiers/merge/vote_set.h"
 
 namespace lemonroute::tiers {
 
+/// The votes that reach this router, with a bounded number of keys per shard and, of these, a bounded number
+/// per contributor. It is soft state: votes that are not repeated expire.
 class VoteTable {
  public:
-  VoteTable(const Names& names, std::size_t most_keys)
-      : names_(names), most_(std::max<std::size_t>(4, most_keys / shards)) {}
+  VoteTable(const IdHasher& hasher, std::size_t max_keys)
+      : hasher_(hasher), max_keys_per_shard_(std::max<std::size_t>(4, max_keys / shard_count)) {}
 
-  // Of a contributor whose name is proven.
+  /// Stores a vote. The contributor must be authenticated.
   void put(KeyId key, NameId contributor, Vote vote);
+  /// Removes votes that last arrived before the given time.
   void expire(Micros before);
-  const Row* find(KeyId key) const;
-  std::vector<KeyId> take_touched();  // whose votes have changed since the last call
+  /// Returns the votes of a key, or nullptr.
+  const VoteSet* find(KeyId key) const;
+  /// Returns the keys whose votes have changed since the last call.
+  std::vector<KeyId> take_changed();
+  /// Calls `f(key, vote_set)` for all keys in no particular order.
   template <class F>
   void each(F&& f) const {
     for (const auto& shard : shards_)
-      for (const auto& [key, row] : shard.rows)
-        f(key, row);
+      for (const auto& [key, vote_set] : shard.vote_sets)
+        f(key, vote_set);
   }
+  /// Number of keys.
   std::size_t size() const;
-  std::size_t quota() const {
-    return std::max<std::size_t>(1, most_ / 4);
-  }  // keys of a shard that one contributor may vote for
+  /// Keys of a shard that one contributor may vote for.
+  std::size_t quota() const { return std::max<std::size_t>(1, max_keys_per_shard_ / 4); }
+  /// Counters since the start of the process.
   struct Counts {
-    std::uint64_t votes = 0, evicted = 0, over_quota = 0, expired = 0;
+    std::uint64_t votes = 0;       ///< votes put
+    std::uint64_t evicted = 0;     ///< keys displaced or refused because a shard was full
+    std::uint64_t over_quota = 0;  ///< votes beyond their contributor's quota
+    std::uint64_t expired = 0;     ///< votes expired
   };
+  /// Returns the counters.
   const Counts& counts() const { return counts_; }
 
  private:
   struct Shard {
-    std::unordered_map<KeyId, Row> rows;
-    std::unordered_map<NameId, std::size_t> by;  // keys for which a contributor's vote stands
+    std::unordered_map<KeyId, VoteSet> vote_sets;
+    std::unordered_map<NameId, std::size_t> vote_counts;  // stored votes by contributor
   };
   void erase(Shard& shard, KeyId key);
-  bool make_room(Shard& shard, const Row& newcomer);
-  bool make_room_of(Shard& shard, NameId contributor, Micros now);
-  static void release(Shard& shard, NameId contributor);
-  Names names_;
-  std::size_t most_;  // keys of a shard
-  std::array<Shard, shards> shards_;
-  std::set<KeyId> touched_;
+  bool make_room(Shard& shard, const VoteSet& newcomer);
+  bool evict_oldest_vote(Shard& shard, NameId contributor, Micros now);
+  static void decrement_votes(Shard& shard, NameId contributor);
+  IdHasher hasher_;
+  std::size_t max_keys_per_shard_;
+  std::array<Shard, shard_count> shards_;
+  std::set<KeyId> changed_;
   Counts counts_;
 };
 
--- a/src/tiers/trust/trust.cpp
+++ b/src/tiers/trust/trust.cpp
@@ -6,63 +6,65 @@
 namespace lemonroute::tiers {
 
 namespace {
-constexpr std::size_t most_judged = 4096, most_denied = 1024;
+constexpr std::size_t max_scores = 4096, max_false_hints = 1024;
 constexpr Micros half_life = std::chrono::minutes(10);
 }  // namespace
 
-double Trust::drifted(const One& one, Micros now) {
-  const double lives = std::chrono::duration<double>(now - one.at) / std::chrono::duration<double>(half_life);
-  return unknown + (one.trust - unknown) * std::exp2(-std::max(0.0, lives));
+double Trust::decayed(const Score& score, Micros now) {
+  const double half_lives =
+      std::chrono::duration<double>(now - score.updated_at) / std::chrono::duration<double>(half_life);
+  return initial + (score.trust - initial) * std::exp2(-std::max(0.0, half_lives));
 }
 
-double Trust::of(NameId name, Micros now) const {
-  const auto at = all_.find(name);
-  if (at == all_.end())
-    return unknown;
-  const double trust = drifted(at->second, now);
-  return trust < least ? 0 : trust;
+double Trust::trust_in(NameId peer, Micros now) const {
+  const auto at = scores_.find(peer);
+  if (at == scores_.end())
+    return initial;
+  const double trust = decayed(at->second, now);
+  return trust < min_trust ? 0 : trust;
 }
 
-Trust::One& Trust::place(NameId name) {
-  const auto found = all_.find(name);
-  if (found != all_.end())
+Trust::Score& Trust::find_or_add(NameId peer) {
+  const auto found = scores_.find(peer);
+  if (found != scores_.end())
     return found->second;
-  // Who is nearest to the unknown loses least by being forgotten.
-  if (all_.size() >= most_judged)
-    all_.erase(std::min_element(all_.begin(), all_.end(), [](const auto& a, const auto& b) {
-      return std::abs(a.second.trust - unknown) < std::abs(b.second.trust - unknown);
+  // Forgetting the score closest to the initial trust loses the least information.
+  if (scores_.size() >= max_scores)
+    scores_.erase(std::min_element(scores_.begin(), scores_.end(), [](const auto& a, const auto& b) {
+      return std::abs(a.second.trust - initial) < std::abs(b.second.trust - initial);
     }));
-  return all_[name];
+  return scores_[peer];
 }
 
-void Trust::confirmed(NameId name, Micros now) {
-  auto& one = place(name);
-  const double trust = drifted(one, now);
-  one = {trust + 0.1 * (1 - trust), now};
+void Trust::record_confirmed(NameId peer, Micros now) {
+  auto& score = find_or_add(peer);
+  const double trust = decayed(score, now);
+  score = {trust + 0.1 * (1 - trust), now};
 }
-void Trust::contradicted(NameId name, Micros now, double factor) {
-  auto& one = place(name);
-  one = {drifted(one, now) * factor, now};
+void Trust::record_contradicted(NameId peer, Micros now, double factor) {
+  auto& score = find_or_add(peer);
+  score = {decayed(score, now) * factor, now};
 }
-std::size_t Trust::distrusted(Micros now) const {
-  return static_cast<std::size_t>(std::count_if(
-      all_.begin(), all_.end(), [&](const auto& one) { return drifted(one.second, now) < least; }));
+std::size_t Trust::distrusted_count(Micros now) const {
+  return static_cast<std::size_t>(std::count_if(scores_.begin(), scores_.end(), [&](const auto& score) {
+    return decayed(score.second, now) < min_trust;
+  }));
 }
 
-void Denied::add(KeyId key, NameId device, Micros until) {
-  if (all_.size() >= most_denied && !all_.count({key, device})) {
-    const auto first =
-        std::min_element(all_.begin(), all_.end(), [](auto& a, auto& b) { return a.second < b.second; });
-    all_.erase(first);
+void FalseHints::add(KeyId key, NameId device, Micros until) {
+  if (expiries_.size() >= max_false_hints && !expiries_.count({key, device})) {
+    const auto earliest = std::min_element(expiries_.begin(), expiries_.end(),
+                                           [](auto& a, auto& b) { return a.second < b.second; });
+    expiries_.erase(earliest);
   }
-  all_[{key, device}] = until;
+  expiries_[{key, device}] = until;
 }
-bool Denied::has(KeyId key, NameId device, Micros now) const {
-  const auto at = all_.find({key, device});
-  return at != all_.end() && now < at->second;
+bool FalseHints::contains(KeyId key, NameId device, Micros now) const {
+  const auto at = expiries_.find({key, device});
+  return at != expiries_.end() && now < at->second;
 }
-void Denied::expire(Micros now) {
-  std::erase_if(all_, [&](const auto& one) { return one.second <= now; });
+void FalseHints::expire(Micros now) {
+  std::erase_if(expiries_, [&](const auto& hint) { return hint.second <= now; });
 }
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -9,13 +9,13 @@
 namespace lemonroute::tiers {
 
 namespace {
-constexpr std::uint32_t version = 1, most_tokens = 1 << 24, most_tenths = 1 << 16;
+constexpr std::uint32_t version = 1, max_tokens = 1 << 24, max_tenths = 1 << 16;
 constexpr std::uint64_t year_2100 = 4'102'444'800'000'000;
-constexpr int most_devices = 64, most_lines = 128, numbers_of_holder = 6;
-constexpr std::size_t head_bytes = 48;  // the payload's own fields at their longest
-const Micros tenth = std::chrono::milliseconds(100);
+constexpr int max_devices = 64, max_entries = 128, numbers_per_holder = 6;
+constexpr std::size_t max_header_bytes = 48;  // largest size of the payload's other fields
+const Micros tenth_of_second = std::chrono::milliseconds(100);
 
-std::size_t varint(std::uint64_t value) {
+std::size_t varint_size(std::uint64_t value) {
   std::size_t bytes = 1;
   while (value >>= 7)
     ++bytes;
@@ -24,57 +24,58 @@
 }  // namespace
 
 std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why) {
-  const auto bad = [&](const char* word) {
-    why = word;
+  const auto reject = [&](const char* reason) {
+    why = reason;
     return std::nullopt;
   };
-  v1::Payload from;
+  v1::Payload message;
   if (bytes.size() > peers::Outbox::most)
-    return bad("oversize");
-  if (!from.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-    return bad("unreadable");
-  if (from.version() != version)
-    return bad("version");
-  if (from.kind() < v1::votes || from.kind() > v1::ask || from.tier() > 1)
-    return bad("kind");
-  if (from.devices_size() > most_devices || from.contributors_size() > most_devices ||
-      from.rows_size() > most_lines)
-    return bad("count");
-  if (from.start() >= year_2100)
-    return bad("start");
+    return reject("oversize");
+  if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+    return reject("unreadable");
+  if (message.version() != version)
+    return reject("version");
+  if (message.kind() < v1::votes || message.kind() > v1::ask || message.tier() > 1)
+    return reject("kind");
+  if (message.devices_size() > max_devices || message.contributors_size() > max_devices ||
+      message.rows_size() > max_entries)
+    return reject("count");
+  if (message.start() >= year_2100)
+    return reject("start");
   Payload payload;
-  payload.kind = static_cast<Kind>(from.kind());
-  payload.tier = static_cast<Tier>(from.tier());
-  payload.stamp = {from.start(), from.number()};
-  payload.digest = from.digest();
-  for (const auto& device : from.devices()) {
+  payload.kind = static_cast<Kind>(message.kind());
+  payload.tier = static_cast<Tier>(message.tier());
+  payload.stamp = {message.start(), message.number()};
+  payload.digest = message.digest();
+  for (const auto& device : message.devices()) {
     if (device.name() == 0 || device.start() >= year_2100)
-      return bad("device");
+      return reject("device");
     payload.devices.emplace_back(device.name(), Generation{device.start(), device.lanes()});
   }
-  const int most_holders = payload.kind == Kind::votes ? 2 : holders_bound;
-  for (const auto& row : from.rows()) {
+  const int max_holders_per_entry = payload.kind == Kind::votes ? 2 : max_holders;
+  for (const auto& row : message.rows()) {
     Line line{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
     if (row.weight() > 255)
-      return bad("weight");
-    if (row.holders_size() % numbers_of_holder != 0 || row.holders_size() > most_holders * numbers_of_holder)
-      return bad("holders");
-    for (int i = 0; i < row.holders_size(); i += numbers_of_holder) {
+      return reject("weight");
+    if (row.holders_size() % numbers_per_holder != 0 ||
+        row.holders_size() > max_holders_per_entry * numbers_per_holder)
+      return reject("holders");
+    for (int i = 0; i < row.holders_size(); i += numbers_per_holder) {
       const auto at = [&](int field) { return row.holders(i + field); };
       if (at(0) >= payload.devices.size())
-        return bad("index");
+        return reject("index");
       const bool votes = payload.kind == Kind::votes;
-      if (!votes && at(4) >= static_cast<std::uint32_t>(from.contributors_size()))
-        return bad("index");
-      if (at(1) == 0 || at(1) > most_tokens || at(2) > 255 || at(3) > most_tenths || at(5) > Row::most)
-        return bad("holder");
-      const auto& [device, generation] = payload.devices[at(0)];
+      if (!votes && at(4) >= static_cast<std::uint32_t>(message.contributors_size()))
+        return reject("index");
+      if (at(1) == 0 || at(1) > max_tokens || at(2) > 255 || at(3) > max_tenths || at(5) > VoteSet::max_votes)
+        return reject("holder");
+      const auto& [device, epoch] = payload.devices[at(0)];
       for (const auto& other : line.holders)
         if (other.device == device)
-          return bad("twice");
-      line.holders.push_back({device, generation, at(1), static_cast<std::uint8_t>(at(2)),
-                              now - at(3) * tenth, votes ? 0 : from.contributors(static_cast<int>(at(4))),
-                              static_cast<std::uint8_t>(at(5))});
+          return reject("twice");
+      line.holders.push_back(
+          {device, epoch, at(1), static_cast<std::uint8_t>(at(2)), now - at(3) * tenth_of_second,
+           votes ? 0 : message.contributors(static_cast<int>(at(4))), static_cast<std::uint8_t>(at(5))});
     }
     payload.lines.push_back(std::move(line));
   }
@@ -84,7 +85,7 @@
 struct Packer::Parts {
   v1::Payload payload;
   std::unordered_map<NameId, std::uint32_t> devices, contributors;
-  std::size_t bytes = head_bytes;
+  std::size_t bytes = max_header_bytes;
 };
 
 Packer::Packer(Kind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
@@ -99,35 +100,34 @@
 Packer::Packer(Packer&&) noexcept = default;
 Packer& Packer::operator=(Packer&&) noexcept = default;
 
-bool Packer::add(NameId device, const Generation& generation) {
+bool Packer::add(NameId device, const Generation& epoch) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (devices.count(device))
     return true;
-  const auto cost =
-      2 + 9 + 1 + varint(generation.start) + (generation.lanes ? 1 + varint(generation.lanes) : 0);
-  if (bytes + cost > peers::Outbox::most || payload.devices_size() == most_devices)
+  const auto cost = 2 + 9 + 1 + varint_size(epoch.start) + (epoch.lanes ? 1 + varint_size(epoch.lanes) : 0);
+  if (bytes + cost > peers::Outbox::most || payload.devices_size() == max_devices)
     return false;
   bytes += cost;
   devices[device] = static_cast<std::uint32_t>(payload.devices_size());
   auto* to = payload.add_devices();
   to->set_name(device);
-  to->set_start(generation.start);
-  to->set_lanes(generation.lanes);
+  to->set_start(epoch.start);
+  to->set_lanes(epoch.lanes);
   return true;
 }
 
 bool Packer::add(const Line& line, Micros now) {
   auto& [payload, devices, contributors, bytes] = *parts_;
-  if (payload.rows_size() == most_lines)
+  if (payload.rows_size() == max_entries)
     return false;
-  // At its longest: every name new, each number of a holder at its bound.
+  // The largest size: every device and contributor is new, and each number of a holder is at its bound.
   std::size_t cost = 2 + 9 + 3 + 2;
   for (const auto& holder : line.holders)
-    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint(holder.generation.start) +
-            (holder.generation.lanes ? 1 + varint(holder.generation.lanes) : 0);
+    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.generation.start) +
+            (holder.generation.lanes ? 1 + varint_size(holder.generation.lanes) : 0);
   const auto room = static_cast<int>(line.holders.size());
-  if (bytes + cost > peers::Outbox::most || payload.devices_size() + room > most_devices ||
-      payload.contributors_size() + room > most_devices)
+  if (bytes + cost > peers::Outbox::most || payload.devices_size() + room > max_devices ||
+      payload.contributors_size() + room > max_devices)
     return false;
   auto* row = payload.add_rows();
   row->set_key(line.key);
@@ -144,16 +144,16 @@
         bytes += 8 + 2;
       }
     }
-    const auto tenths = std::clamp<std::int64_t>((now - holder.seen) / tenth, 0, most_tenths);
+    const auto tenths = std::clamp<std::int64_t>((now - holder.seen) / tenth_of_second, 0, max_tenths);
     const std::uint32_t numbers[] = {devices[holder.device],
-                                     std::clamp<std::uint32_t>(holder.tokens, 1, most_tokens),
+                                     std::clamp<std::uint32_t>(holder.tokens, 1, max_tokens),
                                      holder.confidence,
                                      static_cast<std::uint32_t>(tenths),
                                      by,
                                      payload.kind() == v1::rows ? holder.votes : 0u};
     for (const auto number : numbers) {
       row->add_holders(number);
-      bytes += varint(number);
+      bytes += varint_size(number);
     }
   }
   bytes += 2 + 9 + (line.weight ? 3 : 0) + 2;
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -1,5 +1,5 @@
-// Payloads as bytes (proto/tiers.proto). Every field is checked against its bound; one that is over it voids
-// the payload.
+/// \file
+/// Encoding and decoding of the payloads that routers exchange (proto/tiers.proto).
 #pragma once
 
 #include <memory>
@@ -9,40 +9,49 @@
 #include <utility>
 #include <vector>
 
-#include "tiers/merge/choose.h"
+#include "tiers/merge/holder_selection.h"
 
 namespace lemonroute::tiers {
 
+/// Kind of a payload: votes for collectors, advertised entries, cache epochs, an anti-entropy digest of all
+/// cache epochs, or a request for advertised entries. The numbers are those of proto/tiers.proto.
 enum class Kind { votes = 1, rows = 2, generations = 3, digest = 4, ask = 5 };
 
+/// A key with its holders, as a vote or as an advertised entry.
 struct Line {
-  KeyId key = 0;
-  std::uint8_t weight = 0;
-  std::vector<Shown> holders;  // up to 3, of votes 2; none: taken back
+  KeyId key = 0;               ///< the key
+  std::uint8_t weight = 0;     ///< logarithmic weight of the key
+  std::vector<Shown> holders;  ///< at most 3, in votes 2; empty: withdrawn
 };
 
+/// A decoded payload. Times are on this router's clock.
 struct Payload {
-  Kind kind = Kind::generations;
-  Tier tier = Tier::site;
-  Stamp stamp;
-  std::vector<std::pair<NameId, Generation>> devices;
-  std::vector<Line> lines;  // seen at: this router's clock
-  std::uint64_t digest = 0;
+  Kind kind = Kind::generations;                       ///< its kind
+  Tier tier = Tier::site;                              ///< the tier it belongs to
+  Stamp stamp;                                         ///< orders votes
+  std::vector<std::pair<NameId, Generation>> devices;  ///< devices with their cache epochs
+  std::vector<Line> lines;                             ///< votes or advertised entries
+  std::uint64_t digest = 0;                            ///< anti-entropy digest of the sender's cache epochs
 };
 
-// `why`: a word for the counters where there is none.
+/// Decodes a payload. Rejects it as a whole if any field exceeds its bound; `why` is then the name of the
+/// counter of dropped payloads.
 std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why);
 
-// Fills one payload with lines or generations until it is full.
+/// Fills one payload with entries or cache epochs until it is full.
 class Packer {
  public:
   Packer(Kind kind, Tier tier, Stamp stamp);
   ~Packer();
   Packer(Packer&&) noexcept;
   Packer& operator=(Packer&&) noexcept;
-  bool add(const Line& line, Micros now);  // false: no room left
-  bool add(NameId device, const Generation& generation);
+  /// Adds an entry with the devices it refers to; returns false if there is no room.
+  bool add(const Line& line, Micros now);
+  /// Adds the cache epoch of a device; returns false if there is no room.
+  bool add(NameId device, const Generation& epoch);
+  /// Whether nothing was added.
   bool empty() const;
+  /// Returns the encoded payload.
   std::string bytes(std::uint64_t digest = 0) const;
 
  private:
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -1,4 +1,4 @@
-// Merges, summaries and payloads: properties over random operations, each from a seed.
+// Properties of epochs, vote sets, heavy hitters and payloads under random operations, each from a seed.
 #include <gtest/gtest.h>
 #include <toml++/toml.h>
 
@@ -6,7 +6,7 @@
 
 #include "config/tiers.h"
 #include "peers/extension.h"
-#include "tiers/store/heavy.h"
+#include "tiers/store/heavy_hitters.h"
 #include "tiers/store/vote_table.h"
 #include "tiers/wire/payload.h"
 
@@ -19,85 +19,85 @@
   return {random() % 3, (random() % 3) | (random() % 3) << 16 | (random() % 2) << 48};
 }
 
-TEST(Generations, JoinIsASemilatticeAndALossIsLaterThanAllBefore) {
+TEST(CacheEpoch, JoinIsASemilatticeAndALossYieldsALaterEpoch) {
   Random random(1);
   for (int i = 0; i < 20000; ++i) {
     const auto a = generation_of(random), b = generation_of(random), c = generation_of(random);
     EXPECT_EQ(join(a, b), join(b, a));
     EXPECT_EQ(join(a, join(b, c)), join(join(a, b), c));
     EXPECT_EQ(join(a, a), a);
-    EXPECT_TRUE(covers(lose(a, 2), a) && lose(a, 2) != a);
-    // Two sites apart, each noticing a loss: what either has seen since is void once they have met.
-    const auto met = join(lose(a, 0), lose(a, 1));
-    EXPECT_TRUE(met != lose(a, 0) && met != lose(a, 1));
+    EXPECT_TRUE(covers(after_loss(a, 2), a) && after_loss(a, 2) != a);
+    // Two partitioned sites each notice a loss. The joined epoch invalidates the sightings of both.
+    const auto met = join(after_loss(a, 0), after_loss(a, 1));
+    EXPECT_TRUE(met != after_loss(a, 0) && met != after_loss(a, 1));
   }
 }
 
-Row::Entry entry_of(Random& random) {
+VoteSet::Entry entry_of(Random& random) {
   const auto contributor = 1 + random() % 9;
-  Row::Entry entry{
+  VoteSet::Entry entry{
       contributor * 7 % 10,
       contributor,
       {{random() % 2, random() % 4}, {}, static_cast<std::uint8_t>(random() % 3), Micros(random() % 50)}};
-  // One stamp says one thing, but for a liar's: there the content has an order of its own.
+  // Only a lying contributor sends different votes with the same stamp; their contents decide the order.
   for (auto n = random() % 3; n > 0; --n)
     entry.vote.holders.push_back(
         {n, generation_of(random), static_cast<std::uint32_t>(1 + random() % 3), 255, Micros(random() % 5)});
   return entry;
 }
 
-TEST(Row, MergesToTheSameInAnyOrderGroupingAndRepetition) {
+TEST(VoteSet, MergeIsIndependentOfOrderGroupingAndRepetition) {
   Random random(2);
   for (int round = 0; round < 3000; ++round) {
-    std::vector<Row::Entry> all;
+    std::vector<VoteSet::Entry> all;
     for (auto n = random() % 20; n > 0; --n)
       all.push_back(entry_of(random));
-    Row straight;
+    VoteSet expected;
     for (const auto& entry : all)
-      straight.put(entry);
-    // Groups merged in a random order, some twice.
-    std::vector<Row> groups(1 + random() % 4);
+      expected.put(entry);
+    // Groups are merged in a random order, with some entries repeated and one group merged twice.
+    std::vector<VoteSet> groups(1 + random() % 4);
     for (const auto& entry : all) {
       groups[random() % groups.size()].put(entry);
       if (random() % 3 == 0)
         groups[random() % groups.size()].put(entry);
     }
     std::shuffle(groups.begin(), groups.end(), random);
-    Row merged;
+    VoteSet merged;
     for (const auto& group : groups)
       merged.merge(group);
     merged.merge(groups.front());
-    ASSERT_TRUE(same(straight, merged)) << "round " << round;
-    EXPECT_LE(merged.entries().size(), Row::most);
+    ASSERT_TRUE(same_votes(expected, merged)) << "round " << round;
+    EXPECT_LE(merged.entries().size(), VoteSet::max_votes);
   }
 }
 
-TEST(Heavy, NeverMissesAHeavyKeyAndKnowsItsError) {
+TEST(HeavyHitters, CountsEveryHeavyKeyWithinItsErrorBound) {
   Random random(3);
-  Heavy heavy(32);
+  HeavyHitters heavy_hitters(32);
   std::map<KeyId, double> truth;
   double all = 0;
   for (int i = 0; i < 20000; ++i) {
     const KeyId key = random() % 3 ? random() % 8 : 100 + random() % 5000;
-    const double worth = 1 + static_cast<double>(random() % 5);
-    heavy.add(key, worth);
-    truth[key] += worth;
-    all += worth;
+    const double amount = 1 + static_cast<double>(random() % 5);
+    heavy_hitters.add(key, amount);
+    truth[key] += amount;
+    all += amount;
   }
-  EXPECT_EQ(heavy.size(), 32u);
-  EXPECT_LE(heavy.error(), all / 32);
-  for (const auto& [key, worth] : truth) {
-    const auto count = heavy.count(key);
-    if (worth > all / 32) {
-      EXPECT_GE(count, worth) << key;
+  EXPECT_EQ(heavy_hitters.size(), 32u);
+  EXPECT_LE(heavy_hitters.error(), all / 32);
+  for (const auto& [key, amount] : truth) {
+    const auto count = heavy_hitters.count(key);
+    if (amount > all / 32) {
+      EXPECT_GE(count, amount) << key;
     }
-    EXPECT_LE(count, worth + heavy.error() + 1e-6) << key;
+    EXPECT_LE(count, amount + heavy_hitters.error() + 1e-6) << key;
   }
 }
 
-TEST(VoteTable, IsBoundedAndOneContributorHasAQuarter) {
-  const Names names(5);
-  VoteTable votes(names, 1024);
+TEST(VoteTable, IsBoundedAndLimitsAContributorToAQuarterOfTheKeys) {
+  const IdHasher hasher(5);
+  VoteTable votes(hasher, 1024);
   Random random(4);
   const auto put = [&](KeyId key, NameId by, std::uint8_t weight, std::uint64_t number) {
     votes.put(key, by,
@@ -110,33 +110,33 @@
   for (std::uint64_t i = 1; i <= 20000; ++i)
     put(random(), 1 + i % 50, 10, i);
   EXPECT_LE(votes.size(), 1024u);
-  std::size_t honest = 0;
-  votes.each([&](KeyId, const Row& row) { honest += !row.find(666); });
-  EXPECT_GE(honest, 1024u / 2);
+  std::size_t without_flooder = 0;
+  votes.each([&](KeyId, const VoteSet& vote_set) { without_flooder += !vote_set.find(666); });
+  EXPECT_GE(without_flooder, 1024u / 2);
   votes.expire(Micros(100000));
   EXPECT_EQ(votes.size(), 0u);
-  put(1, 666, 1, 1);  // nothing is counted against it any more
+  put(1, 666, 1, 1);  // the quota of the contributor is free again
   EXPECT_EQ(votes.size(), 1u);
 }
 
-TEST(Choose, OneContributorCannotOutbidTwoNorStretchALength) {
-  const Believed believed{[](NameId, const Generation& generation) { return generation.start == 1; },
-                          [](NameId) { return 0.5; }, Micros(10), std::chrono::seconds(60)};
+TEST(SelectHolders, IgnoresAPastEpochAndATokenCountThatOnlyOneContributorClaims) {
+  const SelectionContext context{[](NameId, const Generation& generation) { return generation.start == 1; },
+                                 [](NameId) { return 0.5; }, Micros(10), std::chrono::seconds(60)};
   const auto vote = [](NameId device, std::uint32_t tokens, std::uint64_t start = 1) {
     return Vote{{1, 1}, {{device, {start, 0}, tokens, 255, Micros(10)}}, 1, Micros(10)};
   };
-  Row row;
-  row.put({1, 1, vote(7, 1000)});
-  row.put({2, 2, vote(7, 1100)});
-  row.put({3, 3, vote(8, 1 << 24, 0)});  // of a generation that is past
-  auto chosen = choose(row, {}, believed);
-  ASSERT_EQ(chosen.size(), 1u);
-  EXPECT_EQ(chosen[0].tokens, 1000u);
-  row.put({4, 4, vote(7, 1 << 24)});
-  EXPECT_EQ(choose(row, {}, believed)[0].tokens, 1100u);
+  VoteSet vote_set;
+  vote_set.put({1, 1, vote(7, 1000)});
+  vote_set.put({2, 2, vote(7, 1100)});
+  vote_set.put({3, 3, vote(8, 1 << 24, 0)});  // from a past epoch
+  auto selected = select_holders(vote_set, {}, context);
+  ASSERT_EQ(selected.size(), 1u);
+  EXPECT_EQ(selected[0].tokens, 1000u);
+  vote_set.put({4, 4, vote(7, 1 << 24)});
+  EXPECT_EQ(select_holders(vote_set, {}, context)[0].tokens, 1100u);
 }
 
-TEST(Payload, ReadsBackWhatWasPackedAndFits) {
+TEST(Payload, DecodesWhatWasEncodedAndFitsADatagram) {
   Random random(6);
   for (int round = 0; round < 300; ++round) {
     const bool votes = random() % 2;
@@ -158,7 +158,7 @@
     }
     const auto bytes = packer.bytes(random());
     ASSERT_LE(bytes.size(), peers::Outbox::most);
-    EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the bound on its length is not wasteful
+    EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the size estimate leaves little room unused
     const char* why = "";
     const auto payload = read(bytes, std::chrono::seconds(1000), why);
     ASSERT_TRUE(payload) << why;
@@ -172,19 +172,19 @@
                     got.votes == put.votes && got.confidence == put.confidence && got.seen == put.seen);
       }
     }
-    // Whatever is made of it by accident is read whole or dropped.
-    auto broken = bytes;
+    // A corrupted or truncated payload is either decoded within the bounds or rejected.
+    auto corrupted = bytes;
     for (int n = 0; n < 3; ++n)
-      broken[random() % broken.size()] = static_cast<char>(random());
-    if (const auto still = read(broken, std::chrono::seconds(1000), why)) {
-      for (const auto& line : still->lines)
-        EXPECT_LE(line.holders.size(), holders_bound);
+      corrupted[random() % corrupted.size()] = static_cast<char>(random());
+    if (const auto decoded = read(corrupted, std::chrono::seconds(1000), why)) {
+      for (const auto& line : decoded->lines)
+        EXPECT_LE(line.holders.size(), max_holders);
     }
     read(std::string_view(bytes).substr(0, random() % bytes.size()), std::chrono::seconds(1000), why);
   }
 }
 
-TEST(Config, TellsEachFaultByItsLine) {
+TEST(TiersConfig, ReportsTheLineOfEachFault) {
   const auto read = [](const std::string& text, std::vector<config::Fault>& faults) {
     static toml::table table;
     table = toml::parse(text);
