--- a/src/tiers/epoch/cache_epoch.h
+++ b/src/tiers/epoch/cache_epoch.h
@@ -12,7 +12,7 @@
 /// routers of one site that notice the same loss count it once, and two partitioned sites that each notice a
 /// loss produce an epoch that is later than both.
 struct Generation {
-  std::uint64_t start = 0;  ///< start of the device from the endpoint list, in Unix us; 0: unknown
+  std::uint64_t start = 0;  ///< start time of the device as listed, in Unix us; 0: earlier than any other
   std::uint64_t lanes = 0;  ///< four 16-bit loss counters
   friend bool operator==(const Generation&, const Generation&) = default;
 };
--- a/src/tiers/epoch/epoch_gossip.h
+++ b/src/tiers/epoch/epoch_gossip.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "tiers/names/id_hasher.h"
+#include "tiers/sharding/id_hasher.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/epoch/epoch_table.h
+++ b/src/tiers/epoch/epoch_table.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "tiers/epoch/cache_epoch.h"
-#include "tiers/names/id_hasher.h"
+#include "tiers/sharding/id_hasher.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/share/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -1,4 +1,4 @@
-#include "tiers/share/cache_tier.h"
+#include "tiers/exchange/cache_tier.h"
 
 #include <algorithm>
 
@@ -41,48 +41,50 @@
 }
 
 void CacheTier::receive_votes(Micros now, NameId contributor, const Payload& payload) {
-  for (const auto& line : payload.lines) {
-    Vote vote{payload.stamp, {}, line.weight, now};
-    for (const auto& holder : line.holders)
+  for (const auto& cache_entry : payload.lines) {
+    Vote vote{payload.stamp, {}, cache_entry.weight, now};
+    for (const auto& holder : cache_entry.holders)
       vote.holders.push_back(
           {holder.device, holder.generation, holder.tokens, holder.confidence, holder.seen});
-    vote_table_.put(line.key, contributor, std::move(vote));
+    vote_table_.put(cache_entry.key, contributor, std::move(vote));
   }
 }
 
 bool CacheTier::receive_entries(Micros now, std::string_view from, const Payload& payload) {
   const auto sender = state_.hasher.name(from);
   bool changed = false;
-  for (const auto& line : payload.lines) {
+  for (const auto& cache_entry : payload.lines) {
     // A member may only advertise shards that it collects. An entry that is dropped because views differ for
     // a moment arrives with the next refresh.
-    if (!shard_collectors_.is_collector(from, shard_of(line.key)))
+    if (!shard_collectors_.is_collector(from, shard_of(cache_entry.key)))
       ++non_collector_entries_;
     else
-      changed |= received_.put(line, sender, now, [&](NameId name) { return state_.trust_in(name, now); });
+      changed |=
+          received_.put(cache_entry, sender, now, [&](NameId name) { return state_.trust_in(name, now); });
   }
   return changed;
 }
 
-void CacheTier::vote(VoteBatch& batch, const Line& line, Micros now, ByteBudget& budget, peers::Outbox& out) {
-  for (const auto& collector : shard_collectors_.collectors(shard_of(line.key))) {
+void CacheTier::vote(VoteBatch& batch, const Line& cache_entry, Micros now, ByteBudget& budget,
+                     peers::Outbox& out) {
+  for (const auto& collector : shard_collectors_.collectors(shard_of(cache_entry.key))) {
     if (collector == state_.options.name) {
       Payload payload;
       payload.stamp = state_.next_stamp();
-      payload.lines.push_back(line);
+      payload.lines.push_back(cache_entry);
       receive_votes(now, state_.own_id, payload);
       continue;
     }
     auto at = batch.packers.find(collector);
     if (at == batch.packers.end())
       at = batch.packers.emplace(collector, Packer(Kind::votes, tier_, state_.next_stamp())).first;
-    if (at->second.add(line, now))
+    if (at->second.add(cache_entry, now))
       continue;
     const auto bytes = at->second.bytes();
     budget.spend(bytes.size());
     state_.send("votes", out, collector, bytes);
     at->second = Packer(Kind::votes, tier_, state_.next_stamp());
-    at->second.add(line, now);
+    at->second.add(cache_entry, now);
   }
 }
 
@@ -100,18 +102,18 @@
 bool CacheTier::select_for(KeyId key, Micros now) {
   if (!shard_collectors_.is_head(state_.options.name, shard_of(key)))
     return false;
-  Line line{key, 0, {}};
+  Line cache_entry{key, 0, {}};
   if (const auto* vote_set = vote_table_.find(key)) {
     const SelectionContext context{
         [&](NameId device, const Generation& epoch) { return state_.epochs.is_current(device, epoch); },
         [&](NameId contributor) { return state_.trust_in(contributor, now); }, now,
         state_.options.limits.fade};
-    line.holders = select_holders(*vote_set, advertised_.holders(key), context);
-    line.weight = static_cast<std::uint8_t>(vote_set->weight());
+    cache_entry.holders = select_holders(*vote_set, advertised_.holders(key), context);
+    cache_entry.weight = static_cast<std::uint8_t>(vote_set->weight());
   }
   const auto trust = [&](NameId name) { return state_.trust_in(name, now); };
-  const bool changed = received_.put(line, state_.own_id, now, trust);
-  advertised_.set(std::move(line));
+  const bool changed = received_.put(cache_entry, state_.own_id, now, trust);
+  advertised_.set(std::move(cache_entry));
   return changed;
 }
 
@@ -147,10 +149,11 @@
   }
   for (std::size_t i = 0; i < max_payloads_per_tick && push_budget_.remaining() > 0; ++i) {
     Packer packer(Kind::rows, tier_, {});
-    for (const auto* line : advertised_.due(now, state_.options.limits.repeat, max_entries_per_payload)) {
-      if (!packer.add(*line, now))
+    for (const auto* cache_entry :
+         advertised_.due(now, state_.options.limits.repeat, max_entries_per_payload)) {
+      if (!packer.add(*cache_entry, now))
         break;
-      advertised_.mark_sent(line->key, now);
+      advertised_.mark_sent(cache_entry->key, now);
     }
     if (packer.empty())
       return;
@@ -181,17 +184,17 @@
       Packer packer(Kind::rows, tier_, {});
       // Includes received entries: a head that has just restarted has none, but the next collector in rank
       // has received them.
-      const auto lines = received_.entries_after(
+      const auto cache_entries = received_.entries_after(
           request.cursor, max_entries_per_payload,
           [&](std::size_t shard) { return shard_collectors_.is_collector(state_.options.name, shard); });
       std::size_t packed = 0;
-      for (const auto& line : lines) {
-        if (!packer.add(line, now))
+      for (const auto& cache_entry : cache_entries) {
+        if (!packer.add(cache_entry, now))
           break;
-        request.cursor = line.key;
+        request.cursor = cache_entry.key;
         ++packed;
       }
-      request.open = packed < lines.size() || lines.size() == max_entries_per_payload;
+      request.open = packed < cache_entries.size() || cache_entries.size() == max_entries_per_payload;
       if (packer.empty())
         break;
       const auto bytes = packer.bytes();
--- a/src/tiers/share/cache_tier.h
+++ b/src/tiers/exchange/cache_tier.h
@@ -4,8 +4,8 @@
 
 #include <unordered_map>
 
-#include "tiers/names/shard_collectors.h"
-#include "tiers/share/shared_state.h"
+#include "tiers/exchange/shared_state.h"
+#include "tiers/sharding/shard_collectors.h"
 #include "tiers/store/advertised_entries.h"
 #include "tiers/store/received_entries.h"
 #include "tiers/store/vote_table.h"
@@ -39,7 +39,7 @@
   };
   /// Adds a vote of this router for each of the key's collectors. Stores it at once if this router is one of
   /// them; the open payloads are sent by `flush`.
-  void vote(VoteBatch& batch, const Line& line, Micros now, ByteBudget& budget, peers::Outbox& out);
+  void vote(VoteBatch& batch, const Line& cache_entry, Micros now, ByteBudget& budget, peers::Outbox& out);
   /// Sends all payloads of the batch.
   void flush(VoteBatch& batch, ByteBudget& budget, peers::Outbox& out);
 
--- a/src/tiers/share/promotion.cpp
+++ b/src/tiers/exchange/promotion.cpp
@@ -1,4 +1,4 @@
-#include "tiers/share/promotion.h"
+#include "tiers/exchange/promotion.h"
 
 namespace lemonroute::tiers {
 
@@ -21,26 +21,27 @@
   for (std::size_t shard = 0; shard < shard_count; ++shard) {
     if (!site.shard_collectors().is_head(options.name, shard))
       continue;
-    for (const auto* line : site.advertised().heaviest(shard, region.vote_table().quota(), min_tokens)) {
-      auto promoted_line = *line;
+    for (const auto* cache_entry :
+         site.advertised().heaviest(shard, region.vote_table().quota(), min_tokens)) {
+      auto promoted_entry = *cache_entry;
       // In the region this router is the contributor of the vote. A holder needs sightings of two routers or
       // of this one, so a lying router of the site cannot make an honest head spread its claims.
-      std::erase_if(promoted_line.holders,
+      std::erase_if(promoted_entry.holders,
                     [&](const Shown& one) { return one.votes < 2 && one.by != own_id; });
-      if (promoted_line.holders.empty())
+      if (promoted_entry.holders.empty())
         continue;
-      if (promoted_line.holders.size() > max_promoted_holders)
-        promoted_line.holders.resize(max_promoted_holders);
-      const auto previous = promoted_.find(line->key);
+      if (promoted_entry.holders.size() > max_promoted_holders)
+        promoted_entry.holders.resize(max_promoted_holders);
+      const auto previous = promoted_.find(cache_entry->key);
       const bool changed = previous == promoted_.end() ||
-                           significantly_differ(previous->second.line.holders, promoted_line.holders);
+                           significantly_differ(previous->second.cache_entry.holders, promoted_entry.holders);
       if ((!changed && now - previous->second.sent_at < options.limits.repeat) || budget.remaining() <= 0) {
         if (previous != promoted_.end())
-          current[line->key] = previous->second;
+          current[cache_entry->key] = previous->second;
         continue;
       }
-      region.vote(batch, promoted_line, now, budget, out);
-      current[line->key] = {std::move(promoted_line), now};
+      region.vote(batch, promoted_entry, now, budget, out);
+      current[cache_entry->key] = {std::move(promoted_entry), now};
     }
   }
   for (const auto& [key, promoted] : promoted_)
--- a/src/tiers/share/promotion.h
+++ b/src/tiers/exchange/promotion.h
@@ -2,7 +2,7 @@
 /// Promotion of keys from the site tier to the region tier.
 #pragma once
 
-#include "tiers/share/cache_tier.h"
+#include "tiers/exchange/cache_tier.h"
 
 namespace lemonroute::tiers {
 
@@ -21,7 +21,7 @@
 
  private:
   struct Promoted {
-    Line line;
+    Line cache_entry;
     Micros sent_at{};
   };
   std::map<KeyId, Promoted> promoted_;
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -228,12 +228,12 @@
   CacheTier::VoteBatch batch;
   const auto room = static_cast<std::size_t>(vote_budget_.remaining()) / approximate_vote_bytes + 1;
   for (const auto key : device_tier_.due(now, std::min(max_votes_per_tick, room))) {
-    Line line{key, device_tier_.weight(key), {}};
+    Line cache_entry{key, device_tier_.weight(key), {}};
     for (const auto& holder : device_tier_.holders(key))
       if (state_.epochs.is_current(holder.device, holder.epoch))
-        line.holders.push_back(
+        cache_entry.holders.push_back(
             {holder.device, holder.epoch, holder.tokens, holder.confidence, holder.seen_at});
-    site_.vote(batch, line, now, vote_budget_, out);
+    site_.vote(batch, cache_entry, now, vote_budget_, out);
   }
   site_.flush(batch, vote_budget_, out);
   if (now - promoted_at_ < milliseconds(500))
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -9,7 +9,7 @@
 #include "core/fleet_view.h"
 #include "peers/extension.h"
 #include "tiers/epoch/epoch_gossip.h"
-#include "tiers/share/promotion.h"
+#include "tiers/exchange/promotion.h"
 #include "tiers/snapshot/hint_map_builder.h"
 #include "tiers/store/device_tier.h"
 
--- a/src/tiers/merge/holder_selection.cpp
+++ b/src/tiers/merge/holder_selection.cpp
@@ -17,7 +17,7 @@
   using Claim = std::pair<std::uint32_t, NameId>;  // tokens and contributor
   struct Candidate {
     double support = 0;
-    Shown shown;
+    Shown advertised;
     std::vector<Claim> claims;
   };
   std::map<NameId, Candidate> candidates;
@@ -32,25 +32,25 @@
       candidate.support +=
           trust * decayed_confidence(holder.confidence, holder.seen_at, context.now, context.half_life);
       candidate.claims.push_back({holder.tokens, entry.contributor});
-      auto& shown = candidate.shown;
+      auto& advertised = candidate.advertised;
       if (candidate.claims.size() == 1)
-        shown = {holder.device, holder.epoch, 0, holder.confidence, holder.seen_at, 0, 0};
-      else if (holder.seen_at > shown.seen)
-        shown.seen = holder.seen_at, shown.confidence = holder.confidence;
+        advertised = {holder.device, holder.epoch, 0, holder.confidence, holder.seen_at, 0, 0};
+      else if (holder.seen_at > advertised.seen)
+        advertised.seen = holder.seen_at, advertised.confidence = holder.confidence;
     }
   }
   std::vector<std::pair<double, Shown>> scored;
   for (auto& [device, candidate] : candidates) {
     std::sort(candidate.claims.begin(), candidate.claims.end(), std::greater<>());
     const auto& claim = candidate.claims[candidate.claims.size() > 1 ? 1 : 0];
-    candidate.shown.tokens = claim.first;
-    candidate.shown.by = claim.second;
-    candidate.shown.votes = static_cast<std::uint8_t>(candidate.claims.size());
+    candidate.advertised.tokens = claim.first;
+    candidate.advertised.by = claim.second;
+    candidate.advertised.votes = static_cast<std::uint8_t>(candidate.claims.size());
     const bool was_advertised =
         std::any_of(previous.begin(), previous.end(),
                     [&, device = device](const auto& one) { return one.device == device; });
     scored.emplace_back(candidate.support * (was_advertised ? 1.5 : 1) * std::sqrt(1.0 + claim.first),
-                        candidate.shown);
+                        candidate.advertised);
   }
   std::sort(scored.begin(), scored.end(), [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first > b.first : a.second.device < b.second.device;
@@ -59,8 +59,8 @@
     scored.resize(max_holders);
   std::vector<Shown> selected;
   selected.reserve(scored.size());
-  for (auto& [score, shown] : scored)
-    selected.push_back(shown);
+  for (auto& [score, advertised] : scored)
+    selected.push_back(advertised);
   return selected;
 }
 
--- a/src/tiers/names/id_hasher.cpp
+++ b/src/tiers/sharding/id_hasher.cpp
@@ -1,4 +1,4 @@
-#include "tiers/names/id_hasher.h"
+#include "tiers/sharding/id_hasher.h"
 
 #include <xxhash.h>
 
--- a/src/tiers/names/shard_collectors.cpp
+++ b/src/tiers/sharding/shard_collectors.cpp
@@ -1,4 +1,4 @@
-#include "tiers/names/shard_collectors.h"
+#include "tiers/sharding/shard_collectors.h"
 
 #include <algorithm>
 
--- a/src/tiers/names/shard_collectors.h
+++ b/src/tiers/sharding/shard_collectors.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "peers/view.h"
-#include "tiers/names/id_hasher.h"
+#include "tiers/sharding/id_hasher.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/snapshot/hint_map.h
+++ b/src/tiers/snapshot/hint_map.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "core/fleet_view.h"
-#include "tiers/names/id_hasher.h"
+#include "tiers/sharding/id_hasher.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/snapshot/hint_map_builder.h
+++ b/src/tiers/snapshot/hint_map_builder.h
@@ -2,7 +2,7 @@
 /// Builds the hint map.
 #pragma once
 
-#include "tiers/share/shared_state.h"
+#include "tiers/exchange/shared_state.h"
 #include "tiers/snapshot/hint_map.h"
 #include "tiers/store/received_entries.h"
 
--- a/src/tiers/store/advertised_entries.cpp
+++ b/src/tiers/store/advertised_entries.cpp
@@ -7,15 +7,16 @@
 const std::vector<Shown>& AdvertisedEntries::holders(KeyId key) const {
   static const std::vector<Shown> none;
   const auto at = entries_.find(key);
-  return at == entries_.end() ? none : at->second.line.holders;
+  return at == entries_.end() ? none : at->second.cache_entry.holders;
 }
 
-void AdvertisedEntries::set(Line line) {
-  const auto at = entries_.find(line.key);
-  if (at == entries_.end() && line.holders.empty())
+void AdvertisedEntries::set(Line cache_entry) {
+  const auto at = entries_.find(cache_entry.key);
+  if (at == entries_.end() && cache_entry.holders.empty())
     return;
-  const auto key = line.key;
-  const bool withdraws = at != entries_.end() && !at->second.line.holders.empty() && line.holders.empty();
+  const auto key = cache_entry.key;
+  const bool withdraws =
+      at != entries_.end() && !at->second.cache_entry.holders.empty() && cache_entry.holders.empty();
   // If there are too many withdrawals to advertise, the entry expires at the receivers with its lease.
   if (withdraws && withdrawn_ >= max_withdrawn_) {
     entries_.erase(at);
@@ -23,19 +24,19 @@
   }
   if (withdraws)
     ++withdrawn_;
-  if (at != entries_.end() && at->second.line.holders.empty() && !line.holders.empty())
+  if (at != entries_.end() && at->second.cache_entry.holders.empty() && !cache_entry.holders.empty())
     --withdrawn_;
   auto& entry = at == entries_.end() ? entries_[key] : at->second;
-  if (at == entries_.end() || significantly_differ(line.holders, entry.line.holders))
+  if (at == entries_.end() || significantly_differ(cache_entry.holders, entry.cache_entry.holders))
     entry.pending = true, entry.repeats_left = change_repeats;
-  entry.line = std::move(line);
+  entry.cache_entry = std::move(cache_entry);
 }
 
 void AdvertisedEntries::keep_only(const std::function<bool(KeyId)>& is_kept) {
   std::erase_if(entries_, [&](const auto& item) {
     if (is_kept(item.first))
       return false;
-    if (item.second.line.holders.empty())
+    if (item.second.cache_entry.holders.empty())
       --withdrawn_;
     return true;
   });
@@ -55,15 +56,15 @@
       return a->repeats_left > 0;
     if (!a->pending && a->sent_at != b->sent_at)
       return a->sent_at < b->sent_at;
-    return a->line.weight > b->line.weight;
+    return a->cache_entry.weight > b->cache_entry.weight;
   };
   const auto count = std::min(max_count, due_entries.size());
   std::partial_sort(due_entries.begin(), due_entries.begin() + static_cast<std::ptrdiff_t>(count),
                     due_entries.end(), is_due_before);
-  std::vector<const Line*> lines;
+  std::vector<const Line*> cache_entries;
   for (std::size_t i = 0; i < count; ++i)
-    lines.push_back(&due_entries[i]->line);
-  return lines;
+    cache_entries.push_back(&due_entries[i]->cache_entry);
+  return cache_entries;
 }
 
 void AdvertisedEntries::mark_sent(KeyId key, Micros now) {
@@ -72,7 +73,7 @@
     return;
   if (!at->second.pending && at->second.repeats_left)
     --at->second.repeats_left;
-  if (at->second.line.holders.empty() && at->second.repeats_left == 0) {
+  if (at->second.cache_entry.holders.empty() && at->second.repeats_left == 0) {
     entries_.erase(at);
     --withdrawn_;
     return;
@@ -83,16 +84,16 @@
 
 std::vector<const Line*> AdvertisedEntries::heaviest(std::size_t shard, std::size_t max_count,
                                                      std::uint32_t min_tokens) const {
-  std::vector<const Line*> lines;
+  std::vector<const Line*> cache_entries;
   for (const auto& [key, entry] : entries_)
-    if (shard_of(key) == shard && !entry.line.holders.empty() &&
-        entry.line.holders.front().tokens >= min_tokens)
-      lines.push_back(&entry.line);
-  const auto count = std::min(max_count, lines.size());
-  std::partial_sort(lines.begin(), lines.begin() + static_cast<std::ptrdiff_t>(count), lines.end(),
-                    [](auto* a, auto* b) { return a->weight > b->weight; });
-  lines.resize(count);
-  return lines;
+    if (shard_of(key) == shard && !entry.cache_entry.holders.empty() &&
+        entry.cache_entry.holders.front().tokens >= min_tokens)
+      cache_entries.push_back(&entry.cache_entry);
+  const auto count = std::min(max_count, cache_entries.size());
+  std::partial_sort(cache_entries.begin(), cache_entries.begin() + static_cast<std::ptrdiff_t>(count),
+                    cache_entries.end(), [](auto* a, auto* b) { return a->weight > b->weight; });
+  cache_entries.resize(count);
+  return cache_entries;
 }
 
 std::vector<KeyId> AdvertisedEntries::keys() const {
--- a/src/tiers/store/advertised_entries.h
+++ b/src/tiers/store/advertised_entries.h
@@ -19,7 +19,7 @@
   /// Returns the advertised holders; empty if there are none.
   const std::vector<Shown>& holders(KeyId key) const;
   /// Replaces the entry of the key; an entry without holders withdraws it.
-  void set(Line line);
+  void set(Line cache_entry);
   /// Removes the entries of other keys, which another router heads now.
   void keep_only(const std::function<bool(KeyId)>& is_kept);
   /// Returns up to `max_count` entries that are due. The caller reports each one sent with `mark_sent`.
@@ -35,7 +35,7 @@
 
  private:
   struct Entry {
-    Line line;
+    Line cache_entry;
     Micros sent_at{};
     bool pending = false;       // changed since the last advertisement
     unsigned repeats_left = 0;  // of a change
--- a/src/tiers/store/heavy_hitters.h
+++ b/src/tiers/store/heavy_hitters.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "tiers/names/id_hasher.h"
+#include "tiers/sharding/id_hasher.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/store/received_entries.cpp
+++ b/src/tiers/store/received_entries.cpp
@@ -4,23 +4,23 @@
 
 namespace lemonroute::tiers {
 
-bool ReceivedEntries::put(const Line& line, NameId sender, Micros now,
+bool ReceivedEntries::put(const Line& cache_entry, NameId sender, Micros now,
                           const std::function<double(NameId)>& trust) {
-  auto& entries = shards_[shard_of(line.key)];
-  const auto at = entries.find(line.key);
+  auto& entries = shards_[shard_of(cache_entry.key)];
+  const auto at = entries.find(cache_entry.key);
   if (at != entries.end()) {
     auto& entry = at->second;
     if (entry.sender != sender && trust(sender) < trust(entry.sender))
       return false;
-    if (line.holders.empty()) {
+    if (cache_entry.holders.empty()) {
       entries.erase(at);
       return true;
     }
-    const bool changed = entry.sender != sender || significantly_differ(entry.holders, line.holders);
-    entry = {line.holders, line.weight, sender, now};
+    const bool changed = entry.sender != sender || significantly_differ(entry.holders, cache_entry.holders);
+    entry = {cache_entry.holders, cache_entry.weight, sender, now};
     return changed;
   }
-  if (line.holders.empty())
+  if (cache_entry.holders.empty())
     return false;
   // Heads have the same bound, so a shard is full only if a head exceeds it or the head has changed.
   if (entries.size() >= max_keys_per_shard_) {
@@ -28,11 +28,11 @@
       return std::pair(a.second.weight, a.first) < std::pair(b.second.weight, b.first);
     });
     ++evicted_;
-    if (lightest->second.weight >= line.weight)
+    if (lightest->second.weight >= cache_entry.weight)
       return false;
     entries.erase(lightest);
   }
-  entries[line.key] = {line.holders, line.weight, sender, now};
+  entries[cache_entry.key] = {cache_entry.holders, cache_entry.weight, sender, now};
   return true;
 }
 
@@ -51,17 +51,17 @@
 
 std::vector<Line> ReceivedEntries::entries_after(KeyId cursor, std::size_t max_count,
                                                  const std::function<bool(std::size_t)>& matches) const {
-  std::vector<Line> lines;
+  std::vector<Line> cache_entries;
   for (auto shard = shard_of(cursor); shard < shard_count; ++shard) {
     if (!matches(shard))
       continue;
     for (auto at = shards_[shard].upper_bound(cursor); at != shards_[shard].end(); ++at) {
-      if (lines.size() == max_count)
-        return lines;
-      lines.push_back({at->first, at->second.weight, at->second.holders});
+      if (cache_entries.size() == max_count)
+        return cache_entries;
+      cache_entries.push_back({at->first, at->second.weight, at->second.holders});
     }
   }
-  return lines;
+  return cache_entries;
 }
 
 std::size_t ReceivedEntries::size() const {
--- a/src/tiers/store/received_entries.h
+++ b/src/tiers/store/received_entries.h
@@ -23,7 +23,7 @@
   explicit ReceivedEntries(std::size_t max_keys)
       : max_keys_per_shard_(std::max<std::size_t>(4, max_keys / shard_count)) {}
   /// Stores an entry; the stored one stays if its sender is trusted more. Returns whether hints have changed.
-  bool put(const Line& line, NameId sender, Micros now, const std::function<double(NameId)>& trust);
+  bool put(const Line& cache_entry, NameId sender, Micros now, const std::function<double(NameId)>& trust);
   /// Removes entries that last arrived before the given time; returns whether there were any.
   bool expire(Micros before);
   /// Returns nullptr for an unknown key.
--- a/src/tiers/trust/trust.h
+++ b/src/tiers/trust/trust.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <unordered_map>
 
-#include "tiers/names/id_hasher.h"
+#include "tiers/sharding/id_hasher.h"
 
 namespace lemonroute::tiers {
 
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -54,7 +54,7 @@
   }
   const int max_holders_per_entry = payload.kind == Kind::votes ? 2 : max_holders;
   for (const auto& row : message.rows()) {
-    Line line{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
+    Line cache_entry{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
     if (row.weight() > 255)
       return reject("weight");
     if (row.holders_size() % numbers_per_holder != 0 ||
@@ -70,14 +70,14 @@
       if (at(1) == 0 || at(1) > max_tokens || at(2) > 255 || at(3) > max_tenths || at(5) > VoteSet::max_votes)
         return reject("holder");
       const auto& [device, epoch] = payload.devices[at(0)];
-      for (const auto& other : line.holders)
+      for (const auto& other : cache_entry.holders)
         if (other.device == device)
           return reject("twice");
-      line.holders.push_back(
+      cache_entry.holders.push_back(
           {device, epoch, at(1), static_cast<std::uint8_t>(at(2)), now - at(3) * tenth_of_second,
            votes ? 0 : message.contributors(static_cast<int>(at(4))), static_cast<std::uint8_t>(at(5))});
     }
-    payload.lines.push_back(std::move(line));
+    payload.lines.push_back(std::move(cache_entry));
   }
   return payload;
 }
@@ -116,23 +116,23 @@
   return true;
 }
 
-bool Packer::add(const Line& line, Micros now) {
+bool Packer::add(const Line& cache_entry, Micros now) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (payload.rows_size() == max_entries)
     return false;
   // The largest size: every device and contributor is new, and each number of a holder is at its bound.
   std::size_t cost = 2 + 9 + 3 + 2;
-  for (const auto& holder : line.holders)
+  for (const auto& holder : cache_entry.holders)
     cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.generation.start) +
             (holder.generation.lanes ? 1 + varint_size(holder.generation.lanes) : 0);
-  const auto room = static_cast<int>(line.holders.size());
+  const auto room = static_cast<int>(cache_entry.holders.size());
   if (bytes + cost > peers::Outbox::most || payload.devices_size() + room > max_devices ||
       payload.contributors_size() + room > max_devices)
     return false;
   auto* row = payload.add_rows();
-  row->set_key(line.key);
-  row->set_weight(line.weight);
-  for (const auto& holder : line.holders) {
+  row->set_key(cache_entry.key);
+  row->set_weight(cache_entry.weight);
+  for (const auto& holder : cache_entry.holders) {
     add(holder.device, holder.generation);
     std::uint32_t by = 0;
     if (payload.kind() == v1::rows) {
@@ -156,7 +156,7 @@
       bytes += varint_size(number);
     }
   }
-  bytes += 2 + 9 + (line.weight ? 3 : 0) + 2;
+  bytes += 2 + 9 + (cache_entry.weight ? 3 : 0) + 2;
   return true;
 }
 
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -46,7 +46,7 @@
   Packer(Packer&&) noexcept;
   Packer& operator=(Packer&&) noexcept;
   /// Adds an entry with the devices it refers to; returns false if there is no room.
-  bool add(const Line& line, Micros now);
+  bool add(const Line& cache_entry, Micros now);
   /// Adds the cache epoch of a device; returns false if there is no room.
   bool add(NameId device, const Generation& epoch);
   /// Whether nothing was added.
--- a/tests/tiers/hint_map_test.cpp
+++ b/tests/tiers/hint_map_test.cpp
@@ -183,7 +183,7 @@
 // An authenticated router claims that every key is cached at one device. Each other router follows at most
 // three of these hints before it distrusts the router, and one more if a collector withdraws a hint while it
 // is followed. A node's count for a key removes the hint for that key at once.
-TEST_P(CacheTiersOnNetwork, LyingRouterMisleadsEachOtherRouterAtMostThreeTimes) {
+TEST_P(CacheTiersOnNetwork, LyingRouterMisleadsEachOtherRouterAtMostFourTimes) {
   SimulatedNetwork network(options());
   network.run(seconds(3));
   for (Key key = 1; key <= 40; ++key)
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -15,14 +15,14 @@
 
 using Random = std::mt19937_64;
 
-Generation generation_of(Random& random) {
+Generation random_epoch(Random& random) {
   return {random() % 3, (random() % 3) | (random() % 3) << 16 | (random() % 2) << 48};
 }
 
 TEST(CacheEpoch, JoinIsASemilatticeAndALossYieldsALaterEpoch) {
   Random random(1);
   for (int i = 0; i < 20000; ++i) {
-    const auto a = generation_of(random), b = generation_of(random), c = generation_of(random);
+    const auto a = random_epoch(random), b = random_epoch(random), c = random_epoch(random);
     EXPECT_EQ(join(a, b), join(b, a));
     EXPECT_EQ(join(a, join(b, c)), join(join(a, b), c));
     EXPECT_EQ(join(a, a), a);
@@ -33,7 +33,7 @@
   }
 }
 
-VoteSet::Entry entry_of(Random& random) {
+VoteSet::Entry random_entry(Random& random) {
   const auto contributor = 1 + random() % 9;
   VoteSet::Entry entry{
       contributor * 7 % 10,
@@ -42,7 +42,7 @@
   // Only a lying contributor sends different votes with the same stamp; their contents decide the order.
   for (auto n = random() % 3; n > 0; --n)
     entry.vote.holders.push_back(
-        {n, generation_of(random), static_cast<std::uint32_t>(1 + random() % 3), 255, Micros(random() % 5)});
+        {n, random_epoch(random), static_cast<std::uint32_t>(1 + random() % 3), 255, Micros(random() % 5)});
   return entry;
 }
 
@@ -51,7 +51,7 @@
   for (int round = 0; round < 3000; ++round) {
     std::vector<VoteSet::Entry> all;
     for (auto n = random() % 20; n > 0; --n)
-      all.push_back(entry_of(random));
+      all.push_back(random_entry(random));
     VoteSet expected;
     for (const auto& entry : all)
       expected.put(entry);
@@ -120,7 +120,7 @@
 }
 
 TEST(SelectHolders, IgnoresAPastEpochAndATokenCountThatOnlyOneContributorClaims) {
-  const SelectionContext context{[](NameId, const Generation& generation) { return generation.start == 1; },
+  const SelectionContext context{[](NameId, const Generation& epoch) { return epoch.start == 1; },
                                  [](NameId) { return 0.5; }, Micros(10), std::chrono::seconds(60)};
   const auto vote = [](NameId device, std::uint32_t tokens, std::uint64_t start = 1) {
     return Vote{{1, 1}, {{device, {start, 0}, tokens, 255, Micros(10)}}, 1, Micros(10)};
