--- a/src/pools/calendar/calendar.cpp
+++ b/src/pools/calendar/calendar.cpp
@@ -12,19 +12,19 @@
 std::vector<double> Calendar::expected(Micros at) const {
   std::vector<double> all;
   for (const auto& [hours, zone] : regions_) {
-    const LocalTime now = zone.at(at);
-    const auto holiday = hours.holidays.find(now.day);
-    const Day& day = holiday == hours.holidays.end() ? hours.week[now.weekday] : holiday->second;
+    const LocalTime local = zone.local_time(at);
+    const auto holiday = hours.holidays.find(local.day);
+    const Day& day = holiday == hours.holidays.end() ? hours.week[local.weekday] : holiday->second;
     double expected = hours.otherwise;
-    for (const auto& stretch : day)
-      if (now.minute >= stretch.from && now.minute < stretch.until)
-        expected = stretch.expected;
+    for (const auto& range : day)
+      if (local.minute >= range.from && local.minute < range.until)
+        expected = range.expected;
     all.push_back(expected);
   }
   return all;
 }
 
-std::vector<double> Calendar::wanted(Micros at) const {
+std::vector<double> Calendar::wanted_shares(Micros at) const {
   auto all = expected(at);
   if (unit_ == Unit::share)
     return all;
@@ -37,24 +37,25 @@
 std::optional<std::pair<Micros, double>> Calendar::over_one(Micros from) const {
   if (unit_ != Unit::share)
     return std::nullopt;
-  // Hours are written in minutes and zones stand at quarters of an hour from each other, so most calendars
-  // change at quarters; the others are found at the minutes that are written.
-  std::vector<bool> minutes(15);
-  minutes[0] = true;
-  const auto note = [&minutes](const Day& day) {
-    for (const auto& one : day)
-      minutes[one.from.count() % 15] = minutes[one.until.count() % 15] = true;
+  // Hours are written in minutes and the offsets of time zones are multiples of 15 minutes, so the shares can
+  // change only at the written minutes modulo 15. Of each quarter of an hour, only those minutes and the
+  // first one are checked.
+  std::vector<bool> checked_minutes(15);
+  checked_minutes[0] = true;
+  const auto add_boundaries = [&checked_minutes](const Day& day) {
+    for (const auto& range : day)
+      checked_minutes[range.from.count() % 15] = checked_minutes[range.until.count() % 15] = true;
   };
   for (const auto& region : regions_) {
     for (const auto& day : region.hours.week)
-      note(day);
+      add_boundaries(day);
     for (const auto& [date, day] : region.hours.holidays)
-      note(day);
+      add_boundaries(day);
   }
-  const auto look = [&](Micros begin, int days) -> std::optional<std::pair<Micros, double>> {
+  const auto find_in = [&](Micros begin, int days) -> std::optional<std::pair<Micros, double>> {
     for (Micros at = begin; at < begin + std::chrono::hours(24 * days); at += std::chrono::minutes(15))
-      for (std::size_t m = 0; m < minutes.size(); ++m) {
-        if (!minutes[m])
+      for (std::size_t m = 0; m < checked_minutes.size(); ++m) {
+        if (!checked_minutes[m])
           continue;
         const Micros minute = at + std::chrono::minutes(m);
         const auto all = expected(minute);
@@ -66,11 +67,11 @@
   };
   for (const auto& region : regions_)
     for (const auto& [day, hours] : region.hours.holidays)
-      if (auto found = look(std::chrono::hours(24 * (day - 1)), 3))
+      if (auto found = find_in(std::chrono::hours(24 * (day - 1)), 3))
         return found;
-  // Every week, since clocks change at different week ends.
+  // Every week is checked, because the regions' clocks change at different weekends.
   for (int week = 0; week < 104; ++week)
-    if (auto found = look(from + std::chrono::hours(24 * 7 * week), 7))
+    if (auto found = find_in(from + std::chrono::hours(24 * 7 * week), 7))
       return found;
   return std::nullopt;
 }
--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -1,4 +1,4 @@
-// How many writers each region is expected to need, minute by minute, as operators wrote it down.
+// The operator's calendar: how many decode nodes each region is expected to need at each minute.
 #pragma once
 
 #include <array>
@@ -11,36 +11,40 @@
 
 namespace lemonroute::pools {
 
-// From a minute of the day up to another one (not included), 0 to 1440.
+/// A time range of a day. Times are minutes of the day, 0 to 1440.
 struct Stretch {
-  std::chrono::minutes from{}, until{};
-  double expected = 0;
+  std::chrono::minutes from{}, until{};  ///< `until` is not included
+  double expected = 0;                   ///< in the calendar's unit
 };
-using Day = std::vector<Stretch>;  // they don't overlap
+using Day = std::vector<Stretch>;  ///< time ranges that do not overlap
 
+/// One region's calendar.
 struct RegionHours {
-  std::string zone;                      // IANA name
-  double otherwise = 0;                  // expected outside of all stretches
-  std::array<Day, 7> week;               // from Monday on
-  std::map<std::int32_t, Day> holidays;  // by days since 1970-01-01; each replaces the weekday's hours
+  std::string zone;                      ///< IANA name of the time zone
+  double otherwise = 0;                  ///< expected outside of all time ranges
+  std::array<Day, 7> week;               ///< from Monday on
+  std::map<std::int32_t, Day> holidays;  ///< by days since 1970-01-01; each replaces the weekday's hours
 };
 
+/// Unit of the numbers in a calendar.
 enum class Unit : std::uint8_t {
-  share,     // of all writers, 0 to 1; the regions' sum is at most 1 at every minute
-  requests,  // per second; a region wants its part of the sum
+  share,     ///< share of all decode nodes, 0 to 1; the regions' shares sum up to at most 1 at every minute
+  requests,  ///< requests per second; a region wants its share of the regions' sum
 };
 
+/// The calendars of all regions.
 class Calendar {
  public:
-  // Throws std::invalid_argument for an unknown zone. Regions in name order.
+  /// Regions are in name order. Throws std::invalid_argument if a time zone is unknown.
   Calendar(Unit unit, const std::map<std::string, RegionHours>& regions);
 
-  // Wanted share of all writers for each region, in name order. `at`: Unix time.
-  std::vector<double> wanted(Micros at) const;
-  // As it is written, in the calendar's unit.
+  /// Wanted share of all decode nodes for each region, in name order. `at`: Unix time.
+  std::vector<double> wanted_shares(Micros at) const;
+  /// The numbers as written, in the calendar's unit, for each region in name order.
   std::vector<double> expected(Micros at) const;
-  // The first of the two years from `from` on (Unix time) at which shares sum up to more than 1, and their
-  // sum.
+  /// A time at which the shares sum up to more than 1, and their sum. Checks the days around each holiday,
+  /// then the two years from `from` (Unix time) on. Nothing if there is no such time, or if the unit is not
+  /// `share`.
   std::optional<std::pair<Micros, double>> over_one(Micros from) const;
 
  private:
@@ -52,7 +56,7 @@
   std::vector<Region> regions_;
 };
 
-// Two stretches of the day that overlap, as indexes; nothing if none do.
+/// Indexes of the first two time ranges of the day that overlap; nothing if none do.
 std::optional<std::pair<std::size_t, std::size_t>> overlap(const Day& day);
 
 }  // namespace lemonroute::pools
--- a/src/pools/calendar/zone.cpp
+++ b/src/pools/calendar/zone.cpp
@@ -8,7 +8,7 @@
 namespace lemonroute::pools {
 
 namespace {
-const date::time_zone* find(const std::string& name) {
+const date::time_zone* find_zone(const std::string& name) {
   try {
     return date::locate_zone(name);
   } catch (const std::runtime_error&) {
@@ -30,20 +30,20 @@
   return date::format("%F", date::sys_days(date::days(day)));
 }
 
-Zone::Zone(const std::string& name) : zone_(find(name)) {}
+Zone::Zone(const std::string& name) : zone_(find_zone(name)) {}
 
-LocalTime Zone::at(Micros at) const {
+LocalTime Zone::local_time(Micros at) const {
   const auto instant = date::sys_seconds(std::chrono::floor<std::chrono::seconds>(at));
   const auto info = zone_->get_info(instant);
   auto local = instant.time_since_epoch() + info.offset;
-  if (info.begin.time_since_epoch() >
-      std::chrono::hours(0)) {  // the tables begin before any clock change that counts
-    const auto before = zone_->get_info(info.begin - std::chrono::seconds(1)).offset;
-    const auto first_pass_ends = info.begin.time_since_epoch() + before;
-    // Guards against a calendar that swings: "until 02:30" would come at the first 02:30 and be undone at the
-    // second 02:00.
-    if (before > info.offset && local < first_pass_ends)
-      local = first_pass_ends - std::chrono::seconds(1);
+  // The tables begin before 1970, where no previous offset exists; earlier clock changes do not matter.
+  if (info.begin.time_since_epoch() > std::chrono::hours(0)) {
+    const auto offset_before = zone_->get_info(info.begin - std::chrono::seconds(1)).offset;
+    const auto first_occurrence_ends = info.begin.time_since_epoch() + offset_before;
+    // Without this, a time range until 02:30 would end at the first 02:30 and apply again at the second
+    // 02:00.
+    if (offset_before > info.offset && local < first_occurrence_ends)
+      local = first_occurrence_ends - std::chrono::seconds(1);
   }
   const auto day = std::chrono::floor<date::days>(local);
   LocalTime time;
--- a/src/pools/calendar/zone.h
+++ b/src/pools/calendar/zone.h
@@ -1,5 +1,4 @@
-// The wall clock of a region: which local day and minute an instant is, through both clock changes of the
-// year.
+// Time zones: converts instants to local days and minutes, including at daylight saving time changes.
 #pragma once
 
 #include <chrono>
@@ -13,24 +12,27 @@
 
 namespace lemonroute::pools {
 
+/// A local time in a time zone.
 struct LocalTime {
-  std::int32_t day = 0;           // since 1970-01-01
-  std::uint32_t weekday = 0;      // 0 = Monday
-  std::chrono::minutes minute{};  // of that day, 0 to 1439
+  std::int32_t day = 0;           ///< days since 1970-01-01
+  std::uint32_t weekday = 0;      ///< 0 = Monday
+  std::chrono::minutes minute{};  ///< of that day, 0 to 1439
 };
 
-// Days since 1970-01-01 of "2026-12-25"; negative where it is no date.
+/// Parses a date such as "2026-12-25" to days since 1970-01-01; negative if it is not a date.
 std::int32_t day_of(const std::string& text);
+/// Formats days since 1970-01-01 as a date such as "2026-12-25".
 std::string day_text(std::int32_t day);
 
+/// A time zone of the system's tzdata.
 class Zone {
  public:
-  // Throws std::invalid_argument for a zone that the system's tzdata does not know.
+  /// Throws std::invalid_argument if the system's tzdata does not have the zone.
   explicit Zone(const std::string& name);
-  // Where the clock is put back, the minutes that come twice count once: through their second pass the wall
-  // clock is taken to stand at the last minute of the first one, so that nothing begins or ends again.
-  // Minutes that are left out when it is put forward do not occur. `at`: Unix time.
-  LocalTime at(Micros at) const;
+  /// Converts a Unix time to the local time. When clocks go back, the repeated minutes occur once: during
+  /// their second occurrence the local time stays at the last minute of the first one, so that no time range
+  /// begins or ends again. Minutes that are skipped when clocks go forward do not occur.
+  LocalTime local_time(Micros at) const;
 
  private:
   const date::time_zone* zone_;  // lives as long as the process
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -1,5 +1,6 @@
-// Pools among routers: what this one may send to, what it keeps for its region, and the moves that it plans.
-// Rides on the datagrams of peers::Agent; docs/pools-design.md has the ways weighed and the bounds.
+// Migration of pools between the routers' regions: the leases that this router's region holds, the grants
+// that this router gives as a grantor, and the migrations that it plans. The messages travel in the datagrams
+// of peers::Agent; docs/pools-design.md compares the alternatives and states the bounds.
 #pragma once
 
 #include <map>
@@ -10,38 +11,46 @@
 
 #include "core/fleet_view.h"
 #include "peers/extension.h"
-#include "pools/demand/sum.h"
+#include "pools/demand/demand_sum.h"
+#include "pools/extension/pending_requests.h"
 #include "pools/extension/planning.h"
-#include "pools/extension/questions.h"
-#include "pools/move/move.h"
-#include "pools/rights/holder/holder.h"
-#include "pools/rights/rights.h"
+#include "pools/leases/holder/lease_holder.h"
+#include "pools/leases/lease_snapshot.h"
+#include "pools/migration/migration.h"
 #include "pools/wire/wire.h"
 
 namespace lemonroute::pools {
 
-class Pools : public peers::Extension {
+/// The extension of peers::Agent that leases pools.
+///
+/// All times are those of the core: Unix time at the start of the process, and steady since then. The serving
+/// loop and this object must use the same clock of one process, and the `now` of each call of `receive` must
+/// be read after the datagram has arrived.
+class PoolsExtension : public peers::Extension {
  public:
+  /// What does not change while the process runs.
   struct Options {
-    Settings settings;              // on
-    std::string name, site;         // this router's
-    std::set<std::string> writers;  // kinds of nodes that are writers, and no readers
-    Micros cold_for{};              // as in the module's settings
-    std::uint64_t start = 0;        // of this process, as the agent has it
+    Settings settings;                   ///< must be enabled
+    std::string name, site;              ///< of this router
+    std::set<std::string> decode_kinds;  ///< kinds of nodes that decode and do not prefill
+    Micros warmup{};                     ///< `cold_for` of the scheduler's settings
+    std::uint64_t start = 0;             ///< start of this process, as the agent has it
   };
-  // All times are the core's: Unix time at the start, and steady since. Danger: the serving loop and this
-  // must be given the same clock of one process, and each `now` of receive must be read after the datagram
-  // has come.
-  Pools(Options options, std::uint64_t seed);
+  /// `seed`: of nonces and of the identifier of this process in ballots.
+  PoolsExtension(Options options, std::uint64_t seed);
 
+  /// Takes a new list of nodes.
   void on_endpoints(const std::vector<Node>& nodes, Micros now);
+  /// Takes what this router's clients have asked of the decode nodes since the last call.
   void on_demand(const NodeObserver::Demand& seen, Micros now);
-  // Whether this process answers as keeper. On from the start on. Off while another process of the same name
-  // may answer; once on again it begins without memory.
-  void keep(bool on, Micros now);
+  /// Switches whether this process answers as a grantor; initially it does. It must be off while another
+  /// process of the same name may answer. When it is switched on again, the grantor starts without memory.
+  void enable_grantor(bool enabled, Micros now);
 
-  std::shared_ptr<const Rights> rights() const { return rights_; }
-  std::uint64_t version() const { return version_; }  // grows with each other rights()
+  /// The current leases.
+  std::shared_ptr<const LeaseSnapshot> lease_snapshot() const { return lease_snapshot_; }
+  /// Grows with each new lease_snapshot().
+  std::uint64_t version() const { return version_; }
 
   peers::Topic topic() const override { return peers::Topic::pools; }
   void viewed(Micros now, const peers::View& view) override;
@@ -52,54 +61,55 @@
 
  private:
   struct Pool {
-    Holder holder;
-    Move move;
+    LeaseHolder holder;
+    Migration migration;
   };
   struct Region {
     std::string name;
     const RegionSettings* settings;
-    Micros blocked_until{};  // no pool is lent there: the last one had to be taken back
+    Micros blocked_until{};  // no pool is lent there, because the last one had to be returned home
   };
   struct Counts {
-    std::uint64_t unreadable = 0, other_settings = 0, strangers = 0, unasked = 0, proposed = 0, undone = 0;
+    std::uint64_t unreadable = 0, other_settings = 0, wrong_region = 0, unsolicited = 0, proposed = 0,
+                  returned = 0;
   };
 
   std::optional<RegionId> region_of(const std::string& site) const;
   std::optional<RegionId> region_of_member(std::string_view name) const;
-  std::size_t routers_of(RegionId region) const;
-  bool plans() const;  // this router proposes for its region
-  void ask_all(Micros now, peers::Outbox& out);
-  void tell_demand(Micros now, peers::Outbox& out);
-  void take(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out);
-  void take(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox& out);
-  void take(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox& out);
-  void take(const Report& report, std::string_view from, Micros now, peers::Outbox& out);
-  bool kept_here(const PoolName& pool) const;
-  void follow(Pool& pool, Micros now);
+  std::size_t count_routers(RegionId region) const;
+  bool is_planner() const;  // this router proposes for its region
+  void request_leases(Micros now, peers::Outbox& out);
+  void send_demand(Micros now, peers::Outbox& out);
+  void handle(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const Report& report, std::string_view from, Micros now, peers::Outbox& out);
+  bool is_grantor_of(const PoolName& pool) const;
+  void update_migration(Pool& pool, Micros now);
   void make_plan(Micros now);
-  void propose(Micros now, peers::Outbox& out);
-  void refresh(Micros now);
+  void send_proposals(Micros now, peers::Outbox& out);
+  void update_snapshot(Micros now);
 
   Options options_;
   std::vector<Region> regions_;
-  std::optional<RegionId> me_;
-  std::shared_ptr<const Rights::Frame> frame_;
+  std::optional<RegionId> own_region_;
+  std::shared_ptr<const LeaseSnapshot::Common> snapshot_common_;
   Planning planning_;
-  Own own_;
-  Sum sum_;
-  Questions questions_;
-  std::optional<Keeper> keeper_;  // where this router is one
-  bool keeps_ = true, replaced_ = false, started_ = false;
-  std::uint64_t by_;    // in this process's ballots
-  std::uint64_t mark_;  // of the settings
+  LocalDemand local_demand_;
+  DemandSum demand_sum_;
+  PendingRequests pending_requests_;
+  std::optional<Grantor> grantor_;  // set if this router is a grantor
+  bool grantor_enabled_ = true, replaced_ = false, started_ = false;
+  std::uint64_t process_id_;   // identifies this process in its ballots
+  std::uint64_t fingerprint_;  // of the settings
   peers::View view_;
-  Inventory stock_;
-  std::map<PoolName, Pool> pools_;  // that may move
+  Inventory inventory_;
+  std::map<PoolName, Pool> pools_;  // those that may migrate
   planner::Plan plan_;
   std::vector<Wish> wishes_;
   Counts counts_;
-  Micros asks_at_{}, plans_at_{};
-  std::shared_ptr<const Rights> rights_;
+  Micros next_request_at_{}, next_plan_at_{};
+  std::shared_ptr<const LeaseSnapshot> lease_snapshot_;
   std::uint64_t version_ = 0;
 };
 
--- a/src/pools/extension/inventory.cpp
+++ b/src/pools/extension/inventory.cpp
@@ -2,31 +2,31 @@
 
 namespace lemonroute::pools {
 
-double Inventory::all() const {
+double Inventory::total() const {
   double sum = 0;
   for (const auto& [name, count] : writers)
     sum += static_cast<double>(count);
   return sum;
 }
 
-Inventory take_stock(const std::vector<Node>& nodes, const Settings& settings,
-                     const std::set<std::string>& kinds) {
-  Inventory stock;
-  std::map<std::string, std::size_t> at_site;
+Inventory build_inventory(const std::vector<Node>& nodes, const Settings& settings,
+                          const std::set<std::string>& decode_kinds) {
+  Inventory inventory;
+  std::map<std::string, std::size_t> ready_at_site;
   for (const auto& node : nodes) {
-    if (!kinds.contains(node.kind) || node.listed_state == EndpointState::removed ||
-        node.zone.size() > most_name || !settings.region_of(node.zone))
+    if (!decode_kinds.contains(node.kind) || node.listed_state == EndpointState::removed ||
+        node.zone.size() > max_name_bytes || !settings.region_of(node.zone))
       continue;
     const std::size_t ready = node.listed_state == EndpointState::ready ? 1 : 0;
-    stock.writers[{node.zone, node.endpoint.cell}] += ready;
-    at_site[node.zone] += ready;
-    if (stock.writers.size() > most_pools)
-      stock.writers.erase(std::prev(stock.writers.end()));
+    inventory.writers[{node.zone, node.endpoint.cell}] += ready;
+    ready_at_site[node.zone] += ready;
+    if (inventory.writers.size() > max_pools)
+      inventory.writers.erase(std::prev(inventory.writers.end()));
   }
-  for (const auto& [site, ready] : at_site)
+  for (const auto& [site, ready] : ready_at_site)
     if (ready == 0)
-      stock.lost.insert(site);
-  return stock;
+      inventory.lost_sites.insert(site);
+  return inventory;
 }
 
 }  // namespace lemonroute::pools
--- a/src/pools/extension/inventory.h
+++ b/src/pools/extension/inventory.h
@@ -1,4 +1,4 @@
-// The pools that the node list makes.
+// The pools that the listed nodes form.
 #pragma once
 
 #include <map>
@@ -11,14 +11,18 @@
 
 namespace lemonroute::pools {
 
+/// The decode nodes of all regions by pool.
 struct Inventory {
-  std::map<PoolName, std::size_t> writers;  // listed as ready, by pool of any region; 0: none is left
-  std::set<std::string> lost;  // sites of regions all of whose writers are listed, and none as ready
-  double all() const;          // at sites that are not lost
+  std::map<PoolName, std::size_t>
+      writers;                       ///< decode nodes that are listed as ready, by pool; 0: none is left
+  std::set<std::string> lost_sites;  ///< sites whose decode nodes are listed, but none of them as ready
+  /// Number of decode nodes that are listed as ready.
+  double total() const;
 };
 
-// `kinds`: of nodes that are writers. At most most_pools pools, the first by name.
-Inventory take_stock(const std::vector<Node>& nodes, const Settings& settings,
-                     const std::set<std::string>& kinds);
+/// Groups the nodes by pool. `decode_kinds`: kinds of nodes that are decode nodes. Keeps the first
+/// `max_pools` pools by name.
+Inventory build_inventory(const std::vector<Node>& nodes, const Settings& settings,
+                          const std::set<std::string>& decode_kinds);
 
 }  // namespace lemonroute::pools
--- a/src/pools/extension/planning.h
+++ b/src/pools/extension/planning.h
@@ -1,4 +1,4 @@
-// From the calendar, the demand and what is known of the pools to the planner's inputs.
+// Computes the planner's inputs from the calendar, the demand and the state of the pools.
 #pragma once
 
 #include <map>
@@ -12,31 +12,37 @@
 
 namespace lemonroute::pools {
 
-// What one region is to have, and how that came about. In writers, but for `share`.
+/// How many decode nodes one region should have, and what that is based on.
 struct Wish {
-  double share = 0;              // the calendar's, of all writers
-  std::optional<double> demand;  // measured; nothing where too few told
-  double wanted = 0;
+  double share = 0;              ///< share of all decode nodes by the calendar
+  std::optional<double> demand;  ///< measured demand in decode nodes; nothing if too few routers reported
+  double wanted = 0;             ///< decode nodes that the region should have
 };
 
-// `fills`: writers that the region's requests fill. Demand moves the calendar's wish by `correction` of all
-// at most.
+/// Computes a region's target. `fills`: decode nodes that the region's requests fill. `all`: number of all
+/// decode nodes. Demand changes the calendar's number by at most `Settings::correction` of all decode nodes.
 Wish wish_of(const Settings& settings, double share, std::optional<double> fills, double all);
 
+/// Computes the planner's inputs.
 class Planning {
  public:
-  explicit Planning(const Settings& settings);  // must outlive it
+  /// `settings` must outlive the object.
+  explicit Planning(const Settings& settings);
 
-  // Shares of all writers by region, the larger of now's and of those soon; Unix time.
-  std::vector<double> shares(Micros now, const Inventory& stock) const;
+  /// Each region's share of all decode nodes, in name order: the larger of the calendar's shares at `now`
+  /// (Unix time) and `Settings::ahead` later.
+  std::vector<double> shares(Micros now, const Inventory& inventory) const;
 
+  /// State of a pool that may migrate.
   struct PoolState {
-    std::string owner;
-    std::string fixed;  // why it can't move
-    bool moving = false;
+    std::string owner;         ///< region
+    std::string fixed_reason;  ///< why it can't migrate; empty: it can
+    bool migrating = false;
   };
-  planner::Inputs inputs(const Inventory& stock, const std::vector<Wish>& wishes,
-                         const std::map<PoolName, PoolState>& states, const std::vector<bool>& takes) const;
+  /// The planner's inputs. `wishes` and `accepts_pools` are in name order of the regions.
+  planner::Inputs inputs(const Inventory& inventory, const std::vector<Wish>& wishes,
+                         const std::map<PoolName, PoolState>& states,
+                         const std::vector<bool>& accepts_pools) const;
 
  private:
   const Settings* settings_;
--- a/src/pools/names.h
+++ b/src/pools/names.h
@@ -1,4 +1,4 @@
-// What pools are called, and the bounds of how many there may be.
+// Names of pools, and limits of the numbers of pools and regions.
 #pragma once
 
 #include <compare>
@@ -11,19 +11,20 @@
 
 namespace lemonroute::pools {
 
-inline constexpr std::size_t most_pools = 4096;  // of all regions together
-inline constexpr std::size_t most_regions = 16;
-inline constexpr std::size_t most_name = 64;  // bytes of a site's or router's name
+inline constexpr std::size_t max_pools = 4096;     ///< of all regions together
+inline constexpr std::size_t most_regions = 16;    ///< maximum number of regions
+inline constexpr std::size_t max_name_bytes = 64;  ///< of a site's or router's name
 
-// The writers of one cell, written "SITE/CELL" in files and on the wire.
+/// Names the pool of decode nodes of one cell. Written as "SITE/CELL" in files and in output.
 struct PoolName {
   std::string site;
   std::uint32_t cell = 0;
   auto operator<=>(const PoolName&) const = default;
+  /// Returns "SITE/CELL".
   std::string text() const { return site + "/" + std::to_string(cell); }
 };
 
-// Nothing where it is no such name.
+/// Parses "SITE/CELL"; nothing if the text is not such a name.
 std::optional<PoolName> parse_pool(std::string_view text);
 
 }  // namespace lemonroute::pools
--- a/src/pools/planner/planner.h
+++ b/src/pools/planner/planner.h
@@ -1,12 +1,13 @@
-// From what each region should have and what it has, to the pools that should move. A pure function: the same
-// inputs, in whatever order, give the same plan on every router.
+// Decides which pools migrate, given how many decode nodes each region wants and has. The plan is a pure
+// function of the inputs: the same inputs in any order give the same plan on every router.
 //
-// A region is short by what it wants beyond its writers. Two kinds of moves are made:
-// - needed: one that lowers the sum of all shortages by more than the hysteresis;
-// - home: a pool lent away goes back once its borrower has it left over, by more than the hysteresis.
-// So while what regions want stays within half of the hysteresis of any fixed wish, each needed move lowers
-// the shortage under that wish and each home move lowers the number of pools lent out without raising it: no
-// pool can come back to where it was, and moves end.
+// The shortage of a region is what it wants beyond the decode nodes that it has. There are two kinds of
+// migrations:
+// - needed: lowers the sum of all shortages by more than the hysteresis;
+// - return: brings a lent pool home once its borrower has it to spare by more than the hysteresis.
+// While the wanted numbers stay within half of the hysteresis of fixed targets, each needed migration lowers
+// the shortage under those targets, and each return lowers the number of lent pools without raising the
+// shortage. No allocation of the pools occurs twice, so the migrations end.
 #pragma once
 
 #include <map>
@@ -18,49 +19,56 @@
 
 namespace lemonroute::pools::planner {
 
+/// One region's demand.
 struct Region {
   std::string name;
-  double wanted = 0;   // writers
-  double reserve = 0;  // writers below which it is never brought by lending
-  bool takes = true;   // false: no pool is moved there, since nobody there answers
+  double wanted = 0;          ///< decode nodes
+  double reserve = 0;         ///< decode nodes that always stay with the region: it lends no pool below this
+  bool accepts_pools = true;  ///< false: no pool migrates there, because no router there answers
 };
+/// One pool of decode nodes.
 struct Pool {
   PoolName name;
-  std::string home, owner;  // regions; while it moves, the owner is the one to come
-  double writers = 0;
-  std::string fixed;    // why it can't move at all, "reserve" for one; empty: it can
-  bool moving = false;  // handed over, or cold, too
+  std::string home, owner;   ///< regions; the owner of a migrating pool is the region it migrates to
+  double decode_nodes = 0;   ///< ready decode nodes
+  std::string fixed_reason;  ///< why it can't migrate, such as "reserve"; empty: it can
+  bool migrating = false;    ///< also while it is handed over or warms up
 };
+/// Limits of a plan.
 struct Settings {
-  double hysteresis = 1;  // writers, above 0
-  std::size_t moving_at_once = 1;
-  double room =
-      0.5;  // part of what a region wants that must be left to it after the loss of any one site, 0 to 1
+  double hysteresis = 1;  ///< decode nodes, above 0
+  std::size_t max_concurrent_migrations = 1;
+  double headroom = 0.5;  ///< share of what a region wants that a lender keeps after the loss of any one
+                          ///< site, 0 to 1
 };
+/// What a plan is computed from.
 struct Inputs {
   Settings settings;
   std::vector<Region> regions;
   std::vector<Pool> pools;
-  std::set<std::string> lost;  // sites
+  std::set<std::string> lost_sites;
   std::map<std::pair<std::string, std::string>, double>
-      distance;  // region, site; 0 at home, otherwise 1 where absent
+      distance;  ///< by region and site; where absent, 0 at the pool's home and 1 elsewhere
 };
 
-struct Move {
+/// A planned migration of a pool.
+struct PlannedMigration {
   PoolName pool;
-  std::string from, to;
-  std::string why;
+  std::string from, to;  ///< regions
+  std::string why;       ///< the reason, for operators
 };
-// Why a region does not get what it wants, with the constraint to blame.
-struct Blame {
+/// Explains why a region stays short, with the constraint that is responsible.
+struct Shortage {
   std::string region, constraint, text;
 };
+/// The result of planning.
 struct Plan {
-  std::vector<Move> moves;
-  std::vector<Blame>
-      blames;  // one for each region that stays short by more than the hysteresis, and no others
+  std::vector<PlannedMigration> moves;
+  std::vector<Shortage>
+      shortages;  ///< one for each region that stays short by more than the hysteresis, and no others
 };
 
+/// Computes the plan.
 Plan plan(const Inputs& inputs);
 
 }  // namespace lemonroute::pools::planner
--- a/src/pools/settings.cpp
+++ b/src/pools/settings.cpp
@@ -14,24 +14,24 @@
   return nullptr;
 }
 
-std::uint64_t Settings::mark() const {
+std::uint64_t Settings::fingerprint() const {
   std::ostringstream text;
   text << terms.lease.count() << ' ' << terms.clock_error << ' ' << terms.margin.count() << '\n';
-  const auto put = [&text](const std::string& word) { text << word.size() << ':' << word << ' '; };
+  const auto append = [&text](const std::string& value) { text << value.size() << ':' << value << ' '; };
   for (const auto& [name, region] : regions) {
-    put(name);
+    append(name);
     auto sorted = region.sites;
     std::sort(sorted.begin(), sorted.end());
     for (const auto& site : sorted)
-      put(site);
+      append(site);
     text << "| ";
     sorted = region.keepers;
     std::sort(sorted.begin(), sorted.end());
     for (const auto& keeper : sorted)
-      put(keeper);
+      append(keeper);
     text << "| ";
     for (const auto& pool : region.reserve)
-      put(pool.text());
+      append(pool.text());
     text << '\n';
   }
   return hash_text(text.str());
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -1,5 +1,5 @@
-// What the operator's file says of pools. The same on every router of the fleet: those whose keepers,
-// reserves or lease differ do not hear each other (see mark).
+// The operator's settings of pools. They are the same on every router of the fleet: routers whose grantors,
+// reserves or lease terms differ reject each other's messages (see Settings::fingerprint).
 #pragma once
 
 #include <map>
@@ -8,36 +8,42 @@
 #include <vector>
 
 #include "pools/calendar/calendar.h"
+#include "pools/leases/terms.h"
 #include "pools/names.h"
-#include "pools/rights/terms.h"
 
 namespace lemonroute::pools {
 
+/// One region's sites, grantors and reserve.
 struct RegionSettings {
   std::vector<std::string> sites;
-  std::vector<std::string> keepers;  // 3, 5 or 7 routers; none: its pools never move
-  std::set<PoolName> reserve;        // pools of its sites that never move
+  std::vector<std::string> keepers;  ///< grantors: 3, 5 or 7 routers; none: its pools never migrate
+  std::set<PoolName> reserve;        ///< pools of its sites that never migrate
 };
 
+/// Settings of all regions.
 struct Settings {
   std::map<std::string, RegionSettings> regions;
-  std::map<std::string, RegionHours> hours;  // a region without any wants the writers of its reserve
-  Unit unit = Unit::share;
-  Terms terms;
-  std::size_t moving_at_once = 1;  // of one home region's pools
-  double hysteresis = 0.05;        // share of all writers
-  double room = 0.5;               // part of its wish that a lender keeps after the loss of any one site
-  double correction = 0.1;         // share of all writers by which demand may correct the calendar either way
-  double fill = 0.7;               // share of their memory that writers are meant to fill
-  double influence = 2;  // most that one router's report counts, in means of its region's other reports
-  Micros ahead = std::chrono::minutes(5);  // pools are asked for so long before the calendar says
-  Micros plans_every = std::chrono::seconds(5);
-  std::map<std::pair<std::string, std::string>, double> distance;  // region, site
+  std::map<std::string, RegionHours>
+      hours;                ///< by region; a region without hours wants the decode nodes of its reserve
+  Unit unit = Unit::share;  ///< unit of the hours
+  LeaseTerms terms;
+  std::size_t moving_at_once = 1;  ///< concurrent migrations of one home region's pools
+  double hysteresis = 0.05;        ///< share of all decode nodes
+  double room = 0.5;  ///< headroom: share of its wanted number that a lender keeps after the loss of any
+                      ///< one site
+  double correction = 0.1;  ///< share of all decode nodes by which demand may correct the calendar up or down
+  double fill = 0.7;        ///< share of their memory that decode nodes are meant to fill
+  double influence = 2;     ///< largest weight of one router's report, in means of its region's other reports
+  Micros ahead = std::chrono::minutes(5);        ///< how long before the calendar's time pools are requested
+  Micros plans_every = std::chrono::seconds(5);  ///< interval of planning
+  std::map<std::pair<std::string, std::string>, double> distance;  ///< by region and site
 
-  bool on() const { return !regions.empty(); }
-  const std::string* region_of(const std::string& site) const;  // null: of none
-  // One number of all that safety rests on.
-  std::uint64_t mark() const;
+  /// Whether any region is configured.
+  bool enabled() const { return !regions.empty(); }
+  /// The region of a site; null: the site belongs to no region.
+  const std::string* region_of(const std::string& site) const;
+  /// Hash of all settings that mutual exclusion rests on.
+  std::uint64_t fingerprint() const;
 };
 
 }  // namespace lemonroute::pools
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -1,4 +1,5 @@
-// Pools' payloads: read strictly, with every field bounded, and written in pieces that fit.
+// Reads and writes the payloads of pools. Every field that is read has bounds; a message that is too long for
+// one payload is split.
 #pragma once
 
 #include <optional>
@@ -7,41 +8,56 @@
 #include <variant>
 #include <vector>
 
-#include "pools/demand/own.h"
+#include "pools/demand/local_demand.h"
+#include "pools/leases/ballot.h"
 #include "pools/names.h"
-#include "pools/rights/ballot.h"
 
 namespace lemonroute::pools::wire {
 
+/// State of one pool.
 struct Entry {
   PoolName pool;
-  Owned owned;  // its time on this process's clock; goes as an age
+  Ownership owned;  ///< its time is on this process's clock; the payload has it as an age
+  /// Of an answer: `ok`: granted to the requesting region; `active`: the owner has a grant.
   bool ok = false, active = false;
 };
+/// Request of a router for leases.
 struct Ask {
-  std::uint64_t nonce = 0;
-  RegionId region = 0;
+  std::uint64_t nonce = 0;  ///< the answer repeats it
+  RegionId region = 0;      ///< region of the requesting router
   std::vector<Entry> pools;
 };
+/// Answer of a grantor.
 struct Grant {
-  std::uint64_t nonce = 0;
-  bool abstains = false;
+  std::uint64_t nonce = 0;  ///< of the request
+  bool abstains = false;    ///< the grantor has started and grants nothing yet
   std::vector<Entry> pools;
 };
+/// Proposal of a pool's next owner.
 struct Propose {
   Entry pool;
 };
+/// The content of a payload.
 using Message = std::variant<Ask, Grant, Propose, Report>;
 
-enum class Fault : std::uint8_t { unreadable, version, mark, bounds };
+/// Why a payload was rejected.
+enum class Fault : std::uint8_t {
+  unreadable,  ///< not a payload of pools
+  version,     ///< unknown version of the format
+  mark,        ///< the sender's settings differ
+  bounds       ///< a field is out of bounds
+};
+/// Result of reading a payload.
 struct Read {
   std::optional<Message> message;
-  Fault fault = Fault::unreadable;  // where there is none
+  Fault fault = Fault::unreadable;  ///< valid if there is no message
 };
-// `mark`: of this router's settings; `regions`: how many it knows. Never throws.
-Read read(std::string_view bytes, std::uint64_t mark, std::size_t regions, Micros now);
+/// Reads a payload. `fingerprint`: of this router's settings. `regions`: number of regions in them. Never
+/// throws.
+Read read(std::string_view bytes, std::uint64_t fingerprint, std::size_t regions, Micros now);
 
-// One payload, or several where entries need them; each within peers::Outbox::most.
-std::vector<std::string> write(const Message& message, std::uint64_t mark, Micros now);
+/// Writes a message as one payload, or as several if its entries need them. Each payload has at most
+/// peers::Outbox::most bytes.
+std::vector<std::string> write(const Message& message, std::uint64_t fingerprint, Micros now);
 
 }  // namespace lemonroute::pools::wire
--- a/tests/pools/config_test.cpp
+++ b/tests/pools/config_test.cpp
@@ -6,7 +6,7 @@
 namespace lemonroute::config {
 namespace {
 
-// Faults of a file with two regions, without the file's name; `extra` begins at line 4.
+// Returns the faults of a file with two regions; `extra` begins at line 4.
 std::vector<std::string> faults_of(const std::string& extra,
                                    Regions regions = {{"north", {{"a", "b"}, {"k1", "k2", "k3"}, 7}},
                                                       {"south", {{"c"}, {}, 9}}}) {
@@ -26,7 +26,7 @@
          until + "\"\n" + rest + "\n";
 }
 
-TEST(PoolsFile, EachFaultIsOneLineWithPlaceKeyAndReason) {
+TEST(PoolsConfig, ReportsEachFaultInOneLineWithPlaceKeyAndReason) {
   const std::string good = entry("\"mon\"", "08:00", "18:00", "share = 0.6");  // lines 7 to 11
   struct Row {
     std::string text, fault;
@@ -68,7 +68,7 @@
   EXPECT_TRUE(faults_of("").empty());
 }
 
-TEST(PoolsFile, RegionsMustBeAbleToServe) {
+TEST(PoolsConfig, RejectsRegionsThatCannotServe) {
   using Lines = std::vector<std::string>;
   EXPECT_EQ(faults_of("[pools]\n", {}), Lines{"f:4: pools: needs regions, [regions.NAME]"});
   EXPECT_EQ(faults_of("[pools]\n", {{"r", {{}, {}, 3}}}), Lines{"f:3: regions.r: has no sites"});
@@ -78,7 +78,7 @@
             Lines{"f:5: regions.s: has the site 'a' of regions.r"});
 }
 
-TEST(PoolsFile, ReservesAreHeldAgainstTheFilesNodes) {
+TEST(PoolsConfig, ReportsReservesThatTheFilesNodesLack) {
   const auto root = toml::parse(R"(
 [pools.calendar.north]
 zone = "Europe/Rome"
--- a/tests/pools/parts_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -4,16 +4,16 @@
 #include <random>
 
 #include "peers/extension.h"
-#include "pools/demand/sum.h"
+#include "pools/demand/demand_sum.h"
 #include "pools/extension/planning.h"
 #include "pools/wire/wire.h"
 
 namespace lemonroute::pools {
 namespace {
 
-// Whatever one of n reports says, the sum is at most 1 + c / (n - 1) times what the others say, and never
-// less than without it; where those are alike, they count whole beside any lie.
-TEST(Demand, OneRouterMovesTheSumByAStatedShareOnly) {
+// Whatever one of n routers reports, the sum is at most 1 + influence / (n - 1) times the sum of the other
+// reports and does not fall as the report grows. Similar reports of the others are counted in full.
+TEST(Demand, InfluenceOfOneReportOnTheSumIsBounded) {
   for (std::uint32_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937 rng(seed);
     const double influence = 2 + rng() % 4;
@@ -22,44 +22,44 @@
     std::vector<double> honest(n - 1);
     for (auto& one : honest)
       one = alike ? 100 + rng() % 20 : rng() % 3 == 0 ? 0 : (rng() % 1000) * (rng() % 10 == 0 ? 20.0 : 1.0);
-    const double truth = std::accumulate(honest.begin(), honest.end(), 0.0);
-    double last = alike ? truth - 1e-6 : 0;
-    for (const double lie : {0.0, 1.0, 1e3, 1e9}) {
+    const double honest_sum = std::accumulate(honest.begin(), honest.end(), 0.0);
+    double last_sum = alike ? honest_sum - 1e-6 : 0;
+    for (const double report : {0.0, 1.0, 1e3, 1e9}) {
       auto all = honest;
-      all.push_back(lie);
+      all.push_back(report);
       std::shuffle(all.begin(), all.end(), rng);
       const double sum = bounded_sum(all, influence);
-      EXPECT_LE(sum, truth * (1 + influence / static_cast<double>(n - 1)) + 1e-6) << seed;
-      EXPECT_LE(sum, truth + lie + 1e-6);
-      EXPECT_GE(sum, last - 1e-6) << seed;
-      last = sum;
+      EXPECT_LE(sum, honest_sum * (1 + influence / static_cast<double>(n - 1)) + 1e-6) << seed;
+      EXPECT_LE(sum, honest_sum + report + 1e-6);
+      EXPECT_GE(sum, last_sum - 1e-6) << seed;
+      last_sum = sum;
     }
   }
   EXPECT_EQ(bounded_sum({7}, 2), 7);
   EXPECT_EQ(bounded_sum({}, 2), 0);
 }
 
-TEST(Demand, AgesOutAndNeedsHalfOfTheRouters) {
+TEST(Demand, ReportsExpireAndHalfOfTheRoutersMustReport) {
   using std::chrono::seconds;
-  Sum sum(2);
-  sum.heard(0, "a", {5, 4, 0}, seconds(100));
-  sum.heard(0, "a", {4, 9, 0}, seconds(101));  // late
-  sum.heard(1, "b", {1, 7, 0}, seconds(101));
-  EXPECT_EQ(sum.writers(0, 2, seconds(102)), 4);
-  EXPECT_EQ(sum.writers(0, 3, seconds(102)), std::nullopt);
-  EXPECT_EQ(sum.writers(0, 2, seconds(131)), std::nullopt);
+  DemandSum sum(2);
+  sum.on_report(0, "a", {5, 4, 0}, seconds(100));
+  sum.on_report(0, "a", {4, 9, 0}, seconds(101));  // older than the last_sum report
+  sum.on_report(1, "b", {1, 7, 0}, seconds(101));
+  EXPECT_EQ(sum.decode_nodes(0, 2, seconds(102)), 4);
+  EXPECT_EQ(sum.decode_nodes(0, 3, seconds(102)), std::nullopt);
+  EXPECT_EQ(sum.decode_nodes(0, 2, seconds(131)), std::nullopt);
 }
 
-TEST(Demand, RefusalsWeighIn) {
-  Own own;
-  EXPECT_FALSE(own.report(Micros(1)));  // nothing seen is not the same as nothing wanted
-  own.add({0.5, 0.5, 5, 5, 8}, Micros(1));
-  EXPECT_NEAR(own.report(Micros(2))->writers, 8, 1e-9);
-  own.add({0, 0, 0, 0, 8}, std::chrono::minutes(10));
-  EXPECT_NEAR(own.report(std::chrono::minutes(10))->writers, 0, 1e-9);
+TEST(Demand, CountsRejectedRequests) {
+  LocalDemand local_demand;
+  EXPECT_FALSE(local_demand.report(Micros(1)));  // an unknown demand is not reported as no demand
+  local_demand.add({0.5, 0.5, 5, 5, 8}, Micros(1));
+  EXPECT_NEAR(local_demand.report(Micros(2))->writers, 8, 1e-9);
+  local_demand.add({0, 0, 0, 0, 8}, std::chrono::minutes(10));
+  EXPECT_NEAR(local_demand.report(std::chrono::minutes(10))->writers, 0, 1e-9);
 }
 
-TEST(Demand, CorrectsTheCalendarWithinBounds) {
+TEST(Demand, CorrectsTheCalendarWithinLimits) {
   Settings settings;
   settings.correction = 0.1;
   settings.fill = 0.5;
@@ -70,8 +70,9 @@
   EXPECT_NEAR(wish_of(settings, 0.95, 1000, 100).wanted, 100, 1e-9);
 }
 
-// What is written is read as it was, in pieces that fit; no damage to it makes more than a fault.
-TEST(Wire, PiecesAndDamage) {
+// A message is read as it was written, in payloads within the size limit. A damaged payload is rejected, or
+// is read with all fields within bounds.
+TEST(Wire, RoundTripsSplitMessagesAndRejectsDamagedOnes) {
   std::mt19937_64 rng(3);
   const Micros now = std::chrono::hours(1000);
   for (int round = 0; round < 200; ++round) {
@@ -79,7 +80,7 @@
     for (std::size_t i = 0; i < 1 + rng() % 120; ++i) {
       const std::uint64_t moved = rng() % 2;
       grant.pools.push_back(
-          {{std::string(1 + rng() % most_name, 'x'), static_cast<std::uint32_t>(rng() % 65536)},
+          {{std::string(1 + rng() % max_name_bytes, 'x'), static_cast<std::uint32_t>(rng() % 65536)},
            {{moved * rng() % 1000, static_cast<RegionId>(moved * rng() % 4), moved * rng()},
             static_cast<RegionId>(rng() % 4),
             Micros(0)},
@@ -110,7 +111,7 @@
         if (!some)
           continue;
         for (const auto& entry : some->pools)
-          ASSERT_TRUE(entry.owned.owner < 4 && entry.pool.site.size() <= most_name);
+          ASSERT_TRUE(entry.owned.owner < 4 && entry.pool.site.size() <= max_name_bytes);
       }
     }
     ASSERT_EQ(got.size(), grant.pools.size());
--- a/tests/pools/world.h
+++ b/tests/pools/extension_world.h
@@ -1,5 +1,6 @@
-// Several routers' pools on a seeded net in one thread: clocks of their own, cuts, crashes, freezes. Views
-// follow what can be reached after two seconds, as membership would have it.
+// Simulates the pools extensions of several routers in one thread, on a network with a seeded random
+// generator. Routers have clocks of their own, crash and are suspended; the network is partitioned and loses
+// messages. Views follow what is reachable within two seconds, as with membership.
 #pragma once
 
 #include <functional>
@@ -28,8 +29,8 @@
   return one;
 }
 
-// Regions "north" (site n) and "south" (site s), three routers each, all keepers; three pools of four writers
-// each, the first one reserved. Hours are UTC.
+// Regions "north" (site n) and "south" (site s) with three routers each, which are all grantors. Each site
+// region_of_pool three pools of four decode nodes, of which the first is reserved. Hours are UTC.
 inline Settings two_regions() {
   Settings s;
   for (const std::string name : {"north", "south"}) {
@@ -54,30 +55,32 @@
     World* world = nullptr;
     std::size_t index = 0;
     std::string name, site;
-    Micros skew{};
+    Micros clock_offset{};
     double rate = 1;
-    std::unique_ptr<Pools> pools;  // null: crashed
-    Micros frozen_until{};
-    std::uint64_t start = 0, life = 0;
-    std::vector<std::string> seen_as_alive;
+    std::unique_ptr<PoolsExtension> extension;  // null: the process region_of_pool crashed
+    Micros suspended_until{};
+    std::uint64_t start = 0, incarnation = 0;
+    std::vector<std::string> last_alive;
     Micros local() const {
-      return base + skew + Micros(static_cast<std::int64_t>(static_cast<double>(world->now.count()) * rate));
+      return base + clock_offset +
+             Micros(static_cast<std::int64_t>(static_cast<double>(world->now.count()) * rate));
     }
     void send(peers::Topic, std::string_view to, std::string bytes) override {
-      world->carry(*this, to, std::move(bytes));
+      world->deliver(*this, to, std::move(bytes));
     }
   };
 
-  World(Settings with, std::uint64_t seed, int routers_each = 3) : settings(std::move(with)), rng(seed) {
+  World(Settings with, std::uint64_t seed, int routers_per_region = 3)
+      : settings(std::move(with)), rng(seed) {
     for (const auto& [name, region] : settings.regions)
-      for (int c = 0; c < routers_each; ++c) {
+      for (int c = 0; c < routers_per_region; ++c) {
         auto one = std::make_unique<Process>();
         one->world = this;
         one->index = processes.size();
         one->name = name + std::to_string(c);
         one->site = region.sites[0];
-        // Clocks that show different times, and run differently.
-        one->skew = Micros(static_cast<std::int64_t>(rng() % 2'000'000));
+        // The clocks differ in time and in rate.
+        one->clock_offset = Micros(static_cast<std::int64_t>(rng() % 2'000'000));
         one->rate = rng() % 2 ? 1 + settings.terms.clock_error : 1 - settings.terms.clock_error;
         processes.push_back(std::move(one));
       }
@@ -87,33 +90,33 @@
           for (int n = 0; n < 4; ++n)
             nodes.push_back(node(site, cell, n));
     for (auto& one : processes)
-      begin(*one);
-    look();
+      start(*one);
+    update_views();
   }
 
-  void begin(Process& one) {
-    ++one.life;
+  void start(Process& one) {
+    ++one.incarnation;
     one.start = static_cast<std::uint64_t>(one.local().count());
-    one.pools = std::make_unique<Pools>(
-        Pools::Options{settings, one.name, one.site, {"writer"}, 4s, one.start}, rng());
-    one.seen_as_alive.clear();
-    show(one);
-    one.pools->on_endpoints(nodes, one.local());
-    wake(one, one.life);
+    one.extension = std::make_unique<PoolsExtension>(
+        PoolsExtension::Options{settings, one.name, one.site, {"writer"}, 4s, one.start}, rng());
+    one.last_alive.clear();
+    update_view(one);
+    one.extension->on_endpoints(nodes, one.local());
+    schedule_due(one, one.incarnation);
   }
   void crash(Process& one) {
-    one.pools.reset();
-    ++one.life;
+    one.extension.reset();
+    ++one.incarnation;
   }
-  void list() {
+  void publish_nodes() {
     for (auto& one : processes)
-      if (one->pools)
-        one->pools->on_endpoints(nodes, one->local());
+      if (one->extension)
+        one->extension->on_endpoints(nodes, one->local());
   }
 
   void at(Micros when, std::function<void()> what) { queue.push({when, serial++, std::move(what)}); }
   void run(Micros until) {
-    while (!queue.empty() && queue.top().when <= until && broken.empty()) {
+    while (!queue.empty() && queue.top().when <= until && failure.empty()) {
       auto event = queue.top();
       queue.pop();
       now = event.when;
@@ -123,30 +126,31 @@
     now = until;
   }
 
-  // Who may send to that pool now, by region; as the serving loops see it.
+  // Number of routers that may send to the pool now, by region, as their serving loops see it.
   std::map<std::string, int> senders(const PoolName& name) {
     std::map<std::string, int> by;
     for (auto& one : processes) {
-      if (!one->pools)
+      if (!one->extension)
         continue;
-      const auto laid = one->pools->rights()->overlay(node(name.site, static_cast<int>(name.cell), 0));
-      if (!laid.drained && laid.expires_at > one->local())
+      const auto overlay =
+          one->extension->lease_snapshot()->overlay(node(name.site, static_cast<int>(name.cell), 0));
+      if (!overlay.drained && overlay.expires_at > one->local())
         ++by[*settings.region_of(one->site)];
     }
     return by;
   }
   void check() {
-    std::map<PoolName, std::string> has;
+    std::map<PoolName, std::string> region_of_pool;
     for (auto& one : processes) {
-      if (!one->pools)
+      if (!one->extension)
         continue;
-      for (const auto& [name, entry] : one->pools->rights()->pools()) {
-        if (entry.away || entry.until <= one->local())
+      for (const auto& [name, entry] : one->extension->lease_snapshot()->pools()) {
+        if (entry.drained || entry.expires_at <= one->local())
           continue;
         const auto& region = *settings.region_of(one->site);
-        const auto [at, fresh] = has.emplace(name, region);
+        const auto [at, fresh] = region_of_pool.emplace(name, region);
         if (at->second != region)
-          broken = name.text() + " is sent to by two regions at " + std::to_string(now.count());
+          failure = name.text() + " is sent to by two regions at " + std::to_string(now.count());
       }
     }
   }
@@ -158,45 +162,45 @@
   std::vector<std::unique_ptr<Process>> processes;
   std::function<bool(const Process&, const Process&)> linked = [](auto&, auto&) { return true; };
   double loss = 0;
-  std::uint64_t payloads = 0, bytes = 0;
-  Digest digest;  // of all that was sent
-  std::string broken;
+  std::uint64_t payloads_sent = 0, bytes_sent = 0;
+  Digest digest;  // of all payloads_sent that were sent
+  std::string failure;
 
  private:
-  bool awake(const Process& one) const { return one.pools && now >= one.frozen_until; }
-  void when_awake(Process& one, std::uint64_t life, Micros when, std::function<void()> what) {
-    at(when, [this, &one, life, what = std::move(what)] {
-      if (one.life != life || !one.pools)
+  bool running(const Process& one) const { return one.extension && now >= one.suspended_until; }
+  void run_when_running(Process& one, std::uint64_t incarnation, Micros when, std::function<void()> what) {
+    at(when, [this, &one, incarnation, what = std::move(what)] {
+      if (one.incarnation != incarnation || !one.extension)
         return;
-      if (awake(one))
+      if (running(one))
         what();
       else
-        when_awake(one, life, one.frozen_until, what);
+        run_when_running(one, incarnation, one.suspended_until, what);
     });
   }
-  void wake(Process& one, std::uint64_t life) {
-    const Micros due = one.pools->next_due() - one.local();
-    when_awake(one, life, now + std::max(Micros(1000), due), [this, &one, life] {
-      one.pools->run_due(one.local(), one);
-      wake(one, life);
+  void schedule_due(Process& one, std::uint64_t incarnation) {
+    const Micros due = one.extension->next_due() - one.local();
+    run_when_running(one, incarnation, now + std::max(Micros(1000), due), [this, &one, incarnation] {
+      one.extension->run_due(one.local(), one);
+      schedule_due(one, incarnation);
     });
   }
-  void carry(Process& from, std::string_view to, std::string payload) {
-    ++payloads;
+  void deliver(Process& from, std::string_view to, std::string payload) {
+    ++payloads_sent;
     digest.add(now, from.name, to, payload);
-    bytes += payload.size();
+    bytes_sent += payload.size();
     if (payload.size() > peers::Outbox::most)
-      broken = "a payload of " + std::to_string(payload.size()) + " bytes";
+      failure = "a payload of " + std::to_string(payload.size()) + " bytes";
     for (auto& one : processes) {
       if (one->name != to || !linked(from, *one) || static_cast<double>(rng() % 1000) < loss * 1000)
         continue;
       const Micros delay = Micros(1000 + rng() % 20000);
-      when_awake(*one, one->life, now + delay, [&one = *one, sender = from.name, payload] {
-        one.pools->receive(one.local(), sender, payload, one);
+      run_when_running(*one, one->incarnation, now + delay, [&one = *one, sender = from.name, payload] {
+        one.extension->receive(one.local(), sender, payload, one);
       });
     }
   }
-  void show(Process& one) {
+  void update_view(Process& one) {
     peers::View view;
     view.version = ++versions;
     view.me = one.name;
@@ -206,24 +210,25 @@
       member.name = other->name;
       member.site = other->site;
       member.start = other->start;
-      const bool there = other.get() == &one || (awake(*other) && linked(one, *other) && linked(*other, one));
-      if (!there)
+      const bool reachable =
+          other.get() == &one || (running(*other) && linked(one, *other) && linked(*other, one));
+      if (!reachable)
         member.standing = peers::Standing::gone;
       else
         alive.push_back(member.name + std::to_string(member.start));
       view.members.push_back(member);
     }
     std::sort(view.members.begin(), view.members.end(), [](auto& a, auto& b) { return a.name < b.name; });
-    if (alive == one.seen_as_alive)
+    if (alive == one.last_alive)
       return;
-    one.seen_as_alive = alive;
-    one.pools->viewed(one.local(), view);
+    one.last_alive = alive;
+    one.extension->viewed(one.local(), view);
   }
-  void look() {
+  void update_views() {
     for (auto& one : processes)
-      if (awake(*one))
-        show(*one);
-    at(now + 2s, [this] { look(); });
+      if (running(*one))
+        update_view(*one);
+    at(now + 2s, [this] { update_views(); });
   }
 
   struct Event {
--- a/tests/pools/planner_test.cpp
+++ b/tests/pools/planner_test.cpp
@@ -8,143 +8,151 @@
 namespace lemonroute::pools::planner {
 namespace {
 
-double writers_of(const Inputs& in, const std::string& region) {
+double decode_nodes_of(const Inputs& in, const std::string& region) {
   double sum = 0;
   for (const auto& pool : in.pools)
-    if (pool.owner == region && !in.lost.contains(pool.name.site))
-      sum += pool.writers;
+    if (pool.owner == region && !in.lost_sites.contains(pool.name.site))
+      sum += pool.decode_nodes;
   return sum;
 }
 double shortage(const Inputs& in) {
   double sum = 0;
   for (const auto& region : in.regions)
-    sum += std::max(0.0, region.wanted - writers_of(in, region.name));
+    sum += std::max(0.0, region.wanted - decode_nodes_of(in, region.name));
   return sum;
 }
-void apply(Inputs& in, const Plan& plan, bool moving = false) {
+void apply(Inputs& in, const Plan& plan, bool migrating = false) {
   for (const auto& move : plan.moves)
     for (auto& pool : in.pools)
       if (pool.name == move.pool)
-        pool.owner = move.to, pool.moving = moving;
+        pool.owner = move.to, pool.migrating = migrating;
 }
 
-Inputs drawn(std::mt19937& rng) {
-  const auto upto = [&](int n) { return static_cast<int>(rng() % (n + 1)); };
+Inputs random_inputs(std::mt19937& rng) {
+  const auto random_up_to = [&](int n) { return static_cast<int>(rng() % (n + 1)); };
   Inputs in;
-  in.settings = {0.5 + upto(8), static_cast<std::size_t>(1 + upto(3)), upto(4) * 0.25};
-  const int regions = 2 + upto(2);
+  in.settings = {0.5 + random_up_to(8), static_cast<std::size_t>(1 + random_up_to(3)),
+                 random_up_to(4) * 0.25};
+  const int regions = 2 + random_up_to(2);
   double all = 0;
   for (int r = 0; r < regions; ++r) {
     Region region{"r" + std::to_string(r), 0, 0};
-    for (int s = 0; s < 1 + upto(2); ++s)
-      for (int c = 0; c < 1 + upto(4); ++c) {
+    for (int s = 0; s < 1 + random_up_to(2); ++s)
+      for (int c = 0; c < 1 + random_up_to(4); ++c) {
         Pool pool{{region.name + "s" + std::to_string(s), static_cast<std::uint32_t>(c)},
                   region.name,
                   region.name,
-                  1.0 + upto(7),
+                  1.0 + random_up_to(7),
                   c == 0 && s == 0 ? "reserve" : "",
                   false};
-        if (!pool.fixed.empty())
-          region.reserve += pool.writers;
-        else if (upto(3) == 0)
-          pool.owner = "r" + std::to_string(upto(regions - 1));
-        all += pool.writers;
+        if (!pool.fixed_reason.empty())
+          region.reserve += pool.decode_nodes;
+        else if (random_up_to(3) == 0)
+          pool.owner = "r" + std::to_string(random_up_to(regions - 1));
+        all += pool.decode_nodes;
         in.pools.push_back(pool);
       }
     in.regions.push_back(region);
   }
   for (auto& region : in.regions)
-    region.wanted = all * upto(100) / 100.0 / regions * 1.6;
-  if (upto(3) == 0)
-    in.lost.insert(in.pools[rng() % in.pools.size()].name.site);
+    region.wanted = all * random_up_to(100) / 100.0 / regions * 1.6;
+  if (random_up_to(3) == 0)
+    in.lost_sites.insert(in.pools[rng() % in.pools.size()].name.site);
   for (const auto& region : in.regions)
     for (const auto& pool : in.pools)
-      if (upto(2) == 0)
-        in.distance[{region.name, pool.name.site}] = upto(3);
+      if (random_up_to(2) == 0)
+        in.distance[{region.name, pool.name.site}] = random_up_to(3);
   return in;
 }
 
-// Every plan of many drawn fleets, brought to its end: reserves, the cap, room, order of inputs, and blame.
-TEST(Planner, Properties) {
+// Plans of random fleets are carried out until no migration is left. Each plan keeps the reserves, the limit
+// of concurrent migrations and the headroom, does not depend on the order of inputs, and explains each
+// shortage.
+TEST(Planner, PlansKeepLimitsReachAnEndAndDoNotDependOnInputOrder) {
   for (std::uint32_t seed = 1; seed <= 3000; ++seed) {
     std::mt19937 rng(seed);
-    Inputs in = drawn(rng);
+    Inputs in = random_inputs(rng);
     if (rng() % 2)
       for (auto& pool : in.pools)
-        pool.moving = pool.fixed.empty() && rng() % 8 == 0;
+        pool.migrating = pool.fixed_reason.empty() && rng() % 8 == 0;
     for (int round = 0;; ++round) {
-      ASSERT_LT(round, 200) << "moves do not end, seed " << seed;
-      const Plan made = plan(in);
-      const auto moving = std::count_if(in.pools.begin(), in.pools.end(), [](auto& p) { return p.moving; });
-      ASSERT_LE(made.moves.size(), std::max<std::size_t>(in.settings.moving_at_once, moving) - moving)
+      ASSERT_LT(round, 200) << "migrations do not end, seed " << seed;
+      const Plan result = plan(in);
+      const auto migrating =
+          std::count_if(in.pools.begin(), in.pools.end(), [](auto& p) { return p.migrating; });
+      ASSERT_LE(result.moves.size(),
+                std::max<std::size_t>(in.settings.max_concurrent_migrations, migrating) - migrating)
           << seed;
 
       Inputs shuffled = in;
       std::shuffle(shuffled.pools.begin(), shuffled.pools.end(), rng);
       std::shuffle(shuffled.regions.begin(), shuffled.regions.end(), rng);
-      const Plan again = plan(shuffled);
-      ASSERT_EQ(made.moves.size(), again.moves.size());
-      for (std::size_t i = 0; i < made.moves.size(); ++i)
-        ASSERT_TRUE(made.moves[i].pool == again.moves[i].pool && made.moves[i].to == again.moves[i].to &&
-                    made.moves[i].why == again.moves[i].why)
+      const Plan shuffled_result = plan(shuffled);
+      ASSERT_EQ(result.moves.size(), shuffled_result.moves.size());
+      for (std::size_t i = 0; i < result.moves.size(); ++i)
+        ASSERT_TRUE(result.moves[i].pool == shuffled_result.moves[i].pool &&
+                    result.moves[i].to == shuffled_result.moves[i].to &&
+                    result.moves[i].why == shuffled_result.moves[i].why)
             << seed;
-      ASSERT_EQ(made.blames.size(), again.blames.size());
-      for (std::size_t i = 0; i < made.blames.size(); ++i)
-        ASSERT_EQ(made.blames[i].text, again.blames[i].text);
+      ASSERT_EQ(result.shortages.size(), shuffled_result.shortages.size());
+      for (std::size_t i = 0; i < result.shortages.size(); ++i)
+        ASSERT_EQ(result.shortages[i].text, shuffled_result.shortages[i].text);
 
       const double before = shortage(in);
-      for (const auto& move : made.moves) {
+      for (const auto& move : result.moves) {
         const auto pool =
             std::find_if(in.pools.begin(), in.pools.end(), [&](auto& p) { return p.name == move.pool; });
-        ASSERT_FALSE(!pool->fixed.empty() || pool->moving || in.lost.contains(pool->name.site)) << seed;
+        ASSERT_FALSE(!pool->fixed_reason.empty() || pool->migrating ||
+                     in.lost_sites.contains(pool->name.site))
+            << seed;
         ASSERT_EQ(pool->owner, move.from);
-        const double lender = writers_of(in, move.from);
+        const double lender = decode_nodes_of(in, move.from);
         apply(in, {{move}, {}}, true);
         const auto region =
             std::find_if(in.regions.begin(), in.regions.end(), [&](auto& r) { return r.name == move.from; });
-        ASSERT_GE(writers_of(in, move.from), region->reserve) << "below the reserve, seed " << seed;
+        ASSERT_GE(decode_nodes_of(in, move.from), region->reserve) << "below the reserve, seed " << seed;
         std::map<std::string, double> sites;
         for (const auto& p : in.pools)
-          if (p.owner == move.from && !in.lost.contains(p.name.site))
-            sites[p.name.site] += p.writers;
+          if (p.owner == move.from && !in.lost_sites.contains(p.name.site))
+            sites[p.name.site] += p.decode_nodes;
         double largest = 0;
         for (const auto& [site, writers] : sites)
           largest = std::max(largest, writers);
         std::set<std::string> home_sites;
         for (const auto& p : in.pools)
-          if (p.home == move.from && !in.lost.contains(p.name.site))
+          if (p.home == move.from && !in.lost_sites.contains(p.name.site))
             home_sites.insert(p.name.site);
         if (home_sites.size() > 1) {
-          ASSERT_GE(writers_of(in, move.from) - largest, in.settings.room * region->wanted - 1e-9)
+          ASSERT_GE(decode_nodes_of(in, move.from) - largest, in.settings.headroom * region->wanted - 1e-9)
               << "no room for the loss of a site, seed " << seed << " lender had " << lender;
         }
       }
       ASSERT_LE(shortage(in), before + 1e-9);
 
-      // A region has a line of blame exactly if it is short of more than the hysteresis, with this plan done.
+      // After this plan, exactly the regions that are short by more than the hysteresis have an explanation.
       for (const auto& region : in.regions) {
-        const bool is_short = region.wanted - writers_of(in, region.name) > in.settings.hysteresis;
-        const auto named = std::count_if(made.blames.begin(), made.blames.end(),
+        const bool is_short = region.wanted - decode_nodes_of(in, region.name) > in.settings.hysteresis;
+        const auto named = std::count_if(result.shortages.begin(), result.shortages.end(),
                                          [&](auto& b) { return b.region == region.name; });
         ASSERT_EQ(named, is_short ? 1 : 0) << seed;
       }
-      if (made.moves.empty() && moving == 0) {
-        for (const auto& blame : made.blames)
-          ASSERT_NE(blame.constraint, "moving at once") << seed;
+      if (result.moves.empty() && migrating == 0) {
+        for (const auto& shortage : result.shortages)
+          ASSERT_NE(shortage.constraint, "moving at once") << seed;
         break;
       }
       for (auto& pool : in.pools)
-        pool.moving = false;
+        pool.migrating = false;
     }
   }
 }
 
-// Noise within half of the hysteresis around a flat demand: after the first way there, no pool is where it
-// was before.
-TEST(Planner, FlatDemandDoesNotSwing) {
+// The demand is constant but for noise within half of the hysteresis. No allocation of the pools may occur
+// twice.
+TEST(Planner, NoAllocationRecursWithNoiseBelowHalfOfTheHysteresis) {
   for (std::uint32_t seed = 1; seed <= 400; ++seed) {
     std::mt19937 rng(seed);
-    Inputs in = drawn(rng);
+    Inputs in = random_inputs(rng);
     const auto flat = in.regions;
     std::uniform_real_distribution<double> noise(-0.49 * in.settings.hysteresis,
                                                  0.49 * in.settings.hysteresis);
@@ -160,10 +168,11 @@
     for (int round = 0; round < 300; ++round) {
       for (std::size_t r = 0; r < flat.size(); ++r)
         in.regions[r].wanted = std::max(0.0, flat[r].wanted + noise(rng));
-      const Plan made = plan(in);
-      for (const auto& move : made.moves) {
+      const Plan result = plan(in);
+      for (const auto& move : result.moves) {
         apply(in, {{move}, {}});
-        ASSERT_TRUE(seen.insert(owners()).second) << "back where it was, seed " << seed << " round " << round;
+        ASSERT_TRUE(seen.insert(owners()).second)
+            << "an allocation occurs again, seed " << seed << " round " << round;
         last = round;
       }
     }
@@ -171,7 +180,7 @@
   }
 }
 
-TEST(Planner, TiesAndBlame) {
+TEST(Planner, BreaksTiesByNameAndExplainsShortages) {
   Inputs in;
   in.settings = {1, 4, 0};
   in.regions = {{"n", 8, 0}, {"s", 16, 0}};
@@ -179,27 +188,28 @@
     in.pools.push_back({{"n1", c}, "n", "n", 4, "", false});
   for (std::uint32_t c : {1, 2})
     in.pools.push_back({{"s1", c}, "s", "s", 4, "", false});
-  const Plan made = plan(in);
-  ASSERT_EQ(made.moves.size(), 1u);
-  EXPECT_EQ(made.moves[0].pool.text(), "n1/1");
-  EXPECT_EQ(made.moves[0].why, "s is short of 8.0 writers of 16.0");
-  ASSERT_EQ(made.blames.size(), 1u);
-  EXPECT_EQ(made.blames[0].text, "s is short of 4.0 writers: writers in all, all regions want 24.0 of 20.0");
-  const auto blamed = [](Inputs in) { return plan(in).blames.at(0).constraint; };
+  const Plan result = plan(in);
+  ASSERT_EQ(result.moves.size(), 1u);
+  EXPECT_EQ(result.moves[0].pool.text(), "n1/1");
+  EXPECT_EQ(result.moves[0].why, "s is short of 8.0 writers of 16.0");
+  ASSERT_EQ(result.shortages.size(), 1u);
+  EXPECT_EQ(result.shortages[0].text,
+            "s is short of 4.0 writers: writers in all, all regions want 24.0 of 20.0");
+  const auto constraint_of = [](Inputs in) { return plan(in).shortages.at(0).constraint; };
   in.regions[0].wanted = 2;
-  in.settings.moving_at_once = 1;
-  EXPECT_EQ(blamed(in), "moving at once");
+  in.settings.max_concurrent_migrations = 1;
+  EXPECT_EQ(constraint_of(in), "moving at once");
   for (auto& pool : in.pools)
-    pool.fixed = "reserve";
-  in.settings.moving_at_once = 4;
-  EXPECT_EQ(blamed(in), "reserve");
+    pool.fixed_reason = "reserve";
+  in.settings.max_concurrent_migrations = 4;
+  EXPECT_EQ(constraint_of(in), "reserve");
   for (auto& pool : in.pools)
-    pool.fixed.clear();
-  in.regions[1].takes = false;
-  EXPECT_EQ(blamed(in), "nobody there answers");
-  in.regions[1].takes = true;
-  in.lost = {"s1"};
-  EXPECT_EQ(blamed(in), "site lost");
+    pool.fixed_reason.clear();
+  in.regions[1].accepts_pools = false;
+  EXPECT_EQ(constraint_of(in), "nobody there answers");
+  in.regions[1].accepts_pools = true;
+  in.lost_sites = {"s1"};
+  EXPECT_EQ(constraint_of(in), "site lost");
 }
 
 }  // namespace
