--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -12,8 +12,8 @@
 #include "core/fleet_view.h"
 #include "peers/extension.h"
 #include "pools/demand/demand_sum.h"
-#include "pools/extension/pending_requests.h"
 #include "pools/extension/planning.h"
+#include "pools/extension/sent_requests.h"
 #include "pools/leases/holder/lease_holder.h"
 #include "pools/leases/lease_snapshot.h"
 #include "pools/migration/migration.h"
@@ -97,7 +97,7 @@
   Planning planning_;
   LocalDemand local_demand_;
   DemandSum demand_sum_;
-  PendingRequests pending_requests_;
+  SentRequests sent_requests_;
   std::optional<Grantor> grantor_;  // set if this router is a grantor
   bool grantor_enabled_ = true, replaced_ = false, started_ = false;
   std::uint64_t process_id_;   // identifies this process in its ballots
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -36,7 +36,7 @@
 }
 
 void PoolsExtension::handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox&) {
-  const auto sent_at = pending_requests_.sent_at(from, grant.nonce, now);
+  const auto sent_at = sent_requests_.sent_at(from, grant.nonce, now);
   if (!sent_at) {
     ++counts_.unsolicited;
     return;
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -10,7 +10,7 @@
     : options_(std::move(options)),
       planning_(options_.settings),
       demand_sum_(options_.settings.influence),
-      pending_requests_(options_.settings.terms, seed),
+      sent_requests_(options_.settings.terms, seed),
       process_id_(seed ^ hash_text(options_.name) ^ options_.start),
       fingerprint_(options_.settings.fingerprint()) {
   for (const auto& [name, settings] : options_.settings.regions)
@@ -122,7 +122,7 @@
                                   now);
         continue;
       }
-      ask.nonce = pending_requests_.add(grantor, now);
+      ask.nonce = sent_requests_.add(grantor, now);
       for (auto& payload : wire::write(ask, fingerprint_, now))
         out.send(topic(), grantor, std::move(payload));
     }
--- a/src/pools/extension/pending_requests.h
+++ b/src/pools/extension/sent_requests.h
@@ -1,4 +1,4 @@
-// The lease requests without an answer, so that a lease is counted from when its request was sent.
+// Records the lease requests of this router, so that a lease is counted from when its request was sent.
 #pragma once
 
 #include <deque>
@@ -11,10 +11,10 @@
 namespace lemonroute::pools {
 
 /// Lease requests that this router sent within the last lease.
-class PendingRequests {
+class SentRequests {
  public:
   /// `seed`: start of the nonces.
-  PendingRequests(LeaseTerms terms, std::uint64_t seed) : terms_(terms), last_nonce_(seed) {}
+  SentRequests(LeaseTerms terms, std::uint64_t seed) : terms_(terms), last_nonce_(seed) {}
 
   /// Records a request to the grantor that is sent now. Returns the request's nonce.
   std::uint64_t add(std::string_view grantor, Micros now);
@@ -23,7 +23,7 @@
   std::optional<Micros> sent_at(std::string_view grantor, std::uint64_t nonce, Micros now) const;
 
  private:
-  static constexpr std::size_t max_pending = 1024;
+  static constexpr std::size_t max_requests = 1024;
   struct Request {
     std::uint64_t nonce;
     std::string grantor;
@@ -31,7 +31,7 @@
   };
   LeaseTerms terms_;
   std::uint64_t last_nonce_;
-  std::deque<Request> pending_;  // the oldest first
+  std::deque<Request> requests_;  // the oldest first
 };
 
 }  // namespace lemonroute::pools
--- a/src/pools/leases/holder/lease_holder.h
+++ b/src/pools/leases/holder/lease_holder.h
@@ -43,8 +43,8 @@
   struct GrantorState {
     std::string grantor;
     Ballot ballot;
-    Micros expires_at{};  // of its grant; 0: it did not grant
-    Micros answered_request_at{};
+    Micros expires_at{};           // of its grant; 0: it did not grant
+    Micros answered_request_at{};  // when the last answered request was sent
     bool granted_to_owner = false;
     bool answered = false;
   };
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -43,7 +43,7 @@
   using std::chrono::seconds;
   DemandSum sum(2);
   sum.on_report(0, "a", {5, 4, 0}, seconds(100));
-  sum.on_report(0, "a", {4, 9, 0}, seconds(101));  // older than the last_sum report
+  sum.on_report(0, "a", {4, 9, 0}, seconds(101));  // older than the last report
   sum.on_report(1, "b", {1, 7, 0}, seconds(101));
   EXPECT_EQ(sum.decode_nodes(0, 2, seconds(102)), 4);
   EXPECT_EQ(sum.decode_nodes(0, 3, seconds(102)), std::nullopt);
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -86,18 +86,19 @@
 TEST(PoolsExtension, DrainsNoPrefillNodesAndNoSitesOutsideRegions) {
   World world(test::two_regions(), 2);
   world.run(10s);
-  const auto rights = world.processes[0]->extension->lease_snapshot();
-  EXPECT_FALSE(rights->overlay(test::node("s", 1, 0, "reader")).drained);
-  EXPECT_FALSE(rights->overlay(test::node("elsewhere", 1, 0)).drained);
-  EXPECT_TRUE(rights->overlay(test::node("s", 1, 0)).drained);
-  EXPECT_TRUE(rights->overlay(test::node("s", 0, 0)).drained);   // another region's reserve
-  EXPECT_TRUE(rights->overlay(test::node("n", 77, 0)).drained);  // a pool that is not in the node list
-  EXPECT_EQ(rights->overlay(test::node("n", 0, 0)).expires_at, Micros::max());
-  EXPECT_LT(rights->overlay(test::node("n", 1, 0)).expires_at, Micros::max());
+  const auto snapshot = world.processes[0]->extension->lease_snapshot();
+  EXPECT_FALSE(snapshot->overlay(test::node("s", 1, 0, "reader")).drained);
+  EXPECT_FALSE(snapshot->overlay(test::node("elsewhere", 1, 0)).drained);
+  EXPECT_TRUE(snapshot->overlay(test::node("s", 1, 0)).drained);
+  EXPECT_TRUE(snapshot->overlay(test::node("s", 0, 0)).drained);  // another region's reserve
+  EXPECT_TRUE(
+      snapshot->overlay(test::node("n", 77, 0)).drained);  // a pool that the snapshot does not have yet
+  EXPECT_EQ(snapshot->overlay(test::node("n", 0, 0)).expires_at, Micros::max());
+  EXPECT_LT(snapshot->overlay(test::node("n", 1, 0)).expires_at, Micros::max());
 }
 
 // A partitioned region keeps its own pools and gets back those that it has lent; the borrower stops sending
-// before its lease has expired.
+// within one lease.
 TEST(PoolsExtension, ReturnsLentPoolWhenBorrowerIsPartitioned) {
   const Settings settings = settings_with_correction();
   World world(settings, 3);
@@ -115,27 +116,26 @@
   EXPECT_EQ(world.failure, "");
 }
 
-enum class NetworkFault {
-  proposer_crashes,
-  proposer_suspended,
+enum class Fault {
+  planner_crashes,
+  planner_suspended,
   grantors_restart,
   all_restart,
   partition,
   partition_one_way,
   loss
 };
-class InterruptedMigration : public testing::TestWithParam<NetworkFault> {};
-INSTANTIATE_TEST_SUITE_P(Moves, InterruptedMigration,
-                         testing::Values(NetworkFault::proposer_crashes, NetworkFault::proposer_suspended,
-                                         NetworkFault::grantors_restart, NetworkFault::all_restart,
-                                         NetworkFault::partition, NetworkFault::partition_one_way,
-                                         NetworkFault::loss));
+class InterruptedMigration : public testing::TestWithParam<Fault> {};
+INSTANTIATE_TEST_SUITE_P(Faults, InterruptedMigration,
+                         testing::Values(Fault::planner_crashes, Fault::planner_suspended,
+                                         Fault::grantors_restart, Fault::all_restart, Fault::partition,
+                                         Fault::partition_one_way, Fault::loss));
 
 // A fault of 10 s starts at every 400 ms from before the plan until the pool serves. Two regions never hold
 // the pool at once, and within eight leases after the fault has ended, one region holds it on all of its
 // routers.
 TEST_P(InterruptedMigration, CompletesOrIsUndone) {
-  const NetworkFault fault = GetParam();
+  const Fault fault = GetParam();
   std::set<std::string> phases_at_fault;
   for (Micros offset = 0s; offset < 16s; offset += 400ms) {
     const Settings settings = settings_with_correction();
@@ -144,37 +144,37 @@
     schedule_demand(world, 20s, 200s, 6, 16);
     const Micros begin = 34s + offset, end = begin + 10s;
     world.run(begin);
-    auto* first = planning_process(world, "north");
-    ASSERT_TRUE(first);
-    phases_at_fault.insert(first->extension->describe(first->local())["pools"][1]["state"]);
+    auto* planner = planning_process(world, "north");
+    ASSERT_TRUE(planner);
+    phases_at_fault.insert(planner->extension->describe(planner->local())["pools"][1]["state"]);
     switch (fault) {
-      case NetworkFault::proposer_crashes:
-        world.crash(*first);
+      case Fault::planner_crashes:
+        world.crash(*planner);
         break;
-      case NetworkFault::proposer_suspended:
-        first->suspended_until = end;
+      case Fault::planner_suspended:
+        planner->suspended_until = end;
         break;
-      case NetworkFault::grantors_restart:
+      case Fault::grantors_restart:
         for (int k = 0; k < 3; ++k)
           world.crash(*world.processes[k]), world.start(*world.processes[k]);
         break;
-      case NetworkFault::all_restart:
+      case Fault::all_restart:
         for (auto& one : world.processes)
           world.crash(*one), world.start(*one);
         break;
-      case NetworkFault::partition:
+      case Fault::partition:
         world.linked = [](auto& a, auto& b) { return a.site == b.site; };
         break;
-      case NetworkFault::partition_one_way:
+      case Fault::partition_one_way:
         world.linked = [](auto& a, auto& b) { return a.site == b.site || a.site == "n"; };
         break;
-      case NetworkFault::loss:
+      case Fault::loss:
         world.loss = 0.5;
         break;
     }
     world.run(end);
-    if (fault == NetworkFault::proposer_crashes)
-      world.start(*first);
+    if (fault == Fault::planner_crashes)
+      world.start(*planner);
     world.linked = [](auto&, auto&) { return true; };
     world.loss = 0;
     world.run(end + 8 * settings.terms.lease);
@@ -217,7 +217,7 @@
   World world(test::two_regions(), 6);
   world.run(5s);
   auto& one = *world.processes[0];
-  const auto heard = one.extension->lease_snapshot();
+  const auto snapshot = one.extension->lease_snapshot();
   const std::string ask = wire::write(wire::Ask{1, 1, {{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}},
                                       world.settings.fingerprint() + 1, one.local())[0];
   one.extension->receive(one.local(), "south0", ask, one);
@@ -226,14 +226,14 @@
   EXPECT_EQ(counts["other_settings"], 1);
   EXPECT_EQ(counts["unreadable"], 1);
   // Requests for a region other than the sender's, and proposals for a pool of another region, are rejected.
-  const auto mark = world.settings.fingerprint();
-  one.extension->receive(one.local(), "south0",
-                         wire::write(wire::Ask{1, 0, {{{"n", 1}, {}, false, false}}}, mark, one.local())[0],
-                         one);
+  const auto fingerprint = world.settings.fingerprint();
   one.extension->receive(
       one.local(), "south0",
-      wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}, mark, one.local())[0],
-      one);
+      wire::write(wire::Ask{1, 0, {{{"n", 1}, {}, false, false}}}, fingerprint, one.local())[0], one);
+  one.extension->receive(one.local(), "south0",
+                         wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}},
+                                     fingerprint, one.local())[0],
+                         one);
   EXPECT_EQ(one.extension->describe(one.local())["counts"]["strangers"], 2);
   world.run(20s);
   EXPECT_EQ(world.senders({"n", 1}), (Senders{{"north", 3}}));
--- a/tests/pools/extension_world.h
+++ b/tests/pools/extension_world.h
@@ -19,18 +19,18 @@
 using namespace std::chrono_literals;
 
 inline Node node(const std::string& site, int cell, int n, const std::string& kind = "writer",
-                 EndpointState phase = EndpointState::ready) {
+                 EndpointState state = EndpointState::ready) {
   Node one;
   one.name = site + "-" + std::to_string(cell) + "-" + kind + std::to_string(n);
   one.zone = site;
   one.kind = kind;
   one.endpoint.cell = static_cast<std::uint16_t>(cell);
-  one.endpoint.state = one.listed_state = phase;
+  one.endpoint.state = one.listed_state = state;
   return one;
 }
 
 // Regions "north" (site n) and "south" (site s) with three routers each, which are all grantors. Each site
-// region_of_pool three pools of four decode nodes, of which the first is reserved. Hours are UTC.
+// has three pools of four decode nodes, of which the first is reserved. Hours are UTC.
 inline Settings two_regions() {
   Settings s;
   for (const std::string name : {"north", "south"}) {
@@ -51,13 +51,14 @@
  public:
   static constexpr Micros base = std::chrono::hours(24 * 20605);  // Unix time, 2026-06-01
 
+  // A router process and its clock.
   struct Process : peers::Outbox {
     World* world = nullptr;
     std::size_t index = 0;
     std::string name, site;
     Micros clock_offset{};
     double rate = 1;
-    std::unique_ptr<PoolsExtension> extension;  // null: the process region_of_pool crashed
+    std::unique_ptr<PoolsExtension> extension;  // null: the process has crashed
     Micros suspended_until{};
     std::uint64_t start = 0, incarnation = 0;
     std::vector<std::string> last_alive;
@@ -128,17 +129,18 @@
 
   // Number of routers that may send to the pool now, by region, as their serving loops see it.
   std::map<std::string, int> senders(const PoolName& name) {
-    std::map<std::string, int> by;
+    std::map<std::string, int> senders_by_region;
     for (auto& one : processes) {
       if (!one->extension)
         continue;
       const auto overlay =
           one->extension->lease_snapshot()->overlay(node(name.site, static_cast<int>(name.cell), 0));
       if (!overlay.drained && overlay.expires_at > one->local())
-        ++by[*settings.region_of(one->site)];
+        ++senders_by_region[*settings.region_of(one->site)];
     }
-    return by;
+    return senders_by_region;
   }
+  // Records a failure if routers of two regions may send to one pool.
   void check() {
     std::map<PoolName, std::string> region_of_pool;
     for (auto& one : processes) {
@@ -148,8 +150,8 @@
         if (entry.drained || entry.expires_at <= one->local())
           continue;
         const auto& region = *settings.region_of(one->site);
-        const auto [at, fresh] = region_of_pool.emplace(name, region);
-        if (at->second != region)
+        const auto [found, inserted] = region_of_pool.emplace(name, region);
+        if (found->second != region)
           failure = name.text() + " is sent to by two regions at " + std::to_string(now.count());
       }
     }
@@ -163,24 +165,24 @@
   std::function<bool(const Process&, const Process&)> linked = [](auto&, auto&) { return true; };
   double loss = 0;
   std::uint64_t payloads_sent = 0, bytes_sent = 0;
-  Digest digest;  // of all payloads_sent that were sent
+  Digest digest;  // of all payloads that were sent
   std::string failure;
 
  private:
   bool running(const Process& one) const { return one.extension && now >= one.suspended_until; }
-  void run_when_running(Process& one, std::uint64_t incarnation, Micros when, std::function<void()> what) {
+  void run_when_awake(Process& one, std::uint64_t incarnation, Micros when, std::function<void()> what) {
     at(when, [this, &one, incarnation, what = std::move(what)] {
       if (one.incarnation != incarnation || !one.extension)
         return;
       if (running(one))
         what();
       else
-        run_when_running(one, incarnation, one.suspended_until, what);
+        run_when_awake(one, incarnation, one.suspended_until, what);
     });
   }
   void schedule_due(Process& one, std::uint64_t incarnation) {
     const Micros due = one.extension->next_due() - one.local();
-    run_when_running(one, incarnation, now + std::max(Micros(1000), due), [this, &one, incarnation] {
+    run_when_awake(one, incarnation, now + std::max(Micros(1000), due), [this, &one, incarnation] {
       one.extension->run_due(one.local(), one);
       schedule_due(one, incarnation);
     });
@@ -195,11 +197,12 @@
       if (one->name != to || !linked(from, *one) || static_cast<double>(rng() % 1000) < loss * 1000)
         continue;
       const Micros delay = Micros(1000 + rng() % 20000);
-      run_when_running(*one, one->incarnation, now + delay, [&one = *one, sender = from.name, payload] {
+      run_when_awake(*one, one->incarnation, now + delay, [&one = *one, sender = from.name, payload] {
         one.extension->receive(one.local(), sender, payload, one);
       });
     }
   }
+  // Gives the process a new view if the reachable routers have changed.
   void update_view(Process& one) {
     peers::View view;
     view.version = ++versions;
--- a/tests/pools/lease_world.h
+++ b/tests/pools/lease_world.h
@@ -52,16 +52,16 @@
       return failure_;
     Ownership last;
     for (const auto& holder : holders_)
-      last.learn(holder.lease_holder.ownership());
+      last.learn(holder.state.ownership());
     for (std::size_t h = 0; h < holders_.size(); ++h) {
-      const bool has = holders_[h].lease_holder.lease(local(holders_[h].clock)).has_value();
-      if (has != (holders_[h].region == last.owner))
+      const bool has_lease = holders_[h].state.lease(local(holders_[h].clock)).has_value();
+      if (has_lease != (holders_[h].region == last.owner))
         return "holder " + std::to_string(h) + " is stuck";
     }
     return "";
   }
   const Digest& digest() const { return digest_; }  // of all answers and leases, with their times
-  std::uint64_t handovers = 0;                      // leases that another region held than the one before
+  std::uint64_t handovers = 0;                      // how often another region than the last one held a lease
 
  private:
   struct Clock {
@@ -70,14 +70,14 @@
   };
   struct GrantorProcess {
     Clock clock;
-    Grantor grantor;
-    Micros frozen_until;
-    std::uint64_t life;
+    Grantor state;
+    Micros suspended_until;
+    std::uint64_t incarnation;
   };
   struct HolderProcess {
     Clock clock;
-    LeaseHolder lease_holder;
-    Micros frozen_until;
+    LeaseHolder state;
+    Micros suspended_until;
     RegionId region;
   };
 
@@ -85,8 +85,8 @@
   bool chance(double p) { return static_cast<double>(rng_() % 10000) < p * 10000; }
   Clock clock() {
     const double d = terms_.clock_error;
-    return {Micros(1 + random_up_to(1'000'000'000)),
-            random_up_to(1) ? 1 + d : 1 - d};  // the largest allowed error, in either direction
+    // The rate has the largest allowed error, in either direction.
+    return {Micros(1 + random_up_to(1'000'000'000)), random_up_to(1) ? 1 + d : 1 - d};
   }
   Micros local(const Clock& c) const {
     return c.offset + Micros(static_cast<std::int64_t>(static_cast<double>(now_.count()) * c.rate));
@@ -98,65 +98,65 @@
   }
 
   void at(Micros when, std::function<void()> what) { queue_.push({when, serial_++, std::move(what)}); }
-  template <class P>
-  void run_when_running(P& process, Micros when, std::function<void()> what) {
+  template <class Process>
+  void run_when_awake(Process& process, Micros when, std::function<void()> what) {
     at(when, [this, &process, what = std::move(what)] {
-      if (now_ < process.frozen_until)
-        run_when_running(process, process.frozen_until, what);
+      if (now_ < process.suspended_until)
+        run_when_awake(process, process.suspended_until, what);
       else
         what();
     });
   }
-  template <class P>
-  void send(P& to, std::function<void()> what) {
+  template <class Process>
+  void send(Process& to, std::function<void()> what) {
     if (!faults_ended_ && chance(loss_))
       return;
     const int copies = !faults_ended_ && chance(0.1) ? 2 : 1;
     for (int i = 0; i < copies; ++i)
-      run_when_running(to, now_ + delay(), what);
+      run_when_awake(to, now_ + delay(), what);
   }
 
   void request(std::size_t h) {
     auto& holder = holders_[h];
     const Micros sent_at = local(holder.clock);
     for (std::size_t k = 0; k < grantors_.size(); ++k)
-      send(grantors_[k], [this, h, k, sent_at, known = holder.lease_holder.ownership()] {
+      send(grantors_[k], [this, h, k, sent_at, known = holder.state.ownership()] {
         auto& grantor = grantors_[k];
         // Clocks of two processes are not compared, so messages leave `since` out.
-        const auto answer = grantor.grantor.request(
+        const auto answer = grantor.state.request(
             pool, holders_[h].region, {known.ballot, known.owner, Micros(0)}, local(grantor.clock));
         digest_.add(now_, h, k, answer.granted, answer.granted_to_owner, answer.ownership.ballot.counter,
                     answer.ownership.owner);
-        send(holders_[h], [this, h, k, sent_at,
-                           answer =
-                               Grantor::Answer{{answer.ownership.ballot, answer.ownership.owner, Micros(0)},
-                                               answer.granted,
-                                               answer.granted_to_owner}] {
-          holders_[h].lease_holder.on_answer(grantor_names_[k], sent_at, answer, local(holders_[h].clock));
-        });
+        send(holders_[h],
+             [this, h, k, sent_at,
+              answer = Grantor::Answer{{answer.ownership.ballot, answer.ownership.owner, Micros(0)},
+                                       answer.granted,
+                                       answer.granted_to_owner}] {
+               holders_[h].state.on_answer(grantor_names_[k], sent_at, answer, local(holders_[h].clock));
+             });
       });
-    run_when_running(holder, now_ + terms_.request_interval(), [this, h] { request(h); });
+    run_when_awake(holder, now_ + terms_.request_interval(), [this, h] { request(h); });
   }
 
   void propose() {
     if (faults_ended_)
       return;
-    auto& planner =
-        holders_[random_up_to(1)];  // of the home region; both routers may propose at the same time
-    const auto& known = planner.lease_holder.ownership();
+    // Both routers of the home region may propose at the same time.
+    auto& planner = holders_[random_up_to(1)];
+    const auto& known = planner.state.ownership();
     const Ownership next{{known.ballot.counter + 1, 0, rng_()},
                          static_cast<RegionId>(random_up_to(holders_.size() / 2 - 1)),
                          Micros(0)};
     for (auto& grantor : grantors_)
       if (!chance(0.3))
-        send(grantor, [&grantor, next] { grantor.grantor.learn(pool, next); });
+        send(grantor, [&grantor, next] { grantor.state.learn(pool, next); });
     at(now_ + Micros(random_up_to(3'000'000)), [this] { propose(); });
   }
 
   void restart(std::size_t k, bool first = false) {
     auto& grantor = grantors_[k];
     grantor.clock = first ? grantor.clock : clock();
-    grantor.grantor.start(local(grantor.clock));
+    grantor.state.start(local(grantor.clock));
   }
   void inject_fault() {
     if (faults_ended_)
@@ -165,9 +165,9 @@
     if (fault == 0)
       restart(random_up_to(grantors_.size() - 1));
     if (fault == 1)
-      grantors_[random_up_to(grantors_.size() - 1)].frozen_until = now_ + Micros(random_up_to(3'000'000));
+      grantors_[random_up_to(grantors_.size() - 1)].suspended_until = now_ + Micros(random_up_to(3'000'000));
     if (fault == 2)
-      holders_[random_up_to(holders_.size() - 1)].frozen_until = now_ + Micros(random_up_to(3'000'000));
+      holders_[random_up_to(holders_.size() - 1)].suspended_until = now_ + Micros(random_up_to(3'000'000));
     if (fault == 3 && chance(0.1))
       for (std::size_t k = 0; k < grantors_.size(); ++k)
         restart(k);
@@ -184,20 +184,21 @@
     }
     now_ = end;
   }
+  // Records a failure if two regions hold a lease.
   void check() {
-    std::optional<RegionId> has;
+    std::optional<RegionId> region;
     for (const auto& holder : holders_) {
-      if (!holder.lease_holder.lease(local(holder.clock)))
+      if (!holder.state.lease(local(holder.clock)))
         continue;
       digest_.add(now_, holder.region);
-      if (has && *has != holder.region)
+      if (region && *region != holder.region)
         failure_ = "two regions hold a lease at " + std::to_string(now_.count());
-      has = holder.region;
+      region = holder.region;
     }
-    if (has && last_region_ && *has != *last_region_)
+    if (region && last_region_ && *region != *last_region_)
       ++handovers;
-    if (has)
-      last_region_ = has;
+    if (region)
+      last_region_ = region;
   }
 
   struct Event {
