--- a/src/pools/leases/ballot.h
+++ b/src/pools/leases/ballot.h
@@ -31,8 +31,8 @@
                        ///< process's clock; 0: not granted yet, or the pool has never migrated
 
   /// Merges what another process knows: a newer ballot, or an earlier `since` of the same ballot. The result
-  /// does not depend on the order or the repetition of calls. Returns false if `other` was ignored because
-  /// its counter exceeds the known one by more than `Ballot::max_counter_increase`.
+  /// does not depend on the order or the repetition of calls. Returns false if `other` was ignored, which
+  /// happens if its counter exceeds the known one by more than `Ballot::max_counter_increase`.
   bool learn(const Ownership& other) {
     if (other.ballot.counter > ballot.counter + Ballot::max_counter_increase)
       return false;
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -98,7 +98,7 @@
       !payload.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return {std::nullopt, Fault::unreadable};
   if (payload.version() != format_version)
-    return {std::nullopt, Fault::version};
+    return {std::nullopt, Fault::unknown_version};
   if (payload.mark() != fingerprint)
     return {std::nullopt, Fault::mark};
   switch (payload.what_case()) {
@@ -129,7 +129,7 @@
     case v1::Payload::WHAT_NOT_SET:
       return {std::nullopt, Fault::unreadable};
   }
-  return {std::nullopt, Fault::bounds};
+  return {std::nullopt, Fault::out_of_bounds};
 }
 
 std::vector<std::string> write(const Message& message, std::uint64_t fingerprint, Micros now) {
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -42,10 +42,10 @@
 
 /// Why a payload was rejected.
 enum class Fault : std::uint8_t {
-  unreadable,  ///< not a payload of pools
-  version,     ///< unknown version of the format
-  mark,        ///< the sender's settings differ
-  bounds       ///< a field is out of bounds
+  unreadable,       ///< not a payload of pools
+  unknown_version,  ///< unknown version of the format
+  mark,             ///< the sender's settings differ
+  out_of_bounds     ///< a field is out of bounds
 };
 /// Result of reading a payload.
 struct Read {
