--- a/src/peers/seal/flood.cpp
+++ b/src/peers/seal/flood.cpp
@@ -7,7 +7,7 @@
 
 namespace lemonroute::peers::seal {
 
-static_assert(crypto_shorthash_KEYBYTES == std::tuple_size_v<Flood::Secret>);
+static_assert(crypto_shorthash_KEYBYTES == std::tuple_size_v<RateLimiter::Secret>);
 
 bool TokenBucket::take(Micros now, double rate) {
   const double seconds = std::chrono::duration<double>(std::max(Micros(0), now - updated_at_)).count();
@@ -20,7 +20,7 @@
 }
 
 // The bucket of the address is charged first, so that a flooding address does not use up the shared limit.
-bool Flood::look(Micros now, std::string_view address) {
+bool RateLimiter::look(Micros now, std::string_view address) {
   if (const auto found = authenticated_.find(std::string(address)); found != authenticated_.end()) {
     if (now - found->second.authenticated_at <= remembered)
       return found->second.bucket.take(now, rates_.per_address) &&
@@ -39,7 +39,7 @@
          all_unknown_.take(now, rates_.strangers);
 }
 
-void Flood::prove(Micros now, std::string_view address) {
+void RateLimiter::prove(Micros now, std::string_view address) {
   if (const auto found = authenticated_.find(std::string(address)); found != authenticated_.end()) {
     found->second.authenticated_at = now;
     return;
--- a/src/peers/seal/flood.h
+++ b/src/peers/seal/flood.h
@@ -29,7 +29,7 @@
 };
 
 /// Rate limiter of the datagrams that are read and authenticated, per address and in total.
-class Flood {
+class RateLimiter {
  public:
   /// Limits in datagrams per second; `per_address` bounds a single address.
   struct Rates {
@@ -43,7 +43,7 @@
   /// Random key of the address hash, so that an attacker cannot pick addresses that share a bucket with
   /// another sender.
   using Secret = std::array<unsigned char, 16>;
-  Flood(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
+  RateLimiter(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
 
   /// False: the limit of reads is reached, so pause reading.
   bool take(Micros now) { return read_bucket_.take(now, rates_.taken); }
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -84,8 +84,8 @@
     on_temporary_port_ = true;
     return socket;
   }
-  static seal::Flood::Secret secret() {
-    seal::Flood::Secret secret;
+  static seal::RateLimiter::Secret secret() {
+    seal::RateLimiter::Secret secret;
     randombytes_buf(secret.data(), secret.size());
     return secret;
   }
@@ -228,7 +228,7 @@
   std::unique_ptr<Udp> socket_, configured_socket_;
   seal::Sealer sealer_;
   seal::Opener opener_;
-  seal::Flood rate_limiter_;
+  seal::RateLimiter rate_limiter_;
   seal::Refusals refusals_;
   Agent agent_;
   Wake wake_;
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -143,8 +143,8 @@
   EXPECT_FALSE(windows.fresh({4, 0}, 1));
 }
 
-TEST(Flood, bounds_taken_datagrams_and_verifications_for_any_number_of_source_addresses) {
-  const Flood::Rates rates{2000, 800, 100, 50};
+TEST(RateLimiter, bounds_taken_datagrams_and_verifications_for_any_number_of_source_addresses) {
+  const RateLimiter::Rates rates{2000, 800, 100, 50};
   std::mt19937_64 random(7);
   struct Case {
     const char* name;
@@ -153,7 +153,7 @@
   };
   for (const auto& c : {Case{"one address", 1, rates.strangers / 10}, Case{"twenty", 20, rates.strangers},
                         Case{"many", 1 << 30, rates.strangers}}) {
-    Flood flood(rates, {1});
+    RateLimiter flood(rates, {1});
     int taken = 0, looked = 0;
     for (Micros now{}; now < seconds(10); now += microseconds(20)) {
       if (!flood.take(now))
@@ -167,8 +167,8 @@
   }
 }
 
-TEST(Flood, admits_all_datagrams_of_proven_peers_and_of_a_new_router) {
-  Flood flood({20000, 800, 100, 50}, {1});
+TEST(RateLimiter, admits_all_datagrams_of_proven_peers_and_of_a_new_router) {
+  RateLimiter flood({20000, 800, 100, 50}, {1});
   flood.prove(Micros(1), "10.0.0.1:1");
   int proven_peer = 0, new_router = 0, strangers = 0, sent = 0;
   for (Micros now(1); now < seconds(10); now += microseconds(500)) {
@@ -186,17 +186,17 @@
   EXPECT_LE(strangers, 5 * 10.0 * 10.5 + 5);
 }
 
-TEST(Flood, bounds_the_datagrams_of_a_proven_address_and_the_table_of_addresses) {
-  Flood flood({1e9, 800, 100, 50}, {1});
+TEST(RateLimiter, bounds_the_datagrams_of_a_proven_address_and_the_table_of_addresses) {
+  RateLimiter flood({1e9, 800, 100, 50}, {1});
   flood.prove(Micros(0), "a");
   int looked = 0;
   for (Micros now{}; now < seconds(10); now += microseconds(100))
     looked += flood.look(now, "a");
   EXPECT_LE(looked, 50 * 10.5 + 1);
-  for (std::size_t i = 0; i < 2 * Flood::most_addresses; ++i)
+  for (std::size_t i = 0; i < 2 * RateLimiter::most_addresses; ++i)
     flood.prove(Micros(0), std::to_string(i));
-  EXPECT_EQ(flood.addresses(), Flood::most_addresses);
-  flood.prove(Flood::remembered + seconds(1), "later");
+  EXPECT_EQ(flood.addresses(), RateLimiter::most_addresses);
+  flood.prove(RateLimiter::remembered + seconds(1), "later");
   EXPECT_EQ(flood.addresses(), 1u);
 }
 
