--- a/src/peers/seal/flood.cpp
+++ b/src/peers/seal/rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "peers/seal/flood.h"
+#include "peers/seal/rate_limiter.h"
 
 #include <sodium.h>
 
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 
 #include "base/log.h"
-#include "peers/seal/flood.h"
+#include "peers/seal/rate_limiter.h"
 #include "peers/seal/refusals.h"
 #include "peers/seal/seal.h"
 #include "peers/udp.h"
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <set>
 
-#include "peers/seal/flood.h"
+#include "peers/seal/rate_limiter.h"
 #include "peers/seal/refusals.h"
 
 namespace lemonroute::peers::seal {
