--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -46,7 +46,7 @@
   RateLimiter(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
 
   /// False: the limit of reads is reached, so pause reading.
-  bool take(Micros now) { return read_bucket_.take(now, rates_.taken); }
+  bool allow_read(Micros now) { return read_bucket_.take(now, rates_.taken); }
   /// False: drop the datagram without authenticating it.
   bool look(Micros now, std::string_view address);
   /// Records that an authentic datagram came from the address.
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -154,7 +154,7 @@
   bool handle_datagram(const std::string& from, std::string_view bytes) {
     using seal::Refusals;
     const Micros now = clock_.now();
-    const bool more = rate_limiter_.take(now);
+    const bool more = rate_limiter_.allow_read(now);
     if (!more)
       read_pause_.start(read_pause);
     if (!more || !rate_limiter_.look(now, from)) {
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -156,7 +156,7 @@
     RateLimiter flood(rates, {1});
     int taken = 0, looked = 0;
     for (Micros now{}; now < seconds(10); now += microseconds(20)) {
-      if (!flood.take(now))
+      if (!flood.allow_read(now))
         continue;
       ++taken;
       looked += flood.look(now, "10.0.0.1:" + std::to_string(random() % c.addresses));
