--- a/src/peers/seal/rate_limiter.cpp
+++ b/src/peers/seal/rate_limiter.cpp
@@ -20,7 +20,7 @@
 }
 
 // The bucket of the address is charged first, so that a flooding address does not use up the shared limit.
-bool RateLimiter::look(Micros now, std::string_view address) {
+bool RateLimiter::allow_open(Micros now, std::string_view address) {
   if (const auto found = authenticated_.find(std::string(address)); found != authenticated_.end()) {
     if (now - found->second.authenticated_at <= remembered)
       return found->second.bucket.take(now, rates_.per_address) &&
--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -48,7 +48,7 @@
   /// False: the limit of reads is reached, so pause reading.
   bool allow_read(Micros now) { return read_bucket_.take(now, rates_.taken); }
   /// False: drop the datagram without authenticating it.
-  bool look(Micros now, std::string_view address);
+  bool allow_open(Micros now, std::string_view address);
   /// Records that an authentic datagram came from the address.
   void prove(Micros now, std::string_view address);
   /// Number of authenticated addresses that are kept.
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -157,7 +157,7 @@
     const bool more = rate_limiter_.allow_read(now);
     if (!more)
       read_pause_.start(read_pause);
-    if (!more || !rate_limiter_.look(now, from)) {
+    if (!more || !rate_limiter_.allow_open(now, from)) {
       refusals_.count(Refusals::flood, from);
       return more;
     }
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -159,7 +159,7 @@
       if (!flood.allow_read(now))
         continue;
       ++taken;
-      looked += flood.look(now, "10.0.0.1:" + std::to_string(random() % c.addresses));
+      looked += flood.allow_open(now, "10.0.0.1:" + std::to_string(random() % c.addresses));
     }
     EXPECT_LE(taken, rates.taken * 10.5 + 1) << c.name;
     EXPECT_LE(looked, c.bound * 10.5 + 1) << c.name;
@@ -173,13 +173,13 @@
   int proven_peer = 0, new_router = 0, strangers = 0, sent = 0;
   for (Micros now(1); now < seconds(10); now += microseconds(500)) {
     for (int i = 0; i < 5; ++i)
-      strangers += flood.look(now, "10.9.9." + std::to_string(i) + ":1");
+      strangers += flood.allow_open(now, "10.9.9." + std::to_string(i) + ":1");
     if (now.count() % 100'000 != 1)
       continue;
     ++sent;
-    proven_peer += flood.look(now, "10.0.0.1:1");
+    proven_peer += flood.allow_open(now, "10.0.0.1:1");
     flood.prove(now, "10.0.0.1:1");
-    new_router += flood.look(now, "10.0.0.2:1");
+    new_router += flood.allow_open(now, "10.0.0.2:1");
   }
   EXPECT_EQ(proven_peer, sent);
   EXPECT_EQ(new_router, sent);
@@ -191,7 +191,7 @@
   flood.prove(Micros(0), "a");
   int looked = 0;
   for (Micros now{}; now < seconds(10); now += microseconds(100))
-    looked += flood.look(now, "a");
+    looked += flood.allow_open(now, "a");
   EXPECT_LE(looked, 50 * 10.5 + 1);
   for (std::size_t i = 0; i < 2 * RateLimiter::most_addresses; ++i)
     flood.prove(Micros(0), std::to_string(i));
