--- a/src/peers/seal/rate_limiter.cpp
+++ b/src/peers/seal/rate_limiter.cpp
@@ -39,7 +39,7 @@
          all_unknown_.take(now, rates_.strangers);
 }
 
-void RateLimiter::prove(Micros now, std::string_view address) {
+void RateLimiter::record_authentic(Micros now, std::string_view address) {
   if (const auto found = authenticated_.find(std::string(address)); found != authenticated_.end()) {
     found->second.authenticated_at = now;
     return;
--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -50,7 +50,7 @@
   /// False: drop the datagram without authenticating it.
   bool allow_open(Micros now, std::string_view address);
   /// Records that an authentic datagram came from the address.
-  void prove(Micros now, std::string_view address);
+  void record_authentic(Micros now, std::string_view address);
   /// Number of authenticated addresses that are kept.
   std::size_t addresses() const { return authenticated_.size(); }
 
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -164,7 +164,7 @@
     auto refusal = seal::Refusal::none;
     const auto plain = opener_.open(bytes, refusal);
     if (plain) {
-      rate_limiter_.prove(now, from);
+      rate_limiter_.record_authentic(now, from);
       ++opened_;
       agent_.receive(now, from, *plain);
       // A timer merges the rounds of all datagrams read together. A deferred job of the loop would not do: it
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -169,7 +169,7 @@
 
 TEST(RateLimiter, admits_all_datagrams_of_proven_peers_and_of_a_new_router) {
   RateLimiter flood({20000, 800, 100, 50}, {1});
-  flood.prove(Micros(1), "10.0.0.1:1");
+  flood.record_authentic(Micros(1), "10.0.0.1:1");
   int proven_peer = 0, new_router = 0, strangers = 0, sent = 0;
   for (Micros now(1); now < seconds(10); now += microseconds(500)) {
     for (int i = 0; i < 5; ++i)
@@ -178,7 +178,7 @@
       continue;
     ++sent;
     proven_peer += flood.allow_open(now, "10.0.0.1:1");
-    flood.prove(now, "10.0.0.1:1");
+    flood.record_authentic(now, "10.0.0.1:1");
     new_router += flood.allow_open(now, "10.0.0.2:1");
   }
   EXPECT_EQ(proven_peer, sent);
@@ -188,15 +188,15 @@
 
 TEST(RateLimiter, bounds_the_datagrams_of_a_proven_address_and_the_table_of_addresses) {
   RateLimiter flood({1e9, 800, 100, 50}, {1});
-  flood.prove(Micros(0), "a");
+  flood.record_authentic(Micros(0), "a");
   int looked = 0;
   for (Micros now{}; now < seconds(10); now += microseconds(100))
     looked += flood.allow_open(now, "a");
   EXPECT_LE(looked, 50 * 10.5 + 1);
   for (std::size_t i = 0; i < 2 * RateLimiter::most_addresses; ++i)
-    flood.prove(Micros(0), std::to_string(i));
+    flood.record_authentic(Micros(0), std::to_string(i));
   EXPECT_EQ(flood.addresses(), RateLimiter::most_addresses);
-  flood.prove(RateLimiter::remembered + seconds(1), "later");
+  flood.record_authentic(RateLimiter::remembered + seconds(1), "later");
   EXPECT_EQ(flood.addresses(), 1u);
 }
 
