--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -52,7 +52,7 @@
   /// Records that an authentic datagram came from the address.
   void record_authentic(Micros now, std::string_view address);
   /// Number of authenticated addresses that are kept.
-  std::size_t addresses() const { return authenticated_.size(); }
+  std::size_t authenticated_addresses() const { return authenticated_.size(); }
 
  private:
   struct AuthenticatedAddress {
