--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -1,7 +1,7 @@
 // Rate limiting of received datagrams, applied before any of them is authenticated. Free of I/O; bounded
 // memory.
 //
-// Limits per second, whatever is sent by whom: at most `taken` datagrams are read from the socket. Of those,
+// Limits per second, whatever is sent by whom: at most `reads` datagrams are read from the socket. Of those,
 // at most `authenticated` are opened from addresses that sent an authentic datagram within `remembered`, and
 // at most `strangers` from all other addresses together.
 #pragma once
@@ -33,7 +33,7 @@
  public:
   /// Limits in datagrams per second; `per_address` bounds a single address.
   struct Rates {
-    double taken = 20000, authenticated = 8000, strangers = 500, per_address = 500;
+    double reads = 20000, authenticated = 8000, strangers = 500, per_address = 500;
   };
   /// Authenticated addresses that are kept at once.
   static constexpr std::size_t most_addresses = 8192;
@@ -46,7 +46,7 @@
   RateLimiter(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
 
   /// False: the limit of reads is reached, so pause reading.
-  bool allow_read(Micros now) { return read_bucket_.take(now, rates_.taken); }
+  bool allow_read(Micros now) { return read_bucket_.take(now, rates_.reads); }
   /// False: drop the datagram without authenticating it.
   bool allow_open(Micros now, std::string_view address);
   /// Records that an authentic datagram came from the address.
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -161,7 +161,7 @@
       ++taken;
       looked += flood.allow_open(now, "10.0.0.1:" + std::to_string(random() % c.addresses));
     }
-    EXPECT_LE(taken, rates.taken * 10.5 + 1) << c.name;
+    EXPECT_LE(taken, rates.reads * 10.5 + 1) << c.name;
     EXPECT_LE(looked, c.bound * 10.5 + 1) << c.name;
     EXPECT_GE(looked, c.bound * 9) << c.name;
   }
