--- a/src/peers/seal/rate_limiter.cpp
+++ b/src/peers/seal/rate_limiter.cpp
@@ -35,8 +35,8 @@
   auto& bucket = unknown_buckets_[hash_value % unknown_buckets_.size()];
   // One bucket of unknown addresses gets a tenth of the limit, so that up to nine flooding addresses leave
   // room for a router that joins.
-  return bucket.take(now, std::min(rates_.per_address, rates_.strangers / 10)) &&
-         all_unknown_.take(now, rates_.strangers);
+  return bucket.take(now, std::min(rates_.per_address, rates_.unknown / 10)) &&
+         all_unknown_.take(now, rates_.unknown);
 }
 
 void RateLimiter::record_authentic(Micros now, std::string_view address) {
--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -3,7 +3,7 @@
 //
 // Limits per second, whatever is sent by whom: at most `reads` datagrams are read from the socket. Of those,
 // at most `authenticated` are opened from addresses that sent an authentic datagram within `remembered`, and
-// at most `strangers` from all other addresses together.
+// at most `unknown` from all other addresses together.
 #pragma once
 
 #include <array>
@@ -33,7 +33,7 @@
  public:
   /// Limits in datagrams per second; `per_address` bounds a single address.
   struct Rates {
-    double reads = 20000, authenticated = 8000, strangers = 500, per_address = 500;
+    double reads = 20000, authenticated = 8000, unknown = 500, per_address = 500;
   };
   /// Authenticated addresses that are kept at once.
   static constexpr std::size_t most_addresses = 8192;
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -151,8 +151,8 @@
     std::uint64_t addresses;
     double bound;  // verifications a second
   };
-  for (const auto& c : {Case{"one address", 1, rates.strangers / 10}, Case{"twenty", 20, rates.strangers},
-                        Case{"many", 1 << 30, rates.strangers}}) {
+  for (const auto& c : {Case{"one address", 1, rates.unknown / 10}, Case{"twenty", 20, rates.unknown},
+                        Case{"many", 1 << 30, rates.unknown}}) {
     RateLimiter flood(rates, {1});
     int taken = 0, looked = 0;
     for (Micros now{}; now < seconds(10); now += microseconds(20)) {
