--- a/src/peers/seal/rate_limiter.cpp
+++ b/src/peers/seal/rate_limiter.cpp
@@ -44,14 +44,14 @@
     found->second.authenticated_at = now;
     return;
   }
-  if (authenticated_.size() >= most_addresses) {
+  if (authenticated_.size() >= max_addresses) {
     // A sweep visits the whole table, so it runs once a second at most and not for each new address.
     if (now - swept_at_ < std::chrono::seconds(1))
       return;
     swept_at_ = now;
     std::erase_if(authenticated_,
                   [&](const auto& one) { return now - one.second.authenticated_at > remembered; });
-    if (authenticated_.size() >= most_addresses)
+    if (authenticated_.size() >= max_addresses)
       return;
   }
   authenticated_[std::string(address)].authenticated_at = now;
--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -36,7 +36,7 @@
     double reads = 20000, authenticated = 8000, unknown = 500, per_address = 500;
   };
   /// Authenticated addresses that are kept at once.
-  static constexpr std::size_t most_addresses = 8192;
+  static constexpr std::size_t max_addresses = 8192;
   /// For how long an address counts as authenticated after its last authentic datagram.
   static constexpr Micros remembered = std::chrono::seconds(60);
 
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -193,9 +193,9 @@
   for (Micros now{}; now < seconds(10); now += microseconds(100))
     looked += flood.allow_open(now, "a");
   EXPECT_LE(looked, 50 * 10.5 + 1);
-  for (std::size_t i = 0; i < 2 * RateLimiter::most_addresses; ++i)
+  for (std::size_t i = 0; i < 2 * RateLimiter::max_addresses; ++i)
     flood.record_authentic(Micros(0), std::to_string(i));
-  EXPECT_EQ(flood.authenticated_addresses(), RateLimiter::most_addresses);
+  EXPECT_EQ(flood.authenticated_addresses(), RateLimiter::max_addresses);
   flood.record_authentic(RateLimiter::remembered + seconds(1), "later");
   EXPECT_EQ(flood.authenticated_addresses(), 1u);
 }
