--- a/src/peers/seal/rate_limiter.cpp
+++ b/src/peers/seal/rate_limiter.cpp
@@ -22,7 +22,7 @@
 // The bucket of the address is charged first, so that a flooding address does not use up the shared limit.
 bool RateLimiter::allow_open(Micros now, std::string_view address) {
   if (const auto found = authenticated_.find(std::string(address)); found != authenticated_.end()) {
-    if (now - found->second.authenticated_at <= remembered)
+    if (now - found->second.authenticated_at <= authenticated_ttl)
       return found->second.bucket.take(now, rates_.per_address) &&
              all_authenticated_.take(now, rates_.authenticated);
     authenticated_.erase(found);
@@ -50,7 +50,7 @@
       return;
     swept_at_ = now;
     std::erase_if(authenticated_,
-                  [&](const auto& one) { return now - one.second.authenticated_at > remembered; });
+                  [&](const auto& one) { return now - one.second.authenticated_at > authenticated_ttl; });
     if (authenticated_.size() >= max_addresses)
       return;
   }
--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -2,8 +2,8 @@
 // memory.
 //
 // Limits per second, whatever is sent by whom: at most `reads` datagrams are read from the socket. Of those,
-// at most `authenticated` are opened from addresses that sent an authentic datagram within `remembered`, and
-// at most `unknown` from all other addresses together.
+// at most `authenticated` are opened from addresses that sent an authentic datagram within
+// `authenticated_ttl`, and at most `unknown` from all other addresses together.
 #pragma once
 
 #include <array>
@@ -38,7 +38,7 @@
   /// Authenticated addresses that are kept at once.
   static constexpr std::size_t max_addresses = 8192;
   /// For how long an address counts as authenticated after its last authentic datagram.
-  static constexpr Micros remembered = std::chrono::seconds(60);
+  static constexpr Micros authenticated_ttl = std::chrono::seconds(60);
 
   /// Random key of the address hash, so that an attacker cannot pick addresses that share a bucket with
   /// another sender.
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -196,7 +196,7 @@
   for (std::size_t i = 0; i < 2 * RateLimiter::max_addresses; ++i)
     flood.record_authentic(Micros(0), std::to_string(i));
   EXPECT_EQ(flood.authenticated_addresses(), RateLimiter::max_addresses);
-  flood.record_authentic(RateLimiter::remembered + seconds(1), "later");
+  flood.record_authentic(RateLimiter::authenticated_ttl + seconds(1), "later");
   EXPECT_EQ(flood.authenticated_addresses(), 1u);
 }
 
