--- a/src/peers/seal/refusals.cpp
+++ b/src/peers/seal/refusals.cpp
@@ -7,12 +7,12 @@
 
 }  // namespace
 
-void Refusals::count(Kind kind, const std::string& from) {
+void RefusalCounters::count(Kind kind, const std::string& from) {
   ++totals_[kind];
   last_from_ = from;
 }
 
-std::optional<std::string> Refusals::line(Micros now) {
+std::optional<std::string> RefusalCounters::line(Micros now) {
   if (totals_ == logged_ || (logged_at_ && now - *logged_at_ < log_interval))
     return std::nullopt;
   std::string text;
--- a/src/peers/seal/refusals.h
+++ b/src/peers/seal/refusals.h
@@ -11,7 +11,7 @@
 namespace lemonroute::peers::seal {
 
 /// Counts refused datagrams by reason and makes a rate-limited log line of them.
-class Refusals {
+class RefusalCounters {
  public:
   /// Why a datagram was refused; `flood` is a datagram over a rate limit.
   enum Kind : std::uint8_t { oversize, unknown_version, unknown_key, replay, forged, flood, kind_count };
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -152,13 +152,13 @@
   }
 
   bool handle_datagram(const std::string& from, std::string_view bytes) {
-    using seal::Refusals;
+    using seal::RefusalCounters;
     const Micros now = clock_.now();
     const bool more = rate_limiter_.allow_read(now);
     if (!more)
       read_pause_.start(read_pause);
     if (!more || !rate_limiter_.allow_open(now, from)) {
-      refusals_.count(Refusals::flood, from);
+      refusals_.count(RefusalCounters::flood, from);
       return more;
     }
     auto refusal = seal::Refusal::none;
@@ -173,9 +173,9 @@
         due_.start(Micros(0));
       return true;
     }
-    constexpr Refusals::Kind kind_of[] = {Refusals::forged,          Refusals::oversize,
-                                          Refusals::unknown_version, Refusals::unknown_key,
-                                          Refusals::replay,          Refusals::forged};
+    constexpr RefusalCounters::Kind kind_of[] = {
+        RefusalCounters::forged,      RefusalCounters::oversize, RefusalCounters::unknown_version,
+        RefusalCounters::unknown_key, RefusalCounters::replay,   RefusalCounters::forged};
     refusals_.count(kind_of[static_cast<std::size_t>(refusal)], from);
     return true;
   }
@@ -229,7 +229,7 @@
   seal::Sealer sealer_;
   seal::Opener opener_;
   seal::RateLimiter rate_limiter_;
-  seal::Refusals refusals_;
+  seal::RefusalCounters refusals_;
   Agent agent_;
   Wake wake_;
   net::Timer due_, read_pause_, bind_retry_;
@@ -271,8 +271,8 @@
                            {"sent", impl_->sent_},
                            {"unsent", impl_->unsent_},
                            {"too_long", impl_->too_long_}};
-  for (std::size_t i = 0; i < seal::Refusals::kind_count; ++i)
-    datagrams["refused"][seal::Refusals::names[i]] = impl_->refusals_.totals()[i];
+  for (std::size_t i = 0; i < seal::RefusalCounters::kind_count; ++i)
+    datagrams["refused"][seal::RefusalCounters::names[i]] = impl_->refusals_.totals()[i];
   document["datagrams"] = std::move(datagrams);
   return document;
 }
