--- a/src/peers/seal/refusals.cpp
+++ b/src/peers/seal/refusal_counters.cpp
@@ -1,4 +1,4 @@
-#include "peers/seal/refusals.h"
+#include "peers/seal/refusal_counters.h"
 
 namespace lemonroute::peers::seal {
 namespace {
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -11,7 +11,7 @@
 
 #include "base/log.h"
 #include "peers/seal/rate_limiter.h"
-#include "peers/seal/refusals.h"
+#include "peers/seal/refusal_counters.h"
 #include "peers/seal/seal.h"
 #include "peers/udp.h"
 #include "peers/wake.h"
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "peers/seal/rate_limiter.h"
-#include "peers/seal/refusals.h"
+#include "peers/seal/refusal_counters.h"
 
 namespace lemonroute::peers::seal {
 namespace {
