--- a/src/peers/seal/refusal_counters.cpp
+++ b/src/peers/seal/refusal_counters.cpp
@@ -12,7 +12,7 @@
   last_from_ = from;
 }
 
-std::optional<std::string> RefusalCounters::line(Micros now) {
+std::optional<std::string> RefusalCounters::take_log_line(Micros now) {
   if (totals_ == logged_ || (logged_at_ && now - *logged_at_ < log_interval))
     return std::nullopt;
   std::string text;
--- a/src/peers/seal/refusal_counters.h
+++ b/src/peers/seal/refusal_counters.h
@@ -24,7 +24,7 @@
   const std::array<std::uint64_t, kind_count>& totals() const { return totals_; }
   /// A log line of the datagrams refused since the last line. Nothing if there are none, or if the last line
   /// is less than a minute old.
-  std::optional<std::string> line(Micros now);
+  std::optional<std::string> take_log_line(Micros now);
 
  private:
   std::array<std::uint64_t, kind_count> totals_{}, logged_{};
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -213,7 +213,7 @@
     round_due_ = false;
     send();
     const Micros now = clock_.now();
-    if (const auto line = refusals_.line(now))
+    if (const auto line = refusals_.take_log_line(now))
       logging::warn() << *line;
     desk_.round(now, service_);
     due_.start(std::min(agent_.next_due(), desk_.next_due()) - now);
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -202,16 +202,17 @@
 
 TEST(RefusalCounters, are_logged_in_one_line_at_most_once_a_minute) {
   RefusalCounters refusals;
-  EXPECT_EQ(refusals.line(seconds(0)), std::nullopt);
+  EXPECT_EQ(refusals.take_log_line(seconds(0)), std::nullopt);
   for (int i = 0; i < 1000; ++i)
     refusals.count(RefusalCounters::flood, "10.9.9.9:1");
   refusals.count(RefusalCounters::forged, "10.9.9.9:2");
-  EXPECT_EQ(refusals.line(seconds(1)),
+  EXPECT_EQ(refusals.take_log_line(seconds(1)),
             "peers: datagrams refused: 1 forged, 1000 flood; the last one from 10.9.9.9:2");
   refusals.count(RefusalCounters::replay, "10.9.9.9:3");
-  EXPECT_EQ(refusals.line(seconds(60)), std::nullopt);
-  EXPECT_EQ(refusals.line(seconds(61)), "peers: datagrams refused: 1 replayed; the last one from 10.9.9.9:3");
-  EXPECT_EQ(refusals.line(seconds(200)), std::nullopt);
+  EXPECT_EQ(refusals.take_log_line(seconds(60)), std::nullopt);
+  EXPECT_EQ(refusals.take_log_line(seconds(61)),
+            "peers: datagrams refused: 1 replayed; the last one from 10.9.9.9:3");
+  EXPECT_EQ(refusals.take_log_line(seconds(200)), std::nullopt);
 }
 
 TEST(KeyFile, is_read_only_if_valid_and_private) {
