--- a/src/peers/seal/refusal_counters.h
+++ b/src/peers/seal/refusal_counters.h
@@ -14,7 +14,7 @@
 class RefusalCounters {
  public:
   /// Why a datagram was refused; `flood` is a datagram over a rate limit.
-  enum Kind : std::uint8_t { oversize, unknown_version, unknown_key, replay, forged, flood, kind_count };
+  enum Kind : std::uint8_t { oversize, unknown_version, unknown_key, replayed, forged, flood, kind_count };
   /// The name of each kind in the log line and in the management JSON.
   static constexpr std::array<const char*, kind_count> names{"oversize", "unknown_version", "unknown_key",
                                                              "replayed", "forged",          "flood"};
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -175,7 +175,7 @@
     }
     constexpr RefusalCounters::Kind kind_of[] = {
         RefusalCounters::forged,      RefusalCounters::oversize, RefusalCounters::unknown_version,
-        RefusalCounters::unknown_key, RefusalCounters::replay,   RefusalCounters::forged};
+        RefusalCounters::unknown_key, RefusalCounters::replayed, RefusalCounters::forged};
     refusals_.count(kind_of[static_cast<std::size_t>(refusal)], from);
     return true;
   }
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -208,7 +208,7 @@
   refusals.count(RefusalCounters::forged, "10.9.9.9:2");
   EXPECT_EQ(refusals.take_log_line(seconds(1)),
             "peers: datagrams refused: 1 forged, 1000 flood; the last one from 10.9.9.9:2");
-  refusals.count(RefusalCounters::replay, "10.9.9.9:3");
+  refusals.count(RefusalCounters::replayed, "10.9.9.9:3");
   EXPECT_EQ(refusals.take_log_line(seconds(60)), std::nullopt);
   EXPECT_EQ(refusals.take_log_line(seconds(61)),
             "peers: datagrams refused: 1 replayed; the last one from 10.9.9.9:3");
