--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -65,7 +65,7 @@
   if (sealed.size() > most_sealed)
     return refuse(Refusal::oversize);
   if (sealed.empty() || load<std::uint8_t>(&sealed[0]) != version)
-    return refuse(Refusal::version);
+    return refuse(Refusal::unknown_version);
   if (sealed.size() < overhead)
     return refuse(Refusal::forged);
   const auto id = load<std::uint32_t>(&sealed[1]);
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -49,7 +49,7 @@
       std::string modified = sealed;
       modified[at] = static_cast<char>(modified[at] ^ (1 << bit));
       EXPECT_EQ(pair.open(modified), std::nullopt) << at;
-      EXPECT_EQ(pair.refusal, at == 0 ? Refusal::version : at < 5 ? Refusal::key : pair.refusal);
+      EXPECT_EQ(pair.refusal, at == 0 ? Refusal::unknown_version : at < 5 ? Refusal::key : pair.refusal);
     }
   for (std::size_t length = 0; length < sealed.size(); ++length)
     EXPECT_FALSE(pair.open(sealed.substr(0, length)));
