--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -71,7 +71,7 @@
   const auto id = load<std::uint32_t>(&sealed[1]);
   const auto key = std::find_if(keys_.begin(), keys_.end(), [&](const Key& one) { return one.id == id; });
   if (key == keys_.end())
-    return refuse(Refusal::key);
+    return refuse(Refusal::unknown_key);
   const Sender sender{load<std::uint64_t>(&sealed[associated_bytes]),
                       load<std::uint64_t>(&sealed[associated_bytes + 8])};
   const auto sequence = load<std::uint64_t>(&sealed[associated_bytes + 16]);
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -41,8 +41,9 @@
   std::uint64_t sequence_ = 0;
 };
 
-/// Why a datagram was not opened; `key` is an unknown key id, `unknown_version` an unknown format version.
-enum class Refusal : std::uint8_t { none, oversize, unknown_version, key, replay, forged };
+/// Why a datagram was not opened; `unknown_key` is an unknown key id, `unknown_version` an unknown format
+/// version.
+enum class Refusal : std::uint8_t { none, oversize, unknown_version, unknown_key, replay, forged };
 
 /// Authenticates and decrypts received datagrams, and refuses replayed ones.
 class Opener {
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -49,7 +49,9 @@
       std::string modified = sealed;
       modified[at] = static_cast<char>(modified[at] ^ (1 << bit));
       EXPECT_EQ(pair.open(modified), std::nullopt) << at;
-      EXPECT_EQ(pair.refusal, at == 0 ? Refusal::unknown_version : at < 5 ? Refusal::key : pair.refusal);
+      EXPECT_EQ(pair.refusal, at == 0  ? Refusal::unknown_version
+                              : at < 5 ? Refusal::unknown_key
+                                       : pair.refusal);
     }
   for (std::size_t length = 0; length < sealed.size(); ++length)
     EXPECT_FALSE(pair.open(sealed.substr(0, length)));
@@ -86,7 +88,8 @@
   // The rotation: all routers open with the new key as well, then seal with it, then drop the old key.
   for (const auto& step :
        {Step{{old_key, new_key}, new_key, Refusal::none}, Step{{new_key, old_key}, old_key, Refusal::none},
-        Step{{new_key}, old_key, Refusal::key}, Step{{old_key, new_key}, other, Refusal::key}}) {
+        Step{{new_key}, old_key, Refusal::unknown_key},
+        Step{{old_key, new_key}, other, Refusal::unknown_key}}) {
     Opener opener(step.keys, 4);
     auto refusal = Refusal::none;
     opener.open(Sealer(step.sealed_with, {1, 1}).seal("x"), refusal);
