--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -76,7 +76,7 @@
                       load<std::uint64_t>(&sealed[associated_bytes + 8])};
   const auto sequence = load<std::uint64_t>(&sealed[associated_bytes + 16]);
   if (!replay_windows_.fresh(sender, sequence))
-    return refuse(Refusal::replay);
+    return refuse(Refusal::replayed);
   std::string plain(sealed.size() - overhead, '\0');
   if (crypto_aead_xchacha20poly1305_ietf_decrypt(
           bytes(plain.data()), nullptr, nullptr, bytes(&sealed[header_bytes]), sealed.size() - header_bytes,
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -43,7 +43,7 @@
 
 /// Why a datagram was not opened; `unknown_key` is an unknown key id, `unknown_version` an unknown format
 /// version.
-enum class Refusal : std::uint8_t { none, oversize, unknown_version, unknown_key, replay, forged };
+enum class Refusal : std::uint8_t { none, oversize, unknown_version, unknown_key, replayed, forged };
 
 /// Authenticates and decrypts received datagrams, and refuses replayed ones.
 class Opener {
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -74,7 +74,7 @@
     EXPECT_TRUE(pair.open(one));
   for (const auto& one : all) {
     EXPECT_FALSE(pair.open(one));
-    EXPECT_EQ(pair.refusal, Refusal::replay);
+    EXPECT_EQ(pair.refusal, Refusal::replayed);
   }
 }
 
