--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -62,7 +62,7 @@
     why = reason;
     return std::nullopt;
   };
-  if (sealed.size() > most_sealed)
+  if (sealed.size() > max_sealed_bytes)
     return refuse(Refusal::oversize);
   if (sealed.empty() || load<std::uint8_t>(&sealed[0]) != version)
     return refuse(Refusal::unknown_version);
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -23,9 +23,9 @@
 /// Bytes before the ciphertext, and all bytes that sealing adds.
 constexpr std::size_t header_bytes = 1 + 4 + 24, overhead = header_bytes + 16;
 /// Longest sealed datagram in bytes: fits into the minimum MTU of IPv6.
-constexpr std::size_t most_sealed = 1232;
+constexpr std::size_t max_sealed_bytes = 1232;
 /// Longest plaintext in bytes.
-constexpr std::size_t most_plain = most_sealed - overhead;
+constexpr std::size_t most_plain = max_sealed_bytes - overhead;
 
 /// Encrypts the datagrams of this process.
 class Sealer {
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -62,7 +62,7 @@
   }
 
   std::unique_ptr<Udp> open(const std::string& address) {
-    return std::make_unique<Udp>(loop_, address, seal::most_sealed, [this](auto& from, auto bytes) {
+    return std::make_unique<Udp>(loop_, address, seal::max_sealed_bytes, [this](auto& from, auto bytes) {
       bool more = true;
       end_on_exception([&] { more = handle_datagram(from, bytes); });
       return more;
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -35,7 +35,7 @@
   for (std::size_t length : {std::size_t{0}, std::size_t{1}, std::size_t{100}, most_plain}) {
     const std::string plain(length, 'x'), sealed = pair.sealer.seal(plain);
     EXPECT_EQ(sealed.size(), length + overhead);
-    EXPECT_LE(sealed.size(), most_sealed);
+    EXPECT_LE(sealed.size(), max_sealed_bytes);
     EXPECT_EQ(pair.open(sealed), plain);
   }
   EXPECT_THROW(pair.sealer.seal(std::string(most_plain + 1, 'x')), std::length_error);
@@ -56,7 +56,7 @@
   for (std::size_t length = 0; length < sealed.size(); ++length)
     EXPECT_FALSE(pair.open(sealed.substr(0, length)));
   EXPECT_FALSE(pair.open(sealed + "x"));
-  EXPECT_FALSE(pair.open(std::string(most_sealed + 1, '\1')));
+  EXPECT_FALSE(pair.open(std::string(max_sealed_bytes + 1, '\1')));
   EXPECT_EQ(pair.refusal, Refusal::oversize);
   // The refused datagrams don't make the original count as replayed.
   EXPECT_TRUE(pair.open(sealed));
