--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -43,7 +43,7 @@
 }  // namespace
 
 std::string Sealer::seal(std::string_view plain) {
-  if (plain.size() > most_plain)
+  if (plain.size() > max_plain_bytes)
     throw std::length_error("datagram exceeds the maximum plaintext size");
   std::string out(overhead + plain.size(), '\0');
   out[0] = static_cast<char>(version);
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -25,14 +25,14 @@
 /// Longest sealed datagram in bytes: fits into the minimum MTU of IPv6.
 constexpr std::size_t max_sealed_bytes = 1232;
 /// Longest plaintext in bytes.
-constexpr std::size_t most_plain = max_sealed_bytes - overhead;
+constexpr std::size_t max_plain_bytes = max_sealed_bytes - overhead;
 
 /// Encrypts the datagrams of this process.
 class Sealer {
  public:
   /// `self` must be unique among all processes that use the key.
   Sealer(const Key& key, Sender self) : key_(key), self_(self) {}
-  /// Seals a plaintext of at most most_plain bytes; throws std::length_error for a longer one.
+  /// Seals a plaintext of at most max_plain_bytes bytes; throws std::length_error for a longer one.
   std::string seal(std::string_view plain);
 
  private:
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -187,7 +187,7 @@
 
   void send() {
     for (const auto& datagram : agent_.take()) {
-      if (datagram.bytes.size() > seal::most_plain) {
+      if (datagram.bytes.size() > seal::max_plain_bytes) {
         ++too_long_;
         continue;
       }
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -32,13 +32,13 @@
 
 TEST(Seal, opens_sealed_datagrams_of_every_valid_length) {
   SealerAndOpener pair;
-  for (std::size_t length : {std::size_t{0}, std::size_t{1}, std::size_t{100}, most_plain}) {
+  for (std::size_t length : {std::size_t{0}, std::size_t{1}, std::size_t{100}, max_plain_bytes}) {
     const std::string plain(length, 'x'), sealed = pair.sealer.seal(plain);
     EXPECT_EQ(sealed.size(), length + overhead);
     EXPECT_LE(sealed.size(), max_sealed_bytes);
     EXPECT_EQ(pair.open(sealed), plain);
   }
-  EXPECT_THROW(pair.sealer.seal(std::string(most_plain + 1, 'x')), std::length_error);
+  EXPECT_THROW(pair.sealer.seal(std::string(max_plain_bytes + 1, 'x')), std::length_error);
 }
 
 TEST(Seal, refuses_datagrams_with_changed_removed_or_added_bytes) {
