--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t associated_bytes = 1 + 4;  // version and key id, authenticated in the clear
 constexpr std::size_t nonce_bytes = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
 static_assert(associated_bytes + nonce_bytes == header_bytes &&
-              header_bytes + crypto_aead_xchacha20poly1305_ietf_ABYTES == overhead);
+              header_bytes + crypto_aead_xchacha20poly1305_ietf_ABYTES == overhead_bytes);
 static_assert(Key::size == crypto_aead_xchacha20poly1305_ietf_KEYBYTES);
 
 // Integers are big-endian, independent of the byte order of the host.
@@ -45,7 +45,7 @@
 std::string Sealer::seal(std::string_view plain) {
   if (plain.size() > max_plain_bytes)
     throw std::length_error("datagram exceeds the maximum plaintext size");
-  std::string out(overhead + plain.size(), '\0');
+  std::string out(overhead_bytes + plain.size(), '\0');
   out[0] = static_cast<char>(version);
   store(&out[1], key_.id);
   store(&out[associated_bytes], self_.tag);
@@ -66,7 +66,7 @@
     return refuse(Refusal::oversize);
   if (sealed.empty() || load<std::uint8_t>(&sealed[0]) != version)
     return refuse(Refusal::unknown_version);
-  if (sealed.size() < overhead)
+  if (sealed.size() < overhead_bytes)
     return refuse(Refusal::forged);
   const auto id = load<std::uint32_t>(&sealed[1]);
   const auto key = std::find_if(keys_.begin(), keys_.end(), [&](const Key& one) { return one.id == id; });
@@ -77,7 +77,7 @@
   const auto sequence = load<std::uint64_t>(&sealed[associated_bytes + 16]);
   if (!replay_windows_.fresh(sender, sequence))
     return refuse(Refusal::replayed);
-  std::string plain(sealed.size() - overhead, '\0');
+  std::string plain(sealed.size() - overhead_bytes, '\0');
   if (crypto_aead_xchacha20poly1305_ietf_decrypt(
           bytes(plain.data()), nullptr, nullptr, bytes(&sealed[header_bytes]), sealed.size() - header_bytes,
           bytes(sealed.data()), associated_bytes, bytes(&sealed[associated_bytes]), key->bytes.data()) != 0)
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -21,11 +21,11 @@
 /// Format version, the first byte of each datagram.
 constexpr std::uint8_t version = 1;
 /// Bytes before the ciphertext, and all bytes that sealing adds.
-constexpr std::size_t header_bytes = 1 + 4 + 24, overhead = header_bytes + 16;
+constexpr std::size_t header_bytes = 1 + 4 + 24, overhead_bytes = header_bytes + 16;
 /// Longest sealed datagram in bytes: fits into the minimum MTU of IPv6.
 constexpr std::size_t max_sealed_bytes = 1232;
 /// Longest plaintext in bytes.
-constexpr std::size_t max_plain_bytes = max_sealed_bytes - overhead;
+constexpr std::size_t max_plain_bytes = max_sealed_bytes - overhead_bytes;
 
 /// Encrypts the datagrams of this process.
 class Sealer {
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -34,7 +34,7 @@
   SealerAndOpener pair;
   for (std::size_t length : {std::size_t{0}, std::size_t{1}, std::size_t{100}, max_plain_bytes}) {
     const std::string plain(length, 'x'), sealed = pair.sealer.seal(plain);
-    EXPECT_EQ(sealed.size(), length + overhead);
+    EXPECT_EQ(sealed.size(), length + overhead_bytes);
     EXPECT_LE(sealed.size(), max_sealed_bytes);
     EXPECT_EQ(pair.open(sealed), plain);
   }
