--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -72,8 +72,8 @@
   const auto key = std::find_if(keys_.begin(), keys_.end(), [&](const Key& one) { return one.id == id; });
   if (key == keys_.end())
     return refuse(Refusal::unknown_key);
-  const Sender sender{load<std::uint64_t>(&sealed[associated_bytes]),
-                      load<std::uint64_t>(&sealed[associated_bytes + 8])};
+  const SenderId sender{load<std::uint64_t>(&sealed[associated_bytes]),
+                        load<std::uint64_t>(&sealed[associated_bytes + 8])};
   const auto sequence = load<std::uint64_t>(&sealed[associated_bytes + 16]);
   if (!replay_windows_.fresh(sender, sequence))
     return refuse(Refusal::replayed);
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -31,13 +31,13 @@
 class Sealer {
  public:
   /// `self` must be unique among all processes that use the key.
-  Sealer(const Key& key, Sender self) : key_(key), self_(self) {}
+  Sealer(const Key& key, SenderId self) : key_(key), self_(self) {}
   /// Seals a plaintext of at most max_plain_bytes bytes; throws std::length_error for a longer one.
   std::string seal(std::string_view plain);
 
  private:
   Key key_;
-  Sender self_;
+  SenderId self_;
   std::uint64_t sequence_ = 0;
 };
 
--- a/src/peers/seal/window.h
+++ b/src/peers/seal/window.h
@@ -10,10 +10,10 @@
 namespace lemonroute::peers::seal {
 
 /// Identifies a sending process. The tag is random for each process, so that no two processes share one.
-struct Sender {
+struct SenderId {
   /// Random tag, and the process' start as Unix time in microseconds.
   std::uint64_t tag = 0, start = 0;
-  bool operator==(const Sender&) const = default;
+  bool operator==(const SenderId&) const = default;
 };
 
 /// Replay window of one sender: tolerates reordering within the last `width` sequence numbers.
@@ -40,24 +40,24 @@
   /// Keeps the windows of at most `most` senders.
   explicit Windows(std::size_t most) : max_senders_(most) {}
   /// Whether the datagram was not received yet and is not older than the sender's window.
-  bool fresh(const Sender& sender, std::uint64_t sequence) const;
+  bool fresh(const SenderId& sender, std::uint64_t sequence) const;
   /// Records a datagram as received; it must be authentic and fresh.
-  void mark(const Sender& sender, std::uint64_t sequence);
+  void mark(const SenderId& sender, std::uint64_t sequence);
   /// Number of senders that are kept.
   std::size_t size() const { return senders_.size(); }
 
  private:
   struct Hash {
     // Only authenticated senders are inserted, so nobody without the key can cause hash collisions.
-    std::size_t operator()(const Sender& s) const { return s.tag ^ (s.start * 0x9e3779b97f4a7c15ULL); }
+    std::size_t operator()(const SenderId& s) const { return s.tag ^ (s.start * 0x9e3779b97f4a7c15ULL); }
   };
   struct SenderWindow {
-    Sender sender;
+    SenderId sender;
     Window window;
   };
   std::size_t max_senders_;
   std::list<SenderWindow> by_recency_;  // the most recent sender in front
-  std::unordered_map<Sender, std::list<SenderWindow>::iterator, Hash> senders_;
+  std::unordered_map<SenderId, std::list<SenderWindow>::iterator, Hash> senders_;
 };
 
 }  // namespace lemonroute::peers::seal
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -226,7 +226,7 @@
 // ---- sealed ----
 
 constexpr char plain[] = "what router-a says to router-b";
-const seal::Sender sealing_process{.tag = 0x0102030405060708, .start = sender_start};
+const seal::SenderId sealing_process{.tag = 0x0102030405060708, .start = sender_start};
 
 // The bytes 1 to 32.
 seal::Key shared_key() {
