--- a/src/peers/seal/window.cpp
+++ b/src/peers/seal/window.cpp
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-bool Window::fresh(std::uint64_t sequence) const {
+bool ReplayWindow::fresh(std::uint64_t sequence) const {
   if (sequence > newest_)
     return true;
   if (sequence == 0 || newest_ - sequence >= width)
@@ -15,7 +15,7 @@
   return !(received_[sequence / bits_per_word % received_.size()] >> (sequence % bits_per_word) & 1);
 }
 
-void Window::mark(std::uint64_t sequence) {
+void ReplayWindow::mark(std::uint64_t sequence) {
   if (sequence > newest_) {
     // Clears the bits of the numbers that enter the window, which numbers that leave it still hold.
     if (sequence - newest_ >= width)
--- a/src/peers/seal/window.h
+++ b/src/peers/seal/window.h
@@ -17,7 +17,7 @@
 };
 
 /// Replay window of one sender: tolerates reordering within the last `width` sequence numbers.
-class Window {
+class ReplayWindow {
  public:
   /// Number of sequence numbers that the window covers.
   static constexpr std::uint64_t width = 1024;
@@ -53,7 +53,7 @@
   };
   struct SenderWindow {
     SenderId sender;
-    Window window;
+    ReplayWindow window;
   };
   std::size_t max_senders_;
   std::list<SenderWindow> by_recency_;  // the most recent sender in front
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -97,8 +97,8 @@
   }
 }
 
-TEST(Window, accepts_numbers_at_its_edges_once) {
-  const auto w = Window::width;
+TEST(ReplayWindow, accepts_numbers_at_its_edges_once) {
+  const auto w = ReplayWindow::width;
   struct Case {
     std::vector<std::uint64_t> marked;
     std::uint64_t number;
@@ -109,22 +109,22 @@
         Case{{1, w}, 1, false}, Case{{w}, 1, true}, Case{{w + 1}, 1, false}, Case{{w + 1}, 2, true},
         Case{{1, 1 + w}, 1 + w, false}, Case{{3, 3 + w - 1}, 3, false}, Case{{3, 3 + w}, 4, true},
         Case{{1, 2, 9 * w}, 9 * w - 1, true}, Case{{~0ULL}, ~0ULL, false}, Case{{7, ~0ULL}, 7, false}}) {
-    Window window;
+    ReplayWindow window;
     for (const auto one : c.marked)
       window.mark(one);
     EXPECT_EQ(window.fresh(c.number), c.fresh) << c.number;
   }
 }
 
-TEST(Window, accepts_each_number_once_in_any_order_and_refuses_numbers_that_are_too_old) {
+TEST(ReplayWindow, accepts_each_number_once_in_any_order_and_refuses_numbers_that_are_too_old) {
   std::mt19937_64 random(26);
-  Window window;
+  ReplayWindow window;
   std::set<std::uint64_t> marked;
   std::uint64_t newest = 0;
   for (int i = 0; i < 20000; ++i) {
-    const auto ahead = newest + random() % 40, back = random() % (2 * Window::width);
+    const auto ahead = newest + random() % 40, back = random() % (2 * ReplayWindow::width);
     const auto at = random() % 2 || ahead <= back ? ahead : ahead - back;
-    const bool expected = at > 0 && !marked.count(at) && at + Window::width > newest;
+    const bool expected = at > 0 && !marked.count(at) && at + ReplayWindow::width > newest;
     ASSERT_EQ(window.fresh(at), expected) << at << " with " << newest;
     if (!expected)
       continue;
