--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -59,7 +59,7 @@
 
  private:
   std::vector<Key> keys_;
-  Windows replay_windows_;
+  ReplayWindows replay_windows_;
 };
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/window.cpp
+++ b/src/peers/seal/window.cpp
@@ -28,12 +28,12 @@
   received_[sequence / bits_per_word % received_.size()] |= std::uint64_t{1} << (sequence % bits_per_word);
 }
 
-bool Windows::fresh(const SenderId& sender, std::uint64_t sequence) const {
+bool ReplayWindows::fresh(const SenderId& sender, std::uint64_t sequence) const {
   const auto found = senders_.find(sender);
   return found == senders_.end() ? sequence > 0 : found->second->window.fresh(sequence);
 }
 
-void Windows::mark(const SenderId& sender, std::uint64_t sequence) {
+void ReplayWindows::mark(const SenderId& sender, std::uint64_t sequence) {
   const auto found = senders_.find(sender);
   if (found == senders_.end()) {
     if (senders_.size() >= max_senders_) {
--- a/src/peers/seal/window.h
+++ b/src/peers/seal/window.h
@@ -35,10 +35,10 @@
 ///
 /// Each datagram of an evicted sender can be replayed once. With room for twice the members of a view, an
 /// eviction takes thousands of newer processes, and membership then knows a newer start of that name.
-class Windows {
+class ReplayWindows {
  public:
   /// Keeps the windows of at most `most` senders.
-  explicit Windows(std::size_t most) : max_senders_(most) {}
+  explicit ReplayWindows(std::size_t most) : max_senders_(most) {}
   /// Whether the datagram was not received yet and is not older than the sender's window.
   bool fresh(const SenderId& sender, std::uint64_t sequence) const;
   /// Records a datagram as received; it must be authentic and fresh.
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -134,8 +134,8 @@
   }
 }
 
-TEST(Windows, are_bounded_and_evict_the_sender_that_was_silent_for_longest) {
-  Windows windows(3);
+TEST(ReplayWindows, are_bounded_and_evict_the_sender_that_was_silent_for_longest) {
+  ReplayWindows windows(3);
   for (std::uint64_t tag = 1; tag <= 3; ++tag)
     windows.mark({tag, 0}, 1);
   windows.mark({1, 0}, 2);
