--- a/src/peers/seal/window.cpp
+++ b/src/peers/seal/replay_window.cpp
@@ -1,4 +1,4 @@
-#include "peers/seal/window.h"
+#include "peers/seal/replay_window.h"
 
 namespace lemonroute::peers::seal {
 namespace {
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "peers/seal/key.h"
-#include "peers/seal/window.h"
+#include "peers/seal/replay_window.h"
 
 namespace lemonroute::peers::seal {
 
