--- a/src/peers/seal/replay_window.cpp
+++ b/src/peers/seal/replay_window.cpp
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-bool ReplayWindow::fresh(std::uint64_t sequence) const {
+bool ReplayWindow::is_new(std::uint64_t sequence) const {
   if (sequence > newest_)
     return true;
   if (sequence == 0 || newest_ - sequence >= width)
@@ -28,9 +28,9 @@
   received_[sequence / bits_per_word % received_.size()] |= std::uint64_t{1} << (sequence % bits_per_word);
 }
 
-bool ReplayWindows::fresh(const SenderId& sender, std::uint64_t sequence) const {
+bool ReplayWindows::is_new(const SenderId& sender, std::uint64_t sequence) const {
   const auto found = senders_.find(sender);
-  return found == senders_.end() ? sequence > 0 : found->second->window.fresh(sequence);
+  return found == senders_.end() ? sequence > 0 : found->second->window.is_new(sequence);
 }
 
 void ReplayWindows::mark(const SenderId& sender, std::uint64_t sequence) {
--- a/src/peers/seal/replay_window.h
+++ b/src/peers/seal/replay_window.h
@@ -22,8 +22,8 @@
   /// Number of sequence numbers that the window covers.
   static constexpr std::uint64_t width = 1024;
   /// Whether the number was not received yet and is not older than the window.
-  bool fresh(std::uint64_t sequence) const;
-  /// Records a number as received; it must be fresh.
+  bool is_new(std::uint64_t sequence) const;
+  /// Records a number as received; it must be new.
   void mark(std::uint64_t sequence);
 
  private:
@@ -40,8 +40,8 @@
   /// Keeps the windows of at most `most` senders.
   explicit ReplayWindows(std::size_t most) : max_senders_(most) {}
   /// Whether the datagram was not received yet and is not older than the sender's window.
-  bool fresh(const SenderId& sender, std::uint64_t sequence) const;
-  /// Records a datagram as received; it must be authentic and fresh.
+  bool is_new(const SenderId& sender, std::uint64_t sequence) const;
+  /// Records a datagram as received; it must be authentic and new.
   void mark(const SenderId& sender, std::uint64_t sequence);
   /// Number of senders that are kept.
   std::size_t size() const { return senders_.size(); }
--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -75,7 +75,7 @@
   const SenderId sender{load<std::uint64_t>(&sealed[associated_bytes]),
                         load<std::uint64_t>(&sealed[associated_bytes + 8])};
   const auto sequence = load<std::uint64_t>(&sealed[associated_bytes + 16]);
-  if (!replay_windows_.fresh(sender, sequence))
+  if (!replay_windows_.is_new(sender, sequence))
     return refuse(Refusal::replayed);
   std::string plain(sealed.size() - overhead_bytes, '\0');
   if (crypto_aead_xchacha20poly1305_ietf_decrypt(
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -112,7 +112,7 @@
     ReplayWindow window;
     for (const auto one : c.marked)
       window.mark(one);
-    EXPECT_EQ(window.fresh(c.number), c.fresh) << c.number;
+    EXPECT_EQ(window.is_new(c.number), c.fresh) << c.number;
   }
 }
 
@@ -125,7 +125,7 @@
     const auto ahead = newest + random() % 40, back = random() % (2 * ReplayWindow::width);
     const auto at = random() % 2 || ahead <= back ? ahead : ahead - back;
     const bool expected = at > 0 && !marked.count(at) && at + ReplayWindow::width > newest;
-    ASSERT_EQ(window.fresh(at), expected) << at << " with " << newest;
+    ASSERT_EQ(window.is_new(at), expected) << at << " with " << newest;
     if (!expected)
       continue;
     window.mark(at);
@@ -141,9 +141,9 @@
   windows.mark({1, 0}, 2);
   windows.mark({4, 0}, 1);
   EXPECT_EQ(windows.size(), 3u);
-  EXPECT_FALSE(windows.fresh({1, 0}, 1));
-  EXPECT_TRUE(windows.fresh({2, 0}, 1));  // its window was evicted, so the number counts as new
-  EXPECT_FALSE(windows.fresh({4, 0}, 1));
+  EXPECT_FALSE(windows.is_new({1, 0}, 1));
+  EXPECT_TRUE(windows.is_new({2, 0}, 1));  // its window was evicted, so the number counts as new
+  EXPECT_FALSE(windows.is_new({4, 0}, 1));
 }
 
 TEST(RateLimiter, bounds_taken_datagrams_and_verifications_for_any_number_of_source_addresses) {
