--- a/src/peers/seal/replay_window.cpp
+++ b/src/peers/seal/replay_window.cpp
@@ -15,7 +15,7 @@
   return !(received_[sequence / bits_per_word % received_.size()] >> (sequence % bits_per_word) & 1);
 }
 
-void ReplayWindow::mark(std::uint64_t sequence) {
+void ReplayWindow::record(std::uint64_t sequence) {
   if (sequence > newest_) {
     // Clears the bits of the numbers that enter the window, which numbers that leave it still hold.
     if (sequence - newest_ >= width)
@@ -33,7 +33,7 @@
   return found == senders_.end() ? sequence > 0 : found->second->window.is_new(sequence);
 }
 
-void ReplayWindows::mark(const SenderId& sender, std::uint64_t sequence) {
+void ReplayWindows::record(const SenderId& sender, std::uint64_t sequence) {
   const auto found = senders_.find(sender);
   if (found == senders_.end()) {
     if (senders_.size() >= max_senders_) {
@@ -45,7 +45,7 @@
   } else {
     by_recency_.splice(by_recency_.begin(), by_recency_, found->second);
   }
-  by_recency_.front().window.mark(sequence);
+  by_recency_.front().window.record(sequence);
 }
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/replay_window.h
+++ b/src/peers/seal/replay_window.h
@@ -24,7 +24,7 @@
   /// Whether the number was not received yet and is not older than the window.
   bool is_new(std::uint64_t sequence) const;
   /// Records a number as received; it must be new.
-  void mark(std::uint64_t sequence);
+  void record(std::uint64_t sequence);
 
  private:
   std::uint64_t newest_ = 0;  // sequence numbers begin at 1
@@ -42,7 +42,7 @@
   /// Whether the datagram was not received yet and is not older than the sender's window.
   bool is_new(const SenderId& sender, std::uint64_t sequence) const;
   /// Records a datagram as received; it must be authentic and new.
-  void mark(const SenderId& sender, std::uint64_t sequence);
+  void record(const SenderId& sender, std::uint64_t sequence);
   /// Number of senders that are kept.
   std::size_t size() const { return senders_.size(); }
 
--- a/src/peers/seal/seal.cpp
+++ b/src/peers/seal/seal.cpp
@@ -82,7 +82,7 @@
           bytes(plain.data()), nullptr, nullptr, bytes(&sealed[header_bytes]), sealed.size() - header_bytes,
           bytes(sealed.data()), associated_bytes, bytes(&sealed[associated_bytes]), key->bytes.data()) != 0)
     return refuse(Refusal::forged);
-  replay_windows_.mark(sender, sequence);
+  replay_windows_.record(sender, sequence);
   why = Refusal::none;
   return plain;
 }
--- a/tests/peers/seal_test.cpp
+++ b/tests/peers/seal_test.cpp
@@ -111,7 +111,7 @@
         Case{{1, 2, 9 * w}, 9 * w - 1, true}, Case{{~0ULL}, ~0ULL, false}, Case{{7, ~0ULL}, 7, false}}) {
     ReplayWindow window;
     for (const auto one : c.marked)
-      window.mark(one);
+      window.record(one);
     EXPECT_EQ(window.is_new(c.number), c.fresh) << c.number;
   }
 }
@@ -128,7 +128,7 @@
     ASSERT_EQ(window.is_new(at), expected) << at << " with " << newest;
     if (!expected)
       continue;
-    window.mark(at);
+    window.record(at);
     marked.insert(at);
     newest = std::max(newest, at);
   }
@@ -137,9 +137,9 @@
 TEST(ReplayWindows, are_bounded_and_evict_the_sender_that_was_silent_for_longest) {
   ReplayWindows windows(3);
   for (std::uint64_t tag = 1; tag <= 3; ++tag)
-    windows.mark({tag, 0}, 1);
-  windows.mark({1, 0}, 2);
-  windows.mark({4, 0}, 1);
+    windows.record({tag, 0}, 1);
+  windows.record({1, 0}, 2);
+  windows.record({4, 0}, 1);
   EXPECT_EQ(windows.size(), 3u);
   EXPECT_FALSE(windows.is_new({1, 0}, 1));
   EXPECT_TRUE(windows.is_new({2, 0}, 1));  // its window was evicted, so the number counts as new
