--- a/src/peers/membership/dissemination/news.cpp
+++ b/src/peers/membership/dissemination/news.cpp
@@ -5,12 +5,12 @@
 
 namespace lemonroute::peers::membership {
 
-std::size_t News::times(std::size_t members) {
+std::size_t BroadcastQueue::times(std::size_t members) {
   return static_cast<std::size_t>(limits::retransmit_multiplier *
                                   std::ceil(std::log10(static_cast<double>(members) + 1)));
 }
 
-void News::add(Entry& entry) {
+void BroadcastQueue::add(Entry& entry) {
   if (by_transmissions_.empty())
     by_transmissions_.resize(1);
   if (entry.broadcast_id == 0) {
@@ -24,14 +24,14 @@
   by_transmissions_[0].push_back({&entry, last_id_});
 }
 
-void News::drop(const Entry& entry) {
+void BroadcastQueue::drop(const Entry& entry) {
   for (auto& items : by_transmissions_)
     std::erase_if(items, [&](auto& item) { return item.entry == &entry; });
   if (entry.broadcast_id)
     --queued_;
 }
 
-const std::vector<Entry*>& News::next(std::size_t members) {
+const std::vector<Entry*>& BroadcastQueue::next(std::size_t members) {
   offered_items_.clear();
   offered_transmissions_.clear();
   offered_entries_.clear();
@@ -53,7 +53,7 @@
   return offered_entries_;
 }
 
-void News::told(std::size_t count) {
+void BroadcastQueue::told(std::size_t count) {
   // Goes from back to front, so that entries that did not fit keep their order.
   for (std::size_t left = offered_items_.size(); left > 0; --left) {
     const Item item = offered_items_[left - 1];
--- a/src/peers/membership/dissemination/news.h
+++ b/src/peers/membership/dissemination/news.h
@@ -9,7 +9,7 @@
 namespace lemonroute::peers::membership {
 
 /// The broadcast queue. Does not own the entries.
-class News {
+class BroadcastQueue {
  public:
   /// Queues the current fact of the entry, replacing an older one.
   void add(Entry& entry);
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -118,7 +118,7 @@
   LocalHealth health_;
   std::optional<Probe> probe_;
   IndirectPings indirect_pings_;
-  News broadcasts_;
+  BroadcastQueue broadcasts_;
   ViewBuilder view_builder_;
   std::deque<std::string> priority_probes_;  // members to probe before the regular order
   std::uint32_t sequence_;
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -104,9 +104,9 @@
     EXPECT_NE(order.next(random)->fact.name, "c3");
 }
 
-TEST(News, sends_each_fact_a_bounded_number_of_times_and_replaces_it_by_a_later_one) {
+TEST(BroadcastQueue, sends_each_fact_a_bounded_number_of_times_and_replaces_it_by_a_later_one) {
   Table table(1000);
-  News news;
+  BroadcastQueue news;
   std::string evicted;
   std::map<std::string, std::size_t> sent;
   for (int at = 0; at < 200; ++at)
@@ -123,7 +123,7 @@
   }
   EXPECT_EQ(sent.size(), 200u);
   for (const auto& [name, times] : sent)
-    EXPECT_EQ(times, News::times(100)) << name;
+    EXPECT_EQ(times, BroadcastQueue::times(100)) << name;
 }
 
 TEST(Table, is_bounded_and_its_digest_depends_on_present_members_in_any_order) {
