--- a/src/peers/membership/dissemination/news.cpp
+++ b/src/peers/membership/dissemination/broadcast_queue.cpp
@@ -1,4 +1,4 @@
-#include "peers/membership/dissemination/news.h"
+#include "peers/membership/dissemination/broadcast_queue.h"
 
 #include <algorithm>
 #include <cmath>
