--- a/src/peers/membership/dissemination/broadcast_queue.cpp
+++ b/src/peers/membership/dissemination/broadcast_queue.cpp
@@ -31,7 +31,7 @@
     --queued_;
 }
 
-const std::vector<Entry*>& BroadcastQueue::next(std::size_t members) {
+const std::vector<Entry*>& BroadcastQueue::offer(std::size_t members) {
   offered_items_.clear();
   offered_transmissions_.clear();
   offered_entries_.clear();
--- a/src/peers/membership/dissemination/broadcast_queue.h
+++ b/src/peers/membership/dissemination/broadcast_queue.h
@@ -19,7 +19,7 @@
   bool empty() const { return queued_ == 0; }
   /// Offers up to limits::offered entries with their current facts, for a fleet of `members`. Each offer must
   /// be followed by told(n), where n is how many of them, from the front, fit into the datagram.
-  const std::vector<Entry*>& next(std::size_t members);
+  const std::vector<Entry*>& offer(std::size_t members);
   /// Counts one transmission for each of the first `count` offered entries.
   void told(std::size_t count);
 
