--- a/src/peers/membership/dissemination/broadcast_queue.cpp
+++ b/src/peers/membership/dissemination/broadcast_queue.cpp
@@ -53,7 +53,7 @@
   return offered_entries_;
 }
 
-void BroadcastQueue::told(std::size_t count) {
+void BroadcastQueue::mark_transmitted(std::size_t count) {
   // Goes from back to front, so that entries that did not fit keep their order.
   for (std::size_t left = offered_items_.size(); left > 0; --left) {
     const Item item = offered_items_[left - 1];
--- a/src/peers/membership/dissemination/broadcast_queue.h
+++ b/src/peers/membership/dissemination/broadcast_queue.h
@@ -18,10 +18,10 @@
   /// Whether nothing is queued.
   bool empty() const { return queued_ == 0; }
   /// Offers up to limits::offered entries with their current facts, for a fleet of `members`. Each offer must
-  /// be followed by told(n), where n is how many of them, from the front, fit into the datagram.
+  /// be followed by mark_transmitted(n), where n is how many of them, from the front, fit into the datagram.
   const std::vector<Entry*>& offer(std::size_t members);
   /// Counts one transmission for each of the first `count` offered entries.
-  void told(std::size_t count);
+  void mark_transmitted(std::size_t count);
 
   /// How many times each fact is transmitted in a fleet of `members`.
   static std::size_t times(std::size_t members);
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -32,7 +32,7 @@
   std::size_t count = 0;
   std::string bytes = wire::encode(packet, &count);
   if (with_broadcasts && !broadcasts_.empty())
-    broadcasts_.told(count - std::min(count, about_facts));
+    broadcasts_.mark_transmitted(count - std::min(count, about_facts));
   ++counters_.sent;
   counters_.sent_bytes += bytes.size();
   out_.push_back({address, std::move(bytes)});
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -119,7 +119,7 @@
     const std::size_t room = 5;
     for (std::size_t at = 0; at < std::min(room, offer.size()); ++at)
       ++sent[offer[at]->fact.name];
-    news.told(std::min(room, offer.size()));
+    news.mark_transmitted(std::min(room, offer.size()));
   }
   EXPECT_EQ(sent.size(), 200u);
   for (const auto& [name, times] : sent)
