--- a/src/peers/membership/dissemination/broadcast_queue.cpp
+++ b/src/peers/membership/dissemination/broadcast_queue.cpp
@@ -5,7 +5,7 @@
 
 namespace lemonroute::peers::membership {
 
-std::size_t BroadcastQueue::times(std::size_t members) {
+std::size_t BroadcastQueue::transmit_limit(std::size_t members) {
   return static_cast<std::size_t>(limits::retransmit_multiplier *
                                   std::ceil(std::log10(static_cast<double>(members) + 1)));
 }
@@ -35,7 +35,7 @@
   offered_items_.clear();
   offered_transmissions_.clear();
   offered_entries_.clear();
-  max_transmissions_ = times(members);
+  max_transmissions_ = transmit_limit(members);
   for (std::size_t transmissions = 0;
        transmissions < by_transmissions_.size() && offered_entries_.size() < limits::offered;
        ++transmissions) {
--- a/src/peers/membership/dissemination/broadcast_queue.h
+++ b/src/peers/membership/dissemination/broadcast_queue.h
@@ -24,7 +24,7 @@
   void mark_transmitted(std::size_t count);
 
   /// How many times each fact is transmitted in a fleet of `members`.
-  static std::size_t times(std::size_t members);
+  static std::size_t transmit_limit(std::size_t members);
 
  private:
   struct Item {
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -123,7 +123,7 @@
   }
   EXPECT_EQ(sent.size(), 200u);
   for (const auto& [name, times] : sent)
-    EXPECT_EQ(times, BroadcastQueue::times(100)) << name;
+    EXPECT_EQ(times, BroadcastQueue::transmit_limit(100)) << name;
 }
 
 TEST(Table, is_bounded_and_its_digest_depends_on_present_members_in_any_order) {
