--- a/src/peers/membership/dissemination/broadcast_queue.cpp
+++ b/src/peers/membership/dissemination/broadcast_queue.cpp
@@ -37,10 +37,10 @@
   offered_entries_.clear();
   max_transmissions_ = transmit_limit(members);
   for (std::size_t transmissions = 0;
-       transmissions < by_transmissions_.size() && offered_entries_.size() < limits::offered;
+       transmissions < by_transmissions_.size() && offered_entries_.size() < limits::facts_per_offer;
        ++transmissions) {
     auto& items = by_transmissions_[transmissions];
-    while (!items.empty() && offered_entries_.size() < limits::offered) {
+    while (!items.empty() && offered_entries_.size() < limits::facts_per_offer) {
       const Item item = items.back();
       items.pop_back();
       if (is_replaced(item))
--- a/src/peers/membership/dissemination/broadcast_queue.h
+++ b/src/peers/membership/dissemination/broadcast_queue.h
@@ -17,8 +17,9 @@
   void drop(const Entry& entry);
   /// Whether nothing is queued.
   bool empty() const { return queued_ == 0; }
-  /// Offers up to limits::offered entries with their current facts, for a fleet of `members`. Each offer must
-  /// be followed by mark_transmitted(n), where n is how many of them, from the front, fit into the datagram.
+  /// Offers up to limits::facts_per_offer entries with their current facts, for a fleet of `members`. Each
+  /// offer must be followed by mark_transmitted(n), where n is how many of them, from the front, fit into the
+  /// datagram.
   const std::vector<Entry*>& offer(std::size_t members);
   /// Counts one transmission for each of the first `count` offered entries.
   void mark_transmitted(std::size_t count);
--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -13,7 +13,7 @@
 /// Facts accepted from one datagram; a valid datagram has no room for more.
 inline constexpr std::size_t max_facts = 40;
 /// Facts offered for one datagram; this many of usual length fill it.
-inline constexpr std::size_t offered = 24;
+inline constexpr std::size_t facts_per_offer = 24;
 /// Buckets of the member table's digest.
 inline constexpr std::size_t buckets = 64;
 /// Seed addresses that are used.
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -115,7 +115,7 @@
   for (int datagrams = 0; !news.empty(); ++datagrams) {
     ASSERT_LT(datagrams, 10'000);
     const auto& offer = news.offer(100);
-    ASSERT_LE(offer.size(), limits::offered);
+    ASSERT_LE(offer.size(), limits::facts_per_offer);
     const std::size_t room = 5;
     for (std::size_t at = 0; at < std::min(room, offer.size()); ++at)
       ++sent[offer[at]->fact.name];
