--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -54,7 +54,7 @@
   const std::size_t from = random_.below(buckets.size());
   int datagrams_left = limits::max_exchange_datagrams;
   std::size_t used = 0;
-  const std::size_t room = limits::plain_bytes - wire::max_encoded_bytes(packet.sender) - 8;
+  const std::size_t room = limits::max_plain_bytes - wire::max_encoded_bytes(packet.sender) - 8;
   const auto flush = [&] {
     if (packet.facts.empty() || datagrams_left == 0)
       return;
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -122,7 +122,7 @@
   std::size_t used = out.ByteSizeLong(), count = 0;
   for (const auto& fact : packet.facts) {
     used += max_encoded_bytes(fact);
-    if (used > limits::plain_bytes || count == limits::max_facts)
+    if (used > limits::max_plain_bytes || count == limits::max_facts)
       break;
     to_proto(*out.add_facts(), fact);
     ++count;
@@ -133,7 +133,7 @@
 }
 
 Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out) {
-  if (bytes.size() > limits::plain_bytes)
+  if (bytes.size() > limits::max_plain_bytes)
     return Fault::unreadable;
   google::protobuf::Arena arena;
   auto& in = *google::protobuf::Arena::CreateMessage<pb::Packet>(&arena);
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -67,7 +67,7 @@
 /// Why a datagram was not decoded: not parsable or too long, an unknown version, or a field out of bounds.
 enum class Fault { none, unreadable, version, bad_field };
 
-/// Encodes a packet with as many facts, from the front, as fit into limits::plain_bytes; `facts_encoded`
+/// Encodes a packet with as many facts, from the front, as fit into limits::max_plain_bytes; `facts_encoded`
 /// receives their number.
 std::string encode(const Packet& packet, std::size_t* facts_encoded = nullptr);
 /// Decodes a packet. Invalid facts are left out and counted in `facts_left_out`.
--- a/tests/peers/fault_schedule.cpp
+++ b/tests/peers/fault_schedule.cpp
@@ -121,7 +121,7 @@
 std::string exceeded_bound(const Simulation& simulation) {
   for (std::size_t member = 0; member < simulation.size(); ++member) {
     const auto& traffic = simulation.traffic(member);
-    if (traffic.largest_bytes > membership::limits::plain_bytes)
+    if (traffic.largest_bytes > membership::limits::max_plain_bytes)
       return "a datagram is too long";
     if (traffic.max_per_period > max_datagrams_per_period(simulation.size()))
       return simulation.name(member) + " sends too many datagrams in a period";
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -199,7 +199,7 @@
   for (const auto& body : bodies()) {
     std::size_t encoded_facts = 0;
     const auto bytes = wire::encode(packet_with(body, 100), &encoded_facts);
-    EXPECT_LE(bytes.size(), limits::plain_bytes);
+    EXPECT_LE(bytes.size(), limits::max_plain_bytes);
     wire::Packet decoded;
     std::uint64_t left_out = 0;
     ASSERT_EQ(wire::decode(bytes, decoded, left_out), wire::Fault::none);
@@ -214,7 +214,7 @@
       {}};
   longest.sender.site.clear();
   longest.sender.address.clear();
-  EXPECT_LE(wire::encode(longest).size(), limits::plain_bytes);
+  EXPECT_LE(wire::encode(longest).size(), limits::max_plain_bytes);
 }
 
 TEST(Wire, corrupted_packets_decode_within_bounds_or_are_refused) {
