--- a/src/peers/membership/fact.cpp
+++ b/src/peers/membership/fact.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 bool valid_name(std::string_view name) {
-  return !name.empty() && name.size() <= limits::name_bytes && printable(name);
+  return !name.empty() && name.size() <= limits::max_name_bytes && printable(name);
 }
 
 bool valid_address(std::string_view address) {
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -33,7 +33,7 @@
 bool from_proto(const pb::Fact& in, Fact& fact) {
   if (in.standing() < pb::ALIVE || in.standing() > pb::LEFT)
     return false;
-  if (in.name().size() > limits::name_bytes || in.by().size() > limits::name_bytes)
+  if (in.name().size() > limits::max_name_bytes || in.by().size() > limits::max_name_bytes)
     return false;
   fact = {in.name(),  in.site(),        in.address(),
           in.start(), in.incarnation(), static_cast<Standing>(in.standing()),
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -209,7 +209,7 @@
   }
   // The longest name leaves room for the longest payload.
   wire::Packet longest{
-      fact(std::string(limits::name_bytes, 'n'), limits::incarnation, Standing::alive, limits::start),
+      fact(std::string(limits::max_name_bytes, 'n'), limits::incarnation, Standing::alive, limits::start),
       wire::Payload{~0u, std::string(Outbox::most, 'x')},
       {}};
   longest.sender.site.clear();
