--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -15,7 +15,7 @@
 /// Facts offered for one datagram; this many of usual length fill it.
 inline constexpr std::size_t facts_per_offer = 24;
 /// Buckets of the member table's digest.
-inline constexpr std::size_t buckets = 64;
+inline constexpr std::size_t digest_buckets = 64;
 /// Seed addresses that are used.
 inline constexpr std::size_t max_seeds = 32;
 /// Greatest incarnation that is accepted. A router that would exceed it takes a newer start instead.
--- a/src/peers/membership/table.cpp
+++ b/src/peers/membership/table.cpp
@@ -20,7 +20,7 @@
 }
 
 std::size_t Table::bucket_of(std::string_view name) {
-  return membership::hash_of(name) % limits::buckets;
+  return membership::hash_of(name) % limits::digest_buckets;
 }
 
 void Table::update_totals(const Entry& entry, int sign) {
@@ -98,8 +98,8 @@
   return digest ? digest : 1;  // 0 stands for no digest on the wire
 }
 
-std::array<std::uint32_t, limits::buckets> Table::buckets() const {
-  std::array<std::uint32_t, limits::buckets> truncated{};
+std::array<std::uint32_t, limits::digest_buckets> Table::buckets() const {
+  std::array<std::uint32_t, limits::digest_buckets> truncated{};
   for (std::size_t at = 0; at < hashes_.size(); ++at)
     truncated[at] = static_cast<std::uint32_t>(hashes_[at]);
   return truncated;
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -45,7 +45,7 @@
   /// Digest of the live members, never 0.
   std::uint64_t digest() const;
   /// Digest of the live members of each bucket.
-  std::array<std::uint32_t, limits::buckets> buckets() const;
+  std::array<std::uint32_t, limits::digest_buckets> buckets() const;
   /// The bucket of a name.
   static std::size_t bucket_of(std::string_view name);
   /// Calls `visit` for each entry of a bucket, live or not.
@@ -72,8 +72,8 @@
 
   std::size_t max_members_;
   Entries entries_;
-  std::array<std::uint64_t, limits::buckets> hashes_{};
-  std::array<std::vector<Entry*>, limits::buckets> in_bucket_;
+  std::array<std::uint64_t, limits::digest_buckets> hashes_{};
+  std::array<std::vector<Entry*>, limits::digest_buckets> in_bucket_;
   std::set<std::pair<Micros, std::string>> deadlines_;
   std::size_t live_ = 0, gone_ = 0;
   std::uint64_t version_ = 1;
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -58,7 +58,7 @@
       return is_valid_name(in.nack().of());
     case pb::Packet::kSync:
       body = Sync{{in.sync().buckets().begin(), in.sync().buckets().end()}, in.sync().answer()};
-      return in.sync().buckets_size() == static_cast<int>(limits::buckets);
+      return in.sync().buckets_size() == static_cast<int>(limits::digest_buckets);
     case pb::Packet::kOnly:
       body = Facts{};
       return true;
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -191,7 +191,7 @@
           wire::Ask{8, "to", "10.0.0.9:5"},
           wire::Ack{9, "of", 98},
           wire::Nack{10, "of"},
-          wire::Sync{std::vector<std::uint32_t>(limits::buckets, ~0u), true},
+          wire::Sync{std::vector<std::uint32_t>(limits::digest_buckets, ~0u), true},
           wire::Payload{1, std::string(Outbox::most, '\xff')}};
 }
 
