--- a/src/peers/membership/merge/own_name.cpp
+++ b/src/peers/membership/merge/own_name.cpp
@@ -14,7 +14,7 @@
     if (superseded() || !contradicts || claim.incarnation < own_.incarnation)
       return Then::nothing;
     own_.incarnation = claim.incarnation + 1;
-    if (own_.incarnation < limits::incarnation)
+    if (own_.incarnation < limits::max_incarnation)
       return Then::refuted;
     // No router refutes this often, so the claim was false. It leaves no greater incarnation to refute with,
     // but a newer start overrides it.
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -217,7 +217,7 @@
   };
   for (const auto standing : {Standing::suspected, Standing::gone})
     for (const std::uint64_t incarnation :
-         {std::uint64_t{0}, std::uint64_t{100}, std::uint64_t{membership::limits::incarnation}})
+         {std::uint64_t{0}, std::uint64_t{100}, std::uint64_t{membership::limits::max_incarnation}})
       for (int period = 0; period < 5; ++period) {
         send_false_facts(standing, incarnation, 0);
         simulation.run_periods(1);
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -153,7 +153,7 @@
   EXPECT_EQ(own.told(fact("a", 0, Standing::suspected), 0s, start_us), Then::refuted);
   EXPECT_EQ(own.own().incarnation, 1u);
   EXPECT_EQ(own.told(fact("a", 0, Standing::gone), 0s, start_us), Then::nothing) << "already refuted";
-  EXPECT_EQ(own.told(fact("a", limits::incarnation - 1, Standing::gone), 0s, start_us), Then::refuted);
+  EXPECT_EQ(own.told(fact("a", limits::max_incarnation - 1, Standing::gone), 0s, start_us), Then::refuted);
   EXPECT_EQ(own.own().start, start_us + 1) << "a later start time invalidates an incarnation near the limit";
   EXPECT_EQ(own.own().incarnation, 0u);
   EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us - 5), 0s, start_us), Then::nothing);
@@ -209,7 +209,7 @@
   }
   // The longest name leaves room for the longest payload.
   wire::Packet longest{
-      fact(std::string(limits::max_name_bytes, 'n'), limits::incarnation, Standing::alive, limits::start),
+      fact(std::string(limits::max_name_bytes, 'n'), limits::max_incarnation, Standing::alive, limits::start),
       wire::Payload{~0u, std::string(Outbox::most, 'x')},
       {}};
   longest.sender.site.clear();
