--- a/src/peers/membership/fact.cpp
+++ b/src/peers/membership/fact.cpp
@@ -31,7 +31,7 @@
 
 bool valid(const Fact& fact) {
   return valid_name(fact.name) && fact.site.size() <= limits::max_site_bytes && printable(fact.site) &&
-         valid_address(fact.address) && fact.start <= limits::start &&
+         valid_address(fact.address) && fact.start <= limits::max_start_us &&
          fact.incarnation <= limits::max_incarnation && (fact.by.empty() || valid_name(fact.by));
 }
 
--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -21,7 +21,7 @@
 /// Greatest incarnation that is accepted. A router that would exceed it takes a newer start instead.
 inline constexpr std::uint64_t max_incarnation = 1ull << 32;
 /// Greatest start that is accepted: Unix time in microseconds, in the year 2112.
-inline constexpr std::uint64_t start = 1ull << 52;
+inline constexpr std::uint64_t max_start_us = 1ull << 52;
 /// A start that is this far in the future is not believed: one day.
 inline constexpr std::uint64_t max_start_ahead_us = 86'400'000'000ull;
 
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -208,10 +208,10 @@
     EXPECT_EQ(left_out, 0u);
   }
   // The longest name leaves room for the longest payload.
-  wire::Packet longest{
-      fact(std::string(limits::max_name_bytes, 'n'), limits::max_incarnation, Standing::alive, limits::start),
-      wire::Payload{~0u, std::string(Outbox::most, 'x')},
-      {}};
+  wire::Packet longest{fact(std::string(limits::max_name_bytes, 'n'), limits::max_incarnation,
+                            Standing::alive, limits::max_start_us),
+                       wire::Payload{~0u, std::string(Outbox::most, 'x')},
+                       {}};
   longest.sender.site.clear();
   longest.sender.address.clear();
   EXPECT_LE(wire::encode(longest).size(), limits::max_plain_bytes);
