--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -48,7 +48,7 @@
 /// Minimum suspicion timeout in periods, times log10(n) but at least 1.
 inline constexpr int suspicion_multiplier = 4;
 /// Maximum suspicion timeout, which holds without confirmations, as a multiple of the minimum.
-inline constexpr int suspicion_most = 6;
+inline constexpr int max_suspicion_factor = 6;
 /// Confirmations that bring the suspicion timeout down to its minimum.
 inline constexpr std::size_t max_confirmations = 3;
 /// Periods before the suspicion deadline at which the member is told of the suspicion once more.
--- a/src/peers/membership/suspicion/suspicion.cpp
+++ b/src/peers/membership/suspicion/suspicion.cpp
@@ -22,7 +22,7 @@
 Suspicion::Suspicion(Micros now, std::size_t members, Micros period, std::string_view by)
     : started_(now),
       min_timeout_(least_suspicion(members, period)),
-      max_timeout_(min_timeout_ * limits::suspicion_most) {
+      max_timeout_(min_timeout_ * limits::max_suspicion_factor) {
   reporters_[0] = hash_of(by);
   // Neither the first reporter nor the suspected member can confirm: one of three members can, none of two.
   confirmations_needed_ = std::min(limits::max_confirmations, members > 2 ? members - 2 : 0);
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -72,7 +72,7 @@
     previous = min_duration;
     Suspicion suspicion(10s, members, period, "first");
     Micros deadline = suspicion.deadline();
-    EXPECT_EQ(deadline, 10s + min_duration * (members > 2 ? limits::suspicion_most : 1));
+    EXPECT_EQ(deadline, 10s + min_duration * (members > 2 ? limits::max_suspicion_factor : 1));
     EXPECT_FALSE(suspicion.confirm("first"));
     for (int other = 0; other < 10; ++other) {
       suspicion.confirm(std::to_string(other));
