--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -76,7 +76,7 @@
 /// Consecutive probes that only helpers got answered, after which a member counts as unreachable from here.
 inline constexpr int unreachable_after_probes = 4;
 /// Periods within which a newer process of this router's own name must be heard from.
-inline constexpr int claim = 8;
+inline constexpr int reclaim_name_periods = 8;
 /// Periods for which two processes of one name may both run, as they do in an upgrade.
 inline constexpr int twice = 30;
 /// Notices for the operator that are kept until they are taken.
--- a/src/peers/membership/merge/own_name.cpp
+++ b/src/peers/membership/merge/own_name.cpp
@@ -48,7 +48,7 @@
 }
 
 OwnName::Then OwnName::check(Micros now) {
-  if (!successor_ || successor_heard_ || now - superseded_at_ < period_ * limits::claim)
+  if (!successor_ || successor_heard_ || now - superseded_at_ < period_ * limits::reclaim_name_periods)
     return Then::nothing;
   return reclaim();
 }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -163,8 +163,9 @@
 
   const auto newer = fact("a", 0, Standing::alive, start_us + 9, "10.0.0.2:1");
   EXPECT_EQ(own.told(newer, 0s, start_us), Then::superseded);
-  EXPECT_EQ(own.check(period * (limits::claim - 1)), Then::nothing);
-  EXPECT_EQ(own.check(period * limits::claim), Then::reclaimed) << "the newer process was never heard";
+  EXPECT_EQ(own.check(period * (limits::reclaim_name_periods - 1)), Then::nothing);
+  EXPECT_EQ(own.check(period * limits::reclaim_name_periods), Then::reclaimed)
+      << "the newer process was never heard";
   EXPECT_EQ(own.own().start, start_us + 10);
 
   const auto heard = fact("a", 0, Standing::alive, start_us + 20, "10.0.0.2:1");
