--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -149,12 +149,13 @@
   const auto by = hash_of(sender.name);
   const bool second_claim = entry.gone_claim_by && entry.gone_claim_by != by &&
                             now_ - entry.gone_claim_at >= options_.period &&
-                            now_ - entry.gone_claim_at < options_.period * limits::twice;
+                            now_ - entry.gone_claim_at < options_.period * limits::duplicate_name_periods;
   if (second_claim) {
     entry.gone_claim_by = 0;
     return begin_suspicion(entry, claim, sender, true);
   }
-  if (!entry.gone_claim_by || now_ - entry.gone_claim_at >= options_.period * limits::twice) {
+  if (!entry.gone_claim_by ||
+      now_ - entry.gone_claim_at >= options_.period * limits::duplicate_name_periods) {
     entry.gone_claim_by = by;
     entry.gone_claim_at = now_;
   }
@@ -168,7 +169,8 @@
     return;
   if (!entry.older_process_since)
     entry.older_process_since = now_;
-  if (entry.older_process_reported || now_ - *entry.older_process_since < options_.period * limits::twice)
+  if (entry.older_process_reported ||
+      now_ - *entry.older_process_since < options_.period * limits::duplicate_name_periods)
     return;
   entry.older_process_reported = true;
   ++counters_.names_twice;
--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -78,7 +78,7 @@
 /// Periods within which a newer process of this router's own name must be heard from.
 inline constexpr int reclaim_name_periods = 8;
 /// Periods for which two processes of one name may both run, as they do in an upgrade.
-inline constexpr int twice = 30;
+inline constexpr int duplicate_name_periods = 30;
 /// Notices for the operator that are kept until they are taken.
 inline constexpr std::size_t max_notices = 16;
 
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -171,7 +171,8 @@
   simulation.run_periods(10);
   EXPECT_EQ(counter(0, "names_twice"), 0u) << "an upgrade is not a duplicate name";
   EXPECT_EQ(counter(1, "superseded"), 1u);
-  simulation.run_periods(membership::limits::twice + 3.0 * static_cast<double>(members.size()));
+  simulation.run_periods(membership::limits::duplicate_name_periods +
+                         3.0 * static_cast<double>(members.size()));
   EXPECT_EQ(counter(newer, "names_twice"), 1u) << "a duplicate name is counted once";
   EXPECT_TRUE(all_see_process(newer));
   simulation.leave(newer);
