--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -16,7 +16,7 @@
   }
   if (alive_claims_only && claim.standing != Standing::alive)
     return;
-  apply_verdict(judge(entry, claim, unix_now()), entry, claim, sender);
+  apply_verdict(judge_claim(entry, claim, unix_now()), entry, claim, sender);
 }
 
 void Membership::apply_verdict(Verdict verdict, Entry* entry, const Fact& claim, const Fact& sender) {
--- a/src/peers/membership/merge/judge.cpp
+++ b/src/peers/membership/merge/judge.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Verdict judge(const Entry* held, const Fact& claim, std::uint64_t unix_now) {
+Verdict judge_claim(const Entry* held, const Fact& claim, std::uint64_t unix_now) {
   if (!held)
     return claim.is_live() ? Verdict::unknown : Verdict::nothing;
   const Fact& known = held->fact;
--- a/src/peers/membership/merge/judge.h
+++ b/src/peers/membership/merge/judge.h
@@ -25,6 +25,6 @@
 /// Judges a claim about a member; `held` is null if the member is not known. `unix_now` is this router's
 /// clock in microseconds. It serves only to refuse a start in the far future, unless the known start lies
 /// there too, since then this router's clock is the wrong one.
-Verdict judge(const Entry* held, const Fact& claim, std::uint64_t unix_now);
+Verdict judge_claim(const Entry* held, const Fact& claim, std::uint64_t unix_now);
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/merge/own_name.cpp
+++ b/src/peers/membership/merge/own_name.cpp
@@ -25,8 +25,8 @@
   if (process_id(claim) < process_id(own_))
     return Then::nothing;
   const std::uint64_t latest_start = unix_now + limits::max_start_ahead_us;
-  // A start in the far future is not believed, as in judge(). A claim with this router's own address is an
-  // exception: it may be an earlier process, started before this host's clock was set back.
+  // A start in the far future is not believed, as in judge_claim(). A claim with this router's own address is
+  // an exception: it may be an earlier process, started before this host's clock was set back.
   if (claim.start > latest_start && own_.start <= latest_start && claim.address != own_.address)
     return Then::nothing;
   if (successor_ && process_id(claim) < process_id(*successor_))
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -47,20 +47,21 @@
     Entry held;
     held.fact = fact("a", 5, row.held);
     const auto received = fact("a", 5 + static_cast<std::uint64_t>(row.incarnation_step), row.received);
-    EXPECT_EQ(judge(&held, received, start_us), row.verdict)
+    EXPECT_EQ(judge_claim(&held, received, start_us), row.verdict)
         << int(row.held) << " held, " << int(row.received) << " received, incarnation "
         << row.incarnation_step << " later";
   }
   Entry held;
   held.fact = fact("a", 5);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 1), start_us), newer);
-  EXPECT_EQ(judge(&held, fact("a", 9, left, start_us - 1), start_us), older);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us, "10.0.0.2:1"), start_us), newer)
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us + 1), start_us), newer);
+  EXPECT_EQ(judge_claim(&held, fact("a", 9, left, start_us - 1), start_us), older);
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us, "10.0.0.2:1"), start_us), newer)
       << "equal start times are ordered by address";
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 2 * day_us), start_us), implausible);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 2 * day_us), 0), newer) << "the local clock is wrong";
-  EXPECT_EQ(judge(nullptr, fact("a"), start_us), unknown);
-  EXPECT_EQ(judge(nullptr, fact("a", 0, gone), start_us), nothing)
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us + 2 * day_us), start_us), implausible);
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us + 2 * day_us), 0), newer)
+      << "the local clock is wrong";
+  EXPECT_EQ(judge_claim(nullptr, fact("a"), start_us), unknown);
+  EXPECT_EQ(judge_claim(nullptr, fact("a", 0, gone), start_us), nothing)
       << "a gone member that was never present is not added";
 }
 
