--- a/src/peers/membership/merge/judge.cpp
+++ b/src/peers/membership/merge/judge_claim.cpp
@@ -1,4 +1,4 @@
-#include "peers/membership/merge/judge.h"
+#include "peers/membership/merge/judge_claim.h"
 
 #include "peers/membership/limits.h"
 
