--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -21,7 +21,7 @@
 
 void Membership::apply_verdict(Verdict verdict, Entry* entry, const Fact& claim, const Fact& sender) {
   switch (verdict) {
-    case Verdict::nothing:
+    case Verdict::ignore:
       return;
     case Verdict::implausible:
       ++counters_.implausible;
--- a/src/peers/membership/merge/judge_claim.cpp
+++ b/src/peers/membership/merge/judge_claim.cpp
@@ -10,28 +10,28 @@
   const bool newer_incarnation = claim.incarnation > known.incarnation;
   switch (claim.standing) {
     case Standing::alive:
-      return newer_incarnation ? Verdict::refuted : Verdict::nothing;
+      return newer_incarnation ? Verdict::refuted : Verdict::ignore;
     case Standing::suspected:
       if (newer_incarnation || known.standing == Standing::alive)
         return Verdict::suspect;
-      return known.standing == Standing::suspected ? Verdict::confirm : Verdict::nothing;
+      return known.standing == Standing::suspected ? Verdict::confirm : Verdict::ignore;
     case Standing::gone:
       if (known.standing == Standing::suspected)
         return newer_incarnation ? Verdict::suspect : Verdict::confirm;
       if (known.standing == Standing::alive)
         return Verdict::hearsay;
-      return Verdict::nothing;
+      return Verdict::ignore;
     case Standing::left:
-      return newer_incarnation || known.standing != Standing::left ? Verdict::left : Verdict::nothing;
+      return newer_incarnation || known.standing != Standing::left ? Verdict::left : Verdict::ignore;
   }
-  return Verdict::nothing;
+  return Verdict::ignore;
 }
 
 }  // namespace
 
 Verdict judge_claim(const Entry* held, const Fact& claim, std::uint64_t unix_now) {
   if (!held)
-    return claim.is_live() ? Verdict::unknown : Verdict::nothing;
+    return claim.is_live() ? Verdict::unknown : Verdict::ignore;
   const Fact& known = held->fact;
   if (process_id(claim) < process_id(known))
     return Verdict::older;
@@ -40,7 +40,7 @@
     return known.is_live() && claim.start > latest_start && known.start <= latest_start ? Verdict::implausible
                                                                                         : Verdict::newer;
   }
-  return claim.incarnation < known.incarnation ? Verdict::nothing : judge_same_process(known, claim);
+  return claim.incarnation < known.incarnation ? Verdict::ignore : judge_same_process(known, claim);
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/merge/judge_claim.h
+++ b/src/peers/membership/merge/judge_claim.h
@@ -10,7 +10,7 @@
 
 /// What to do with a claim.
 enum class Verdict {
-  nothing,      ///< Ignore it: it is known already, or older than what is known.
+  ignore,       ///< Ignore it: it is known already, or older than what is known.
   unknown,      ///< Add the member: it is not known, and claimed to be alive or suspected.
   newer,        ///< Replace the member's process: the claim is about a newer process of its name.
   older,        ///< The claim is about an older process of the name, which was replaced but still runs.
