--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -34,7 +34,7 @@
       return confirm_suspicion(*entry, claim.by);
     case Verdict::suspect:
       return begin_suspicion(*entry, claim, sender);
-    case Verdict::unknown:
+    case Verdict::add_member:
       if (Entry* added = add_member(claim); added && claim.standing == Standing::suspected)
         begin_suspicion(*added, claim, sender);
       return;
--- a/src/peers/membership/merge/judge_claim.cpp
+++ b/src/peers/membership/merge/judge_claim.cpp
@@ -31,7 +31,7 @@
 
 Verdict judge_claim(const Entry* held, const Fact& claim, std::uint64_t unix_now) {
   if (!held)
-    return claim.is_live() ? Verdict::unknown : Verdict::ignore;
+    return claim.is_live() ? Verdict::add_member : Verdict::ignore;
   const Fact& known = held->fact;
   if (process_id(claim) < process_id(known))
     return Verdict::older;
