--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -38,7 +38,7 @@
       if (Entry* added = add_member(claim); added && claim.standing == Standing::suspected)
         begin_suspicion(*added, claim, sender);
       return;
-    case Verdict::newer: {
+    case Verdict::newer_process: {
       const bool accused = claim.standing == Standing::suspected || claim.standing == Standing::gone;
       Fact fact = claim;
       if (accused)
--- a/src/peers/membership/merge/judge_claim.cpp
+++ b/src/peers/membership/merge/judge_claim.cpp
@@ -37,8 +37,9 @@
     return Verdict::older;
   if (process_id(claim) > process_id(known)) {
     const std::uint64_t latest_start = unix_now + limits::max_start_ahead_us;
-    return known.is_live() && claim.start > latest_start && known.start <= latest_start ? Verdict::implausible
-                                                                                        : Verdict::newer;
+    return known.is_live() && claim.start > latest_start && known.start <= latest_start
+               ? Verdict::implausible
+               : Verdict::newer_process;
   }
   return claim.incarnation < known.incarnation ? Verdict::ignore : judge_same_process(known, claim);
 }
--- a/src/peers/membership/merge/judge_claim.h
+++ b/src/peers/membership/merge/judge_claim.h
@@ -10,16 +10,16 @@
 
 /// What to do with a claim.
 enum class Verdict {
-  ignore,       ///< Ignore it: it is known already, or older than what is known.
-  add_member,   ///< Add the member: it is not known, and claimed to be alive or suspected.
-  newer,        ///< Replace the member's process: the claim is about a newer process of its name.
-  older,        ///< The claim is about an older process of the name, which was replaced but still runs.
-  refuted,      ///< The member is alive: its incarnation is greater than that of all claims against it.
-  suspect,      ///< Begin to suspect the member.
-  confirm,      ///< Count a confirmation of the suspicion.
-  hearsay,      ///< Another router claims a member to be gone that this router does not suspect.
-  left,         ///< The member announced that it leaves.
-  implausible,  ///< Ignore and count it: its start is too far in the future.
+  ignore,         ///< Ignore it: it is known already, or older than what is known.
+  add_member,     ///< Add the member: it is not known, and claimed to be alive or suspected.
+  newer_process,  ///< Replace the member's process: the claim is about a newer process of its name.
+  older,          ///< The claim is about an older process of the name, which was replaced but still runs.
+  refuted,        ///< The member is alive: its incarnation is greater than that of all claims against it.
+  suspect,        ///< Begin to suspect the member.
+  confirm,        ///< Count a confirmation of the suspicion.
+  hearsay,        ///< Another router claims a member to be gone that this router does not suspect.
+  left,           ///< The member announced that it leaves.
+  implausible,    ///< Ignore and count it: its start is too far in the future.
 };
 
 /// Judges a claim about a member; `held` is null if the member is not known. `unix_now` is this router's
