--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -26,7 +26,7 @@
     case Verdict::implausible:
       ++counters_.implausible;
       return;
-    case Verdict::older:
+    case Verdict::older_process:
       return handle_older_process(*entry, claim, claim.name == sender.name);
     case Verdict::hearsay:
       return handle_gone_claim(*entry, claim, sender);
--- a/src/peers/membership/merge/judge_claim.cpp
+++ b/src/peers/membership/merge/judge_claim.cpp
@@ -34,7 +34,7 @@
     return claim.is_live() ? Verdict::add_member : Verdict::ignore;
   const Fact& known = held->fact;
   if (process_id(claim) < process_id(known))
-    return Verdict::older;
+    return Verdict::older_process;
   if (process_id(claim) > process_id(known)) {
     const std::uint64_t latest_start = unix_now + limits::max_start_ahead_us;
     return known.is_live() && claim.start > latest_start && known.start <= latest_start
--- a/src/peers/membership/merge/judge_claim.h
+++ b/src/peers/membership/merge/judge_claim.h
@@ -13,7 +13,7 @@
   ignore,         ///< Ignore it: it is known already, or older than what is known.
   add_member,     ///< Add the member: it is not known, and claimed to be alive or suspected.
   newer_process,  ///< Replace the member's process: the claim is about a newer process of its name.
-  older,          ///< The claim is about an older process of the name, which was replaced but still runs.
+  older_process,  ///< The claim is about an older process of the name, which was replaced but still runs.
   refuted,        ///< The member is alive: its incarnation is greater than that of all claims against it.
   suspect,        ///< Begin to suspect the member.
   confirm,        ///< Count a confirmation of the suspicion.
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -28,7 +28,8 @@
   using enum Standing;
   constexpr auto nothing = Verdict::ignore, refuted = Verdict::refuted, suspect = Verdict::suspect,
                  confirm = Verdict::confirm, hearsay = Verdict::hearsay, newer = Verdict::newer_process,
-                 older = Verdict::older, implausible = Verdict::implausible, unknown = Verdict::add_member;
+                 older = Verdict::older_process, implausible = Verdict::implausible,
+                 unknown = Verdict::add_member;
   const struct {
     Standing held;
     int incarnation_step;  // received incarnation minus the held one
