--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -28,7 +28,7 @@
       return;
     case Verdict::older_process:
       return handle_older_process(*entry, claim, claim.name == sender.name);
-    case Verdict::hearsay:
+    case Verdict::gone_claim:
       return handle_gone_claim(*entry, claim, sender);
     case Verdict::confirm:
       return confirm_suspicion(*entry, claim.by);
--- a/src/peers/membership/merge/judge_claim.cpp
+++ b/src/peers/membership/merge/judge_claim.cpp
@@ -19,7 +19,7 @@
       if (known.standing == Standing::suspected)
         return newer_incarnation ? Verdict::suspect : Verdict::confirm;
       if (known.standing == Standing::alive)
-        return Verdict::hearsay;
+        return Verdict::gone_claim;
       return Verdict::ignore;
     case Standing::left:
       return newer_incarnation || known.standing != Standing::left ? Verdict::left : Verdict::ignore;
--- a/src/peers/membership/merge/judge_claim.h
+++ b/src/peers/membership/merge/judge_claim.h
@@ -17,7 +17,7 @@
   refuted,        ///< The member is alive: its incarnation is greater than that of all claims against it.
   suspect,        ///< Begin to suspect the member.
   confirm,        ///< Count a confirmation of the suspicion.
-  hearsay,        ///< Another router claims a member to be gone that this router does not suspect.
+  gone_claim,     ///< Another router claims a member to be gone that this router does not suspect.
   left,           ///< The member announced that it leaves.
   implausible,    ///< Ignore and count it: its start is too far in the future.
 };
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -27,7 +27,7 @@
 TEST(Judge, orders_facts_by_process_then_incarnation_then_standing) {
   using enum Standing;
   constexpr auto nothing = Verdict::ignore, refuted = Verdict::refuted, suspect = Verdict::suspect,
-                 confirm = Verdict::confirm, hearsay = Verdict::hearsay, newer = Verdict::newer_process,
+                 confirm = Verdict::confirm, hearsay = Verdict::gone_claim, newer = Verdict::newer_process,
                  older = Verdict::older_process, implausible = Verdict::implausible,
                  unknown = Verdict::add_member;
   const struct {
