--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -68,22 +68,22 @@
 
 void Membership::merge_claim_about_self(const Fact& claim) {
   switch (self_.told(claim, now_, unix_now())) {
-    case OwnName::Then::nothing:
+    case OwnIdentity::Then::nothing:
       return;
-    case OwnName::Then::refuted:
+    case OwnIdentity::Then::refuted:
       ++counters_.refuted;
       health_.degrade();
       break;
-    case OwnName::Then::superseded:
+    case OwnIdentity::Then::superseded:
       ++counters_.superseded;
       if (claim.address != self_.own().address)
         add_notice("a newer process holds this router's name: name=" + claim.name +
                    " address=" + claim.address + " own_address=" + self_.own().address);
       break;
-    case OwnName::Then::reclaimed:
+    case OwnIdentity::Then::reclaimed:
       ++counters_.reclaimed;
       break;
-    case OwnName::Then::updated:
+    case OwnIdentity::Then::updated:
       break;
   }
   update_self();
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -113,7 +113,7 @@
   bool left_ = false;
 
   Table table_;
-  OwnName self_;
+  OwnIdentity self_;
   ProbeOrder probe_order_;
   LocalHealth health_;
   std::optional<Probe> probe_;
--- a/src/peers/membership/merge/own_name.cpp
+++ b/src/peers/membership/merge/own_name.cpp
@@ -6,7 +6,7 @@
 
 namespace lemonroute::peers::membership {
 
-OwnName::Then OwnName::told(const Fact& claim, Micros now, std::uint64_t unix_now) {
+OwnIdentity::Then OwnIdentity::told(const Fact& claim, Micros now, std::uint64_t unix_now) {
   if (own_.standing == Standing::left)
     return Then::nothing;
   if (process_id(claim) == process_id(own_)) {
@@ -42,18 +42,18 @@
   return new_successor ? Then::superseded : Then::updated;
 }
 
-void OwnName::heard(const Fact& sender, Micros) {
+void OwnIdentity::heard(const Fact& sender, Micros) {
   if (successor_ && process_id(sender) == process_id(*successor_))
     successor_heard_ = true;
 }
 
-OwnName::Then OwnName::check(Micros now) {
+OwnIdentity::Then OwnIdentity::check(Micros now) {
   if (!successor_ || successor_heard_ || now - superseded_at_ < period_ * limits::reclaim_name_periods)
     return Then::nothing;
   return reclaim();
 }
 
-OwnName::Then OwnName::reclaim() {
+OwnIdentity::Then OwnIdentity::reclaim() {
   own_.start = successor_->start + 1;
   own_.incarnation = 0;
   successor_.reset();
--- a/src/peers/membership/merge/own_name.h
+++ b/src/peers/membership/merge/own_name.h
@@ -11,12 +11,12 @@
 namespace lemonroute::peers::membership {
 
 /// This router's own fact, and the newer process of its name if there is one.
-class OwnName {
+class OwnIdentity {
  public:
   /// What a claim, a packet or a check has led to.
   enum class Then { nothing, refuted, superseded, updated, reclaimed };
 
-  OwnName(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
+  OwnIdentity(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
 
   /// The fact that this process announces about itself.
   const Fact& own() const { return own_; }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -149,9 +149,9 @@
   EXPECT_EQ(table.gone(), 0u);
 }
 
-TEST(OwnName, refutes_yields_to_a_newer_process_that_is_heard_and_reclaims_an_unheld_name) {
-  using Then = OwnName::Then;
-  OwnName own(fact("a"), period);
+TEST(OwnIdentity, refutes_yields_to_a_newer_process_that_is_heard_and_reclaims_an_unheld_name) {
+  using Then = OwnIdentity::Then;
+  OwnIdentity own(fact("a"), period);
   EXPECT_EQ(own.told(fact("a", 0, Standing::suspected), 0s, start_us), Then::refuted);
   EXPECT_EQ(own.own().incarnation, 1u);
   EXPECT_EQ(own.told(fact("a", 0, Standing::gone), 0s, start_us), Then::nothing) << "already refuted";
