--- a/src/peers/membership/merge/own_name.cpp
+++ b/src/peers/membership/merge/own_identity.cpp
@@ -1,4 +1,4 @@
-#include "peers/membership/merge/own_name.h"
+#include "peers/membership/merge/own_identity.h"
 
 #include <algorithm>
 
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -8,7 +8,7 @@
 #include "peers/membership/detector/probe_order.h"
 #include "peers/membership/dissemination/broadcast_queue.h"
 #include "peers/membership/merge/judge_claim.h"
-#include "peers/membership/merge/own_name.h"
+#include "peers/membership/merge/own_identity.h"
 #include "peers/membership/table.h"
 #include "peers/wire/packet.h"
 
