--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -68,22 +68,22 @@
 
 void Membership::merge_claim_about_self(const Fact& claim) {
   switch (self_.told(claim, now_, unix_now())) {
-    case OwnIdentity::Then::nothing:
+    case OwnIdentity::Change::nothing:
       return;
-    case OwnIdentity::Then::refuted:
+    case OwnIdentity::Change::refuted:
       ++counters_.refuted;
       health_.degrade();
       break;
-    case OwnIdentity::Then::superseded:
+    case OwnIdentity::Change::superseded:
       ++counters_.superseded;
       if (claim.address != self_.own().address)
         add_notice("a newer process holds this router's name: name=" + claim.name +
                    " address=" + claim.address + " own_address=" + self_.own().address);
       break;
-    case OwnIdentity::Then::reclaimed:
+    case OwnIdentity::Change::reclaimed:
       ++counters_.reclaimed;
       break;
-    case OwnIdentity::Then::updated:
+    case OwnIdentity::Change::updated:
       break;
   }
   update_self();
--- a/src/peers/membership/merge/own_identity.h
+++ b/src/peers/membership/merge/own_identity.h
@@ -14,7 +14,7 @@
 class OwnIdentity {
  public:
   /// What a claim, a packet or a check has led to.
-  enum class Then { nothing, refuted, superseded, updated, reclaimed };
+  enum class Change { nothing, refuted, superseded, updated, reclaimed };
 
   OwnIdentity(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
 
@@ -26,16 +26,16 @@
   bool superseded() const { return successor_.has_value(); }
 
   /// Handles a claim about this router's name; `unix_now` is in microseconds.
-  Then told(const Fact& claim, Micros now, std::uint64_t unix_now);
+  Change told(const Fact& claim, Micros now, std::uint64_t unix_now);
   /// Handles a packet whose sender has this router's name but is another process.
   void heard(const Fact& sender, Micros now);
   /// Takes the name back if the newer process was not heard from in time; to be called once a period.
-  Then check(Micros now);
+  Change check(Micros now);
   /// Marks this router as left.
   void mark_left() { own_.standing = Standing::left; }
 
  private:
-  Then reclaim();
+  Change reclaim();
 
   Fact own_;
   Micros period_;
