--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -8,8 +8,8 @@
 
 void Membership::merge(const Fact& claim, const Fact& sender, bool alive_claims_only) {
   Entry* entry = table_.find(claim.name);
-  if (claim.name == self_.own().name) {
-    if (process_id(claim) < process_id(self_.own()))
+  if (claim.name == self_.fact().name) {
+    if (process_id(claim) < process_id(self_.fact()))
       return handle_older_process(*entry, claim, claim.name == sender.name);
     // Gone senders are heard too: two routers that hold each other gone must recover.
     return merge_claim_about_self(claim);
@@ -76,9 +76,9 @@
       break;
     case OwnIdentity::Change::superseded:
       ++counters_.superseded;
-      if (claim.address != self_.own().address)
+      if (claim.address != self_.fact().address)
         add_notice("a newer process holds this router's name: name=" + claim.name +
-                   " address=" + claim.address + " own_address=" + self_.own().address);
+                   " address=" + claim.address + " own_address=" + self_.fact().address);
       break;
     case OwnIdentity::Change::reclaimed:
       ++counters_.reclaimed;
@@ -90,8 +90,8 @@
 }
 
 void Membership::update_self() {
-  Entry* self = table_.find(self_.own().name);
-  Fact fact = self_.superseded() ? *self_.successor() : self_.own();
+  Entry* self = table_.find(self_.fact().name);
+  Fact fact = self_.superseded() ? *self_.successor() : self_.fact();
   fact.standing = Standing::alive;
   table_.update(*self, fact, now_);
   if (!self_.superseded())
--- a/src/peers/membership/merge/own_identity.h
+++ b/src/peers/membership/merge/own_identity.h
@@ -19,7 +19,7 @@
   OwnIdentity(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
 
   /// The fact that this process announces about itself.
-  const Fact& own() const { return own_; }
+  const Fact& fact() const { return own_; }
   /// The newer process that superseded this one, as last claimed; nothing if there is none.
   const std::optional<Fact>& successor() const { return successor_; }
   /// Whether a newer process holds this router's name.
--- a/src/peers/membership/probing.cpp
+++ b/src/peers/membership/probing.cpp
@@ -68,8 +68,8 @@
     health_.degrade();
   Fact suspected = target->fact;
   suspected.standing = Standing::suspected;
-  suspected.by = self_.own().name;
-  merge(suspected, self_.own(), false);
+  suspected.by = self_.fact().name;
+  merge(suspected, self_.fact(), false);
 }
 
 // Pings a member without awaiting an ack: the ping carries the claim against it, so that it can refute.
--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -8,14 +8,14 @@
     return false;
   now_ = std::max(now_, now);
   const Fact& sender = packet.sender;
-  if (sender.name == self_.own().name) {
-    if (process_id(sender) == process_id(self_.own()))
+  if (sender.name == self_.fact().name) {
+    if (process_id(sender) == process_id(self_.fact()))
       return false;  // this router pinged itself through a seed address
     self_.heard(sender, now_);
   }
   if (std::holds_alternative<wire::Payload>(packet.body)) {
     Entry* entry = table_.find(sender.name);
-    if (!entry || sender.name == self_.own().name)
+    if (!entry || sender.name == self_.fact().name)
       return false;
     if (sender.start == entry->fact.start)
       record_heard(*entry);
@@ -41,7 +41,7 @@
   claim.by = sender.name;
   merge(claim, sender, false);
   Entry* entry = table_.find(sender.name);
-  if (!entry || sender.name == self_.own().name || process_id(entry->fact) != process_id(sender))
+  if (!entry || sender.name == self_.fact().name || process_id(entry->fact) != process_id(sender))
     return;
   record_heard(*entry);
   if (!entry->fact.is_live())
@@ -54,14 +54,15 @@
 }
 
 void Membership::handle(const Fact& sender, const wire::Ping& ping) {
-  if (!ping.to.empty() && ping.to != self_.own().name)
+  if (!ping.to.empty() && ping.to != self_.fact().name)
     return;  // the ping is for another router that had this address before
   const Entry* known = table_.find(sender.name);
-  send(sender.address, wire::Ack{ping.sequence, self_.own().name, table_.digest(), self_.own().start}, known);
+  send(sender.address, wire::Ack{ping.sequence, self_.fact().name, table_.digest(), self_.fact().start},
+       known);
 }
 
 void Membership::handle(const Fact& sender, const wire::Ask& ask) {
-  if (ask.to == self_.own().name)
+  if (ask.to == self_.fact().name)
     return;
   IndirectPing indirect_ping{
       ++sequence_ ? sequence_ : ++sequence_, ask.sequence, sender.name, sender.address, ask.to,
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 void Membership::send(const std::string& address, wire::Body body, const Entry* about, bool with_broadcasts) {
-  Packet packet{self_.own(), std::move(body), {}};
+  Packet packet{self_.fact(), std::move(body), {}};
   if (std::holds_alternative<wire::Payload>(packet.body))
     packet.sender.site.clear(), packet.sender.address.clear();
   const std::size_t about_facts = about && about->fact.standing != Standing::alive ? 1 : 0;
@@ -50,7 +50,7 @@
 // Sends the members of the buckets that differ, gone ones too, since the other router may hold them alive. It
 // begins at a random bucket, so that members that do not fit are sent in another exchange.
 void Membership::send_bucket_facts(const std::string& address, const std::vector<std::size_t>& buckets) {
-  Packet packet{self_.own(), wire::Facts{}, {}};
+  Packet packet{self_.fact(), wire::Facts{}, {}};
   const std::size_t from = random_.below(buckets.size());
   int datagrams_left = limits::max_exchange_datagrams;
   std::size_t used = 0;
@@ -91,7 +91,7 @@
 
 void Membership::send_payload(Topic topic, std::string_view to, std::string bytes) {
   const Entry* entry = table_.find(to);
-  if (left_ || !entry || entry->fact.name == self_.own().name || bytes.size() > Outbox::most ||
+  if (left_ || !entry || entry->fact.name == self_.fact().name || bytes.size() > Outbox::most ||
       payloads_sent_ >= limits::max_payloads) {
     ++counters_.payloads_dropped;
     return;
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -25,7 +25,7 @@
 void Membership::start(Micros now) {
   now_ = started_ = now;
   std::string evicted;
-  table_.add(self_.own(), now, &evicted);
+  table_.add(self_.fact(), now, &evicted);
   // A random offset, so that routers that start together do not all probe at the same moment.
   next_tick_ =
       now +
@@ -83,8 +83,8 @@
     ++counters_.reclaimed;
     update_self();
   }
-  if (self_.superseded() && self_.successor()->address != self_.own().address)
-    send(self_.successor()->address, wire::Ping{0, self_.own().name, table_.digest()});
+  if (self_.superseded() && self_.successor()->address != self_.fact().address)
+    send(self_.successor()->address, wire::Ping{0, self_.fact().name, table_.digest()});
   if (periods_ % forget_every_periods == 0)
     forget_expired_members();
   if (periods_ % limits::gone_ping_periods == 0 || view_builder_.minority_since())
@@ -118,8 +118,8 @@
   left_ = true;
   if (silent)
     return;
-  Entry* self = table_.find(self_.own().name);
-  table_.update(*self, self_.own(), now_);
+  Entry* self = table_.find(self_.fact().name);
+  table_.update(*self, self_.fact(), now_);
   // Sent to many members, which pass it on to any that missed it.
   for (Entry* to : probe_order_.random_across_sites(random_, nullptr, leave_fanout))
     send(to->fact.address, wire::Facts{}, self);
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -153,11 +153,11 @@
   using Change = OwnIdentity::Change;
   OwnIdentity own(fact("a"), period);
   EXPECT_EQ(own.told(fact("a", 0, Standing::suspected), 0s, start_us), Change::refuted);
-  EXPECT_EQ(own.own().incarnation, 1u);
+  EXPECT_EQ(own.fact().incarnation, 1u);
   EXPECT_EQ(own.told(fact("a", 0, Standing::gone), 0s, start_us), Change::nothing) << "already refuted";
   EXPECT_EQ(own.told(fact("a", limits::max_incarnation - 1, Standing::gone), 0s, start_us), Change::refuted);
-  EXPECT_EQ(own.own().start, start_us + 1) << "a later start time invalidates an incarnation near the limit";
-  EXPECT_EQ(own.own().incarnation, 0u);
+  EXPECT_EQ(own.fact().start, start_us + 1) << "a later start time invalidates an incarnation near the limit";
+  EXPECT_EQ(own.fact().incarnation, 0u);
   EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us - 5), 0s, start_us), Change::nothing);
   EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us + 2 * day_us, "10.0.0.9:1"), 0s, start_us),
             Change::nothing)
@@ -168,7 +168,7 @@
   EXPECT_EQ(own.check(period * (limits::reclaim_name_periods - 1)), Change::nothing);
   EXPECT_EQ(own.check(period * limits::reclaim_name_periods), Change::reclaimed)
       << "the newer process was never heard";
-  EXPECT_EQ(own.own().start, start_us + 10);
+  EXPECT_EQ(own.fact().start, start_us + 10);
 
   const auto heard = fact("a", 0, Standing::alive, start_us + 20, "10.0.0.2:1");
   EXPECT_EQ(own.told(heard, 0s, start_us), Change::superseded);
