--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -67,7 +67,7 @@
 }
 
 void Membership::merge_claim_about_self(const Fact& claim) {
-  switch (self_.told(claim, now_, unix_now())) {
+  switch (self_.apply_claim(claim, now_, unix_now())) {
     case OwnIdentity::Change::nothing:
       return;
     case OwnIdentity::Change::refuted:
--- a/src/peers/membership/merge/own_identity.cpp
+++ b/src/peers/membership/merge/own_identity.cpp
@@ -6,7 +6,7 @@
 
 namespace lemonroute::peers::membership {
 
-OwnIdentity::Change OwnIdentity::told(const Fact& claim, Micros now, std::uint64_t unix_now) {
+OwnIdentity::Change OwnIdentity::apply_claim(const Fact& claim, Micros now, std::uint64_t unix_now) {
   if (own_.standing == Standing::left)
     return Change::nothing;
   if (process_id(claim) == process_id(own_)) {
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -152,33 +152,35 @@
 TEST(OwnIdentity, refutes_yields_to_a_newer_process_that_is_heard_and_reclaims_an_unheld_name) {
   using Change = OwnIdentity::Change;
   OwnIdentity own(fact("a"), period);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::suspected), 0s, start_us), Change::refuted);
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::suspected), 0s, start_us), Change::refuted);
   EXPECT_EQ(own.fact().incarnation, 1u);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::gone), 0s, start_us), Change::nothing) << "already refuted";
-  EXPECT_EQ(own.told(fact("a", limits::max_incarnation - 1, Standing::gone), 0s, start_us), Change::refuted);
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::gone), 0s, start_us), Change::nothing)
+      << "already refuted";
+  EXPECT_EQ(own.apply_claim(fact("a", limits::max_incarnation - 1, Standing::gone), 0s, start_us),
+            Change::refuted);
   EXPECT_EQ(own.fact().start, start_us + 1) << "a later start time invalidates an incarnation near the limit";
   EXPECT_EQ(own.fact().incarnation, 0u);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us - 5), 0s, start_us), Change::nothing);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us + 2 * day_us, "10.0.0.9:1"), 0s, start_us),
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::alive, start_us - 5), 0s, start_us), Change::nothing);
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::alive, start_us + 2 * day_us, "10.0.0.9:1"), 0s, start_us),
             Change::nothing)
       << "an implausible start time is ignored";
 
   const auto newer = fact("a", 0, Standing::alive, start_us + 9, "10.0.0.2:1");
-  EXPECT_EQ(own.told(newer, 0s, start_us), Change::superseded);
+  EXPECT_EQ(own.apply_claim(newer, 0s, start_us), Change::superseded);
   EXPECT_EQ(own.check(period * (limits::reclaim_name_periods - 1)), Change::nothing);
   EXPECT_EQ(own.check(period * limits::reclaim_name_periods), Change::reclaimed)
       << "the newer process was never heard";
   EXPECT_EQ(own.fact().start, start_us + 10);
 
   const auto heard = fact("a", 0, Standing::alive, start_us + 20, "10.0.0.2:1");
-  EXPECT_EQ(own.told(heard, 0s, start_us), Change::superseded);
+  EXPECT_EQ(own.apply_claim(heard, 0s, start_us), Change::superseded);
   own.heard(heard, 1s);
   EXPECT_EQ(own.check(1000s), Change::nothing);
-  EXPECT_EQ(own.told(fact("a", 5, Standing::suspected), 0s, start_us), Change::nothing)
+  EXPECT_EQ(own.apply_claim(fact("a", 5, Standing::suspected), 0s, start_us), Change::nothing)
       << "a superseded process doesn't refute";
   auto left = heard;
   left.standing = Standing::left;
-  EXPECT_EQ(own.told(left, 0s, start_us), Change::reclaimed);
+  EXPECT_EQ(own.apply_claim(left, 0s, start_us), Change::reclaimed);
 }
 
 wire::Packet packet_with(wire::Body body, std::size_t facts) {
