--- a/src/peers/membership/merge/own_identity.cpp
+++ b/src/peers/membership/merge/own_identity.cpp
@@ -42,7 +42,7 @@
   return new_successor ? Change::superseded : Change::updated;
 }
 
-void OwnIdentity::heard(const Fact& sender, Micros) {
+void OwnIdentity::record_packet(const Fact& sender, Micros) {
   if (successor_ && process_id(sender) == process_id(*successor_))
     successor_heard_ = true;
 }
--- a/src/peers/membership/merge/own_identity.h
+++ b/src/peers/membership/merge/own_identity.h
@@ -28,7 +28,7 @@
   /// Handles a claim about this router's name; `unix_now` is in microseconds.
   Change apply_claim(const Fact& claim, Micros now, std::uint64_t unix_now);
   /// Handles a packet whose sender has this router's name but is another process.
-  void heard(const Fact& sender, Micros now);
+  void record_packet(const Fact& sender, Micros now);
   /// Takes the name back if the newer process was not heard from in time; to be called once a period.
   Change check(Micros now);
   /// Marks this router as left.
--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -11,7 +11,7 @@
   if (sender.name == self_.fact().name) {
     if (process_id(sender) == process_id(self_.fact()))
       return false;  // this router pinged itself through a seed address
-    self_.heard(sender, now_);
+    self_.record_packet(sender, now_);
   }
   if (std::holds_alternative<wire::Payload>(packet.body)) {
     Entry* entry = table_.find(sender.name);
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -174,7 +174,7 @@
 
   const auto heard = fact("a", 0, Standing::alive, start_us + 20, "10.0.0.2:1");
   EXPECT_EQ(own.apply_claim(heard, 0s, start_us), Change::superseded);
-  own.heard(heard, 1s);
+  own.record_packet(heard, 1s);
   EXPECT_EQ(own.check(1000s), Change::nothing);
   EXPECT_EQ(own.apply_claim(fact("a", 5, Standing::suspected), 0s, start_us), Change::nothing)
       << "a superseded process doesn't refute";
