--- a/src/peers/membership/merge/own_identity.cpp
+++ b/src/peers/membership/merge/own_identity.cpp
@@ -47,7 +47,7 @@
     successor_heard_ = true;
 }
 
-OwnIdentity::Change OwnIdentity::check(Micros now) {
+OwnIdentity::Change OwnIdentity::check_reclaim(Micros now) {
   if (!successor_ || successor_heard_ || now - superseded_at_ < period_ * limits::reclaim_name_periods)
     return Change::nothing;
   return reclaim();
--- a/src/peers/membership/merge/own_identity.h
+++ b/src/peers/membership/merge/own_identity.h
@@ -30,7 +30,7 @@
   /// Handles a packet whose sender has this router's name but is another process.
   void record_packet(const Fact& sender, Micros now);
   /// Takes the name back if the newer process was not heard from in time; to be called once a period.
-  Change check(Micros now);
+  Change check_reclaim(Micros now);
   /// Marks this router as left.
   void mark_left() { own_.standing = Standing::left; }
 
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -79,7 +79,7 @@
   sync_sent_ = false;
   syncs_answered_ = unawaited_pings_ = final_pings_ = 0;
   payloads_sent_ = 0;
-  if (self_.check(now_) == OwnIdentity::Change::reclaimed) {
+  if (self_.check_reclaim(now_) == OwnIdentity::Change::reclaimed) {
     ++counters_.reclaimed;
     update_self();
   }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -167,15 +167,15 @@
 
   const auto newer = fact("a", 0, Standing::alive, start_us + 9, "10.0.0.2:1");
   EXPECT_EQ(own.apply_claim(newer, 0s, start_us), Change::superseded);
-  EXPECT_EQ(own.check(period * (limits::reclaim_name_periods - 1)), Change::nothing);
-  EXPECT_EQ(own.check(period * limits::reclaim_name_periods), Change::reclaimed)
+  EXPECT_EQ(own.check_reclaim(period * (limits::reclaim_name_periods - 1)), Change::nothing);
+  EXPECT_EQ(own.check_reclaim(period * limits::reclaim_name_periods), Change::reclaimed)
       << "the newer process was never heard";
   EXPECT_EQ(own.fact().start, start_us + 10);
 
   const auto heard = fact("a", 0, Standing::alive, start_us + 20, "10.0.0.2:1");
   EXPECT_EQ(own.apply_claim(heard, 0s, start_us), Change::superseded);
   own.record_packet(heard, 1s);
-  EXPECT_EQ(own.check(1000s), Change::nothing);
+  EXPECT_EQ(own.check_reclaim(1000s), Change::nothing);
   EXPECT_EQ(own.apply_claim(fact("a", 5, Standing::suspected), 0s, start_us), Change::nothing)
       << "a superseded process doesn't refute";
   auto left = heard;
