--- a/src/peers/membership/suspicion/suspicion.cpp
+++ b/src/peers/membership/suspicion/suspicion.cpp
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-Micros least_suspicion(std::size_t members, Micros period) {
+Micros min_suspicion_timeout(std::size_t members, Micros period) {
   return scaled(period,
                 limits::suspicion_multiplier * std::max(1.0, std::log10(static_cast<double>(members))));
 }
 
 Suspicion::Suspicion(Micros now, std::size_t members, Micros period, std::string_view by)
     : started_(now),
-      min_timeout_(least_suspicion(members, period)),
+      min_timeout_(min_suspicion_timeout(members, period)),
       max_timeout_(min_timeout_ * limits::max_suspicion_factor) {
   reporters_[0] = hash_of(by);
   // Neither the first reporter nor the suspected member can confirm: one of three members can, none of two.
--- a/src/peers/membership/suspicion/suspicion.h
+++ b/src/peers/membership/suspicion/suspicion.h
@@ -15,7 +15,7 @@
 namespace lemonroute::peers::membership {
 
 /// Minimum suspicion timeout for a fleet of `members`.
-Micros least_suspicion(std::size_t members, Micros period);
+Micros min_suspicion_timeout(std::size_t members, Micros period);
 
 /// Timer of one suspicion.
 class Suspicion {
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -69,7 +69,7 @@
 TEST(Suspicion, grows_with_members_and_shortens_with_each_confirmation_down_to_the_minimum) {
   Micros previous{};
   for (const std::size_t members : {2u, 10u, 100u, 1000u}) {
-    const Micros min_duration = least_suspicion(members, period);
+    const Micros min_duration = min_suspicion_timeout(members, period);
     EXPECT_GE(min_duration, previous);
     previous = min_duration;
     Suspicion suspicion(10s, members, period, "first");
