--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -113,7 +113,7 @@
     return nullptr;
   }
   if (fact.standing == Standing::suspected)
-    table_.mark(*entry, Standing::alive, fact.by, now_);
+    table_.set_standing(*entry, Standing::alive, fact.by, now_);
   probe_order_.add(*entry, random_);
   broadcasts_.add(*entry);
   return entry;
@@ -195,7 +195,7 @@
 void Membership::declare_gone(Micros now) {
   while (Entry* entry = table_.expired(now)) {
     ++counters_.gone;
-    table_.mark(*entry, Standing::gone, entry->fact.by, now);
+    table_.set_standing(*entry, Standing::gone, entry->fact.by, now);
     entry->gone_claim_by = 0;
     broadcasts_.add(*entry);
   }
--- a/src/peers/membership/table.cpp
+++ b/src/peers/membership/table.cpp
@@ -69,7 +69,7 @@
   ++version_;
 }
 
-void Table::mark(Entry& entry, Standing standing, std::string by, Micros now) {
+void Table::set_standing(Entry& entry, Standing standing, std::string by, Micros now) {
   Fact fact = entry.fact;
   fact.standing = standing;
   fact.by = std::move(by);
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -29,7 +29,7 @@
   /// Replaces the entry's fact; `standing_since` moves if the standing or the process changes.
   void update(Entry& entry, const Fact& fact, Micros now);
   /// Changes the entry's standing, as reported by the router `by`.
-  void mark(Entry& entry, Standing standing, std::string by, Micros now);
+  void set_standing(Entry& entry, Standing standing, std::string by, Micros now);
   /// Changes whether the member counts as unreachable from here.
   void set_unreachable(Entry& entry, bool unreachable);
   /// Removes a member.
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -101,7 +101,7 @@
     rounds.insert(names);
   }
   EXPECT_EQ(rounds.size(), 5u);
-  table.mark(*table.find("c3"), Standing::gone, "x", 0s);
+  table.set_standing(*table.find("c3"), Standing::gone, "x", 0s);
   for (int at = 0; at < 60; ++at)
     EXPECT_NE(order.next(random)->fact.name, "c3");
 }
@@ -138,9 +138,9 @@
   EXPECT_EQ(table.digest(), reversed.digest());
   EXPECT_EQ(table.add(fact("more"), 0s, &evicted), nullptr);
   EXPECT_EQ(evicted, "") << "a present member is never evicted";
-  table.mark(*table.find("c1"), Standing::suspected, "x", 0s);
+  table.set_standing(*table.find("c1"), Standing::suspected, "x", 0s);
   EXPECT_EQ(table.digest(), reversed.digest());
-  table.mark(*table.find("c1"), Standing::gone, "x", 0s);
+  table.set_standing(*table.find("c1"), Standing::gone, "x", 0s);
   EXPECT_NE(table.digest(), reversed.digest());
   EXPECT_EQ(table.add(fact("more"), 0s, &evicted), nullptr);
   EXPECT_EQ(evicted, "c1");
