--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -105,7 +105,7 @@
     Entry* evicted_entry = table_.find(evicted);
     probe_order_.remove(*evicted_entry);
     broadcasts_.drop(*evicted_entry);
-    table_.forget(evicted);
+    table_.remove(evicted);
     entry = table_.add(fact, now_, &evicted);
   }
   if (!entry) {
--- a/src/peers/membership/table.cpp
+++ b/src/peers/membership/table.cpp
@@ -82,7 +82,7 @@
   entry.unreachable = unreachable;
 }
 
-void Table::forget(std::string_view name) {
+void Table::remove(std::string_view name) {
   const auto at = entries_.find(name);
   if (at == entries_.end())
     return;
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -33,7 +33,7 @@
   /// Changes whether the member counts as unreachable from here.
   void set_unreachable(Entry& entry, bool unreachable);
   /// Removes a member.
-  void forget(std::string_view name);
+  void remove(std::string_view name);
 
   /// Number of members that are alive or suspected.
   std::size_t there() const { return live_; }
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -105,7 +105,7 @@
     Entry* entry = table_.find(name);
     probe_order_.remove(*entry);
     broadcasts_.drop(*entry);
-    table_.forget(name);
+    table_.remove(name);
   }
 }
 
