--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -127,7 +127,7 @@
     fact.by = sender.name;
   table_.update(entry, fact, now_);
   entry.confirmed_by.clear();
-  const auto members = table_.there();
+  const auto members = table_.live_count();
   table_.suspect(entry, from_gone_claims
                             ? Suspicion::from_gone_claims(now_, members, options_.period, fact.by)
                             : Suspicion(now_, members, options_.period, fact.by));
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -26,7 +26,7 @@
   if (about_facts)
     packet.facts.push_back(fact_to_send(*about));  // the claim against the recipient
   if (with_broadcasts && !broadcasts_.empty()) {
-    for (const Entry* entry : broadcasts_.offer(table_.there()))
+    for (const Entry* entry : broadcasts_.offer(table_.live_count()))
       packet.facts.push_back(fact_to_send(*entry));
   }
   std::size_t count = 0;
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -36,7 +36,7 @@
   void remove(std::string_view name);
 
   /// Number of members that are alive or suspected.
-  std::size_t there() const { return live_; }
+  std::size_t live_count() const { return live_; }
   /// Number of members that were declared gone, without those that left.
   std::size_t gone() const { return gone_; }
   /// Changes with each change that is visible in the view.
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -90,7 +90,7 @@
   if (periods_ % limits::gone_ping_periods == 0 || view_builder_.minority_since())
     if (Entry* gone = probe_order_.random_member(random_, Standing::gone))
       send(gone->fact.address, wire::Ping{0, gone->fact.name, table_.digest()}, gone);
-  if (table_.there() <= 1 || periods_ % limits::seed_ping_periods == 0)
+  if (table_.live_count() <= 1 || periods_ % limits::seed_ping_periods == 0)
     ping_seed();
   view_builder_.update_minority(table_, now_);
 }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -145,7 +145,7 @@
   EXPECT_EQ(table.add(fact("more"), 0s, &evicted), nullptr);
   EXPECT_EQ(evicted, "c1");
   table.remove("c1");
-  EXPECT_EQ(table.there(), 49u);
+  EXPECT_EQ(table.live_count(), 49u);
   EXPECT_EQ(table.gone(), 0u);
 }
 
