--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -38,7 +38,7 @@
   /// Number of members that are alive or suspected.
   std::size_t live_count() const { return live_; }
   /// Number of members that were declared gone, without those that left.
-  std::size_t gone() const { return gone_; }
+  std::size_t gone_count() const { return gone_; }
   /// Changes with each change that is visible in the view.
   std::uint64_t version() const { return version_; }
 
--- a/src/peers/membership/view/view_builder.cpp
+++ b/src/peers/membership/view/view_builder.cpp
@@ -18,7 +18,7 @@
 }
 
 void ViewBuilder::update_minority(const Table& table, Micros now) {
-  const bool minority = table.live_count() * 2 < table.live_count() + table.gone();
+  const bool minority = table.live_count() * 2 < table.live_count() + table.gone_count();
   if (!minority)
     minority_since_.reset();
   else if (!minority_since_)
@@ -30,7 +30,7 @@
   view_.minority_since = minority_since_;
   if (table_version_ != table.version()) {
     table_version_ = view_.version = table.version();
-    view_.known = static_cast<std::uint32_t>(table.live_count() + table.gone());
+    view_.known = static_cast<std::uint32_t>(table.live_count() + table.gone_count());
     view_.members.clear();
     view_.members.reserve(table.entries().size());
     for (const auto& [name, entry] : table.entries())
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -146,7 +146,7 @@
   EXPECT_EQ(evicted, "c1");
   table.remove("c1");
   EXPECT_EQ(table.live_count(), 49u);
-  EXPECT_EQ(table.gone(), 0u);
+  EXPECT_EQ(table.gone_count(), 0u);
 }
 
 TEST(OwnIdentity, refutes_yields_to_a_newer_process_that_is_heard_and_reclaims_an_unheld_name) {
