--- a/src/peers/membership/fact.cpp
+++ b/src/peers/membership/fact.cpp
@@ -32,7 +32,8 @@
 bool valid(const Fact& fact) {
   return valid_name(fact.name) && fact.site.size() <= limits::max_site_bytes && printable(fact.site) &&
          valid_address(fact.address) && fact.start <= limits::max_start_us &&
-         fact.incarnation <= limits::max_incarnation && (fact.by.empty() || valid_name(fact.by));
+         fact.incarnation <= limits::max_incarnation &&
+         (fact.reported_by.empty() || valid_name(fact.reported_by));
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/fact.h
+++ b/src/peers/membership/fact.h
@@ -19,7 +19,7 @@
   /// The claimed standing.
   Standing standing = Standing::alive;
   /// Name of the router that first reported this standing; may be empty.
-  std::string by;
+  std::string reported_by;
   /// Whether the member is alive or suspected.
   bool is_live() const { return standing == Standing::alive || standing == Standing::suspected; }
 };
--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -31,7 +31,7 @@
     case Verdict::gone_claim:
       return handle_gone_claim(*entry, claim, sender);
     case Verdict::confirm:
-      return confirm_suspicion(*entry, claim.by);
+      return confirm_suspicion(*entry, claim.reported_by);
     case Verdict::suspect:
       return begin_suspicion(*entry, claim, sender);
     case Verdict::add_member:
@@ -113,7 +113,7 @@
     return nullptr;
   }
   if (fact.standing == Standing::suspected)
-    table_.set_standing(*entry, Standing::alive, fact.by, now_);
+    table_.set_standing(*entry, Standing::alive, fact.reported_by, now_);
   probe_order_.add(*entry, random_);
   broadcasts_.add(*entry);
   return entry;
@@ -123,14 +123,14 @@
   ++counters_.suspected;
   Fact fact = claim;
   fact.standing = Standing::suspected;
-  if (fact.by.empty())
-    fact.by = sender.name;
+  if (fact.reported_by.empty())
+    fact.reported_by = sender.name;
   table_.update(entry, fact, now_);
   entry.confirmed_by.clear();
   const auto members = table_.live_count();
   table_.suspect(entry, from_gone_claims
-                            ? Suspicion::from_gone_claims(now_, members, options_.period, fact.by)
-                            : Suspicion(now_, members, options_.period, fact.by));
+                            ? Suspicion::from_gone_claims(now_, members, options_.period, fact.reported_by)
+                            : Suspicion(now_, members, options_.period, fact.reported_by));
   broadcasts_.add(entry);
 }
 
@@ -195,7 +195,7 @@
 void Membership::declare_gone(Micros now) {
   while (Entry* entry = table_.expired(now)) {
     ++counters_.gone;
-    table_.set_standing(*entry, Standing::gone, entry->fact.by, now);
+    table_.set_standing(*entry, Standing::gone, entry->fact.reported_by, now);
     entry->gone_claim_by = 0;
     broadcasts_.add(*entry);
   }
--- a/src/peers/membership/probing.cpp
+++ b/src/peers/membership/probing.cpp
@@ -68,7 +68,7 @@
     health_.degrade();
   Fact suspected = target->fact;
   suspected.standing = Standing::suspected;
-  suspected.by = self_.fact().name;
+  suspected.reported_by = self_.fact().name;
   merge(suspected, self_.fact(), false);
 }
 
--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -38,7 +38,7 @@
 void Membership::merge_sender(const Fact& sender) {
   Fact claim = sender;
   claim.standing = Standing::alive;
-  claim.by = sender.name;
+  claim.reported_by = sender.name;
   merge(claim, sender, false);
   Entry* entry = table_.find(sender.name);
   if (!entry || sender.name == self_.fact().name || process_id(entry->fact) != process_id(sender))
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -12,7 +12,7 @@
 Fact fact_to_send(const Entry& entry) {
   Fact fact = entry.fact;
   if (fact.standing == Standing::suspected && !entry.confirmed_by.empty())
-    fact.by = entry.confirmed_by;
+    fact.reported_by = entry.confirmed_by;
   return fact;
 }
 
--- a/src/peers/membership/table.cpp
+++ b/src/peers/membership/table.cpp
@@ -72,7 +72,7 @@
 void Table::set_standing(Entry& entry, Standing standing, std::string by, Micros now) {
   Fact fact = entry.fact;
   fact.standing = standing;
-  fact.by = std::move(by);
+  fact.reported_by = std::move(by);
   update(entry, fact, now);
 }
 
--- a/src/peers/membership/view/view_builder.cpp
+++ b/src/peers/membership/view/view_builder.cpp
@@ -6,7 +6,7 @@
 Member member_of(const Entry& entry) {
   const Fact& fact = entry.fact;
   return {fact.name,        fact.site,        fact.address,         fact.start,
-          fact.incarnation, fact.standing,    entry.standing_since, fact.by,
+          fact.incarnation, fact.standing,    entry.standing_since, fact.reported_by,
           entry.last_heard, entry.unreachable};
 }
 
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -27,7 +27,7 @@
   out.set_start(fact.start);
   out.set_incarnation(fact.incarnation);
   out.set_standing(static_cast<pb::Standing>(fact.standing));
-  out.set_by(fact.by);
+  out.set_by(fact.reported_by);
 }
 
 bool from_proto(const pb::Fact& in, Fact& fact) {
@@ -110,7 +110,8 @@
 // Tag and length take 2 bytes for the fact and for each text. With their tags, start and incarnation take up
 // to 9 and 6 bytes, and the standing takes 2.
 std::size_t max_encoded_bytes(const Fact& fact) {
-  return 2 + 8 + fact.name.size() + fact.site.size() + fact.address.size() + fact.by.size() + 9 + 6 + 2;
+  return 2 + 8 + fact.name.size() + fact.site.size() + fact.address.size() + fact.reported_by.size() + 9 + 6 +
+         2;
 }
 
 std::string encode(const Packet& packet, std::size_t* facts_encoded) {
@@ -152,7 +153,7 @@
     return Fault::bad_field;
   }
   sender.standing = Standing::alive;
-  sender.by.clear();
+  sender.reported_by.clear();
   if (!from_proto(in, packet.body))
     return Fault::bad_field;
   packet.facts.clear();
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -22,7 +22,7 @@
   fact.start = sender_start;
   fact.incarnation = 300;
   fact.standing = Standing::suspected;
-  fact.by = "router-h";
+  fact.reported_by = "router-h";
   return fact;
 }
 
@@ -34,7 +34,7 @@
   fact.start = 1764683712345678;
   fact.incarnation = 70'000;
   fact.standing = standing;
-  fact.by = "by-" + name;
+  fact.reported_by = "by-" + name;
   return fact;
 }
 
@@ -62,7 +62,7 @@
   EXPECT_EQ(fact.start, 1764683712345678u);
   EXPECT_EQ(fact.incarnation, 70'000u);
   EXPECT_EQ(fact.standing, standing);
-  EXPECT_EQ(fact.by, "by-" + name);
+  EXPECT_EQ(fact.reported_by, "by-" + name);
 }
 
 // Whoever sends is there, whatever is written of its standing.
@@ -73,7 +73,7 @@
   EXPECT_EQ(sender.start, 1764683700000001u);
   EXPECT_EQ(sender.incarnation, 300u);
   EXPECT_EQ(sender.standing, Standing::alive);
-  EXPECT_EQ(sender.by, "");
+  EXPECT_EQ(sender.reported_by, "");
 }
 
 // The body of a packet that has the sender and the facts of all fixtures, or one with no field set and a
