--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -75,7 +75,7 @@
   // receiving.cpp
   void merge_sender(const Fact& sender);
   void handle(const Fact& sender, const wire::Ping& ping);
-  void handle(const Fact& sender, const wire::Ask& ask);
+  void handle(const Fact& sender, const wire::PingRequest& ask);
   void handle(const Fact& sender, const wire::Ack& ack);
   void handle(const Fact& sender, const wire::Nack& nack);
   void handle(const Fact& sender, const wire::Sync& sync);
--- a/src/peers/membership/probing.cpp
+++ b/src/peers/membership/probing.cpp
@@ -38,7 +38,8 @@
   for (Entry* helper : probe_order_.random_across_sites(random_, target, limits::helpers_per_probe)) {
     ++probe_->helpers_asked;
     ++counters_.indirect;
-    send(helper->fact.address, wire::Ask{probe_->sequence, probe_->name, target->fact.address}, target);
+    send(helper->fact.address, wire::PingRequest{probe_->sequence, probe_->name, target->fact.address},
+         target);
   }
   probe_->indirect_at = ~0ull;
 }
--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -61,7 +61,7 @@
        known);
 }
 
-void Membership::handle(const Fact& sender, const wire::Ask& ask) {
+void Membership::handle(const Fact& sender, const wire::PingRequest& ask) {
   if (ask.to == self_.fact().name)
     return;
   IndirectPing indirect_ping{
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -48,7 +48,7 @@
       body = Ping{in.ping().sequence(), in.ping().to(), in.ping().digest()};
       return in.ping().to().empty() || is_valid_name(in.ping().to());
     case pb::Packet::kAsk:
-      body = Ask{in.ask().sequence(), in.ask().to(), in.ask().address()};
+      body = PingRequest{in.ask().sequence(), in.ask().to(), in.ask().address()};
       return is_valid_name(in.ask().to()) && membership::valid_address(in.ask().address());
     case pb::Packet::kAck:
       body = Ack{in.ack().sequence(), in.ack().of(), in.ack().digest(), in.ack().start()};
@@ -78,7 +78,7 @@
                         out.mutable_ping()->set_to(message.to);
                         out.mutable_ping()->set_digest(message.digest);
                       },
-                      [&](const Ask& message) {
+                      [&](const PingRequest& message) {
                         out.mutable_ask()->set_sequence(message.sequence);
                         out.mutable_ask()->set_to(message.to);
                         out.mutable_ask()->set_address(message.address);
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -21,7 +21,7 @@
   std::uint64_t digest = 0;
 };
 /// Asks the recipient to ping the member `to` at `address` on the sender's behalf (ping-req in SWIM).
-struct Ask {
+struct PingRequest {
   std::uint32_t sequence = 0;
   std::string to, address;
 };
@@ -53,7 +53,7 @@
   std::string content;
 };
 /// What a packet is about.
-using Body = std::variant<Facts, Ping, Ask, Ack, Nack, Sync, Payload>;
+using Body = std::variant<Facts, Ping, PingRequest, Ack, Nack, Sync, Payload>;
 
 /// A decoded datagram.
 struct Packet {
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -116,7 +116,7 @@
 }
 
 TEST(Formats, ReadsBackAPingRequest) {
-  const auto ask = body_of<wire::Ask>("peers_ask.hex");
+  const auto ask = body_of<wire::PingRequest>("peers_ask.hex");
 
   EXPECT_EQ(ask.sequence, 71'002u);
   EXPECT_EQ(ask.to, "router-e");
@@ -124,7 +124,7 @@
 }
 
 TEST(Formats, WritesAPingRequestAsBefore) {
-  wire::Ask ask;
+  wire::PingRequest ask;
   ask.sequence = 71'002;
   ask.to = "router-e";
   ask.address = "10.9.8.7:7948";
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -193,7 +193,7 @@
 std::vector<wire::Body> bodies() {
   return {wire::Facts{},
           wire::Ping{7, "to", 99},
-          wire::Ask{8, "to", "10.0.0.9:5"},
+          wire::PingRequest{8, "to", "10.0.0.9:5"},
           wire::Ack{9, "of", 98},
           wire::Nack{10, "of"},
           wire::Sync{std::vector<std::uint32_t>(limits::digest_buckets, ~0u), true},
