--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -54,7 +54,7 @@
 }
 
 void Membership::handle(const Fact& sender, const wire::Ping& ping) {
-  if (!ping.to.empty() && ping.to != self_.fact().name)
+  if (!ping.target.empty() && ping.target != self_.fact().name)
     return;  // the ping is for another router that had this address before
   const Entry* known = table_.find(sender.name);
   send(sender.address, wire::Ack{ping.sequence, self_.fact().name, table_.digest(), self_.fact().start},
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -75,7 +75,7 @@
   std::visit(Overload{[&](const Facts&) { out.mutable_only(); },
                       [&](const Ping& message) {
                         out.mutable_ping()->set_sequence(message.sequence);
-                        out.mutable_ping()->set_to(message.to);
+                        out.mutable_ping()->set_to(message.target);
                         out.mutable_ping()->set_digest(message.digest);
                       },
                       [&](const PingRequest& message) {
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -13,10 +13,10 @@
 
 using membership::Fact;
 
-/// Asks the member `to` for an ack; with sequence 0 no ack is awaited, with an empty name anyone answers.
+/// Asks the member `target` for an ack; with sequence 0 no ack is awaited, with an empty name anyone answers.
 struct Ping {
   std::uint32_t sequence = 0;
-  std::string to;
+  std::string target;
   /// Digest of the sender's member table.
   std::uint64_t digest = 0;
 };
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -102,14 +102,14 @@
   const auto ping = body_of<wire::Ping>("peers_ping.hex");
 
   EXPECT_EQ(ping.sequence, 71'001u);
-  EXPECT_EQ(ping.to, "router-d");
+  EXPECT_EQ(ping.target, "router-d");
   EXPECT_EQ(ping.digest, 0x1122334455667788u);
 }
 
 TEST(Formats, WritesAPingAsBefore) {
   wire::Ping ping;
   ping.sequence = 71'001;
-  ping.to = "router-d";
+  ping.target = "router-d";
   ping.digest = 0x1122334455667788;
 
   expect_written(packet_with(ping), "peers_ping.hex");
