--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -62,15 +62,15 @@
 }
 
 void Membership::handle(const Fact& sender, const wire::PingRequest& ask) {
-  if (ask.to == self_.fact().name)
+  if (ask.target == self_.fact().name)
     return;
   IndirectPing indirect_ping{
-      ++sequence_ ? sequence_ : ++sequence_, ask.sequence, sender.name, sender.address, ask.to,
+      ++sequence_ ? sequence_ : ++sequence_, ask.sequence, sender.name, sender.address, ask.target,
       tick_ + limits::direct_probe_ticks};
   const auto own_sequence = indirect_ping.own_sequence;
   if (!indirect_pings_.add(std::move(indirect_ping)))
     return;
-  send(ask.address, wire::Ping{own_sequence, ask.to, table_.digest()}, table_.find(ask.to));
+  send(ask.address, wire::Ping{own_sequence, ask.target, table_.digest()}, table_.find(ask.target));
 }
 
 void Membership::handle(const Fact& sender, const wire::Ack& ack) {
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -80,7 +80,7 @@
                       },
                       [&](const PingRequest& message) {
                         out.mutable_ask()->set_sequence(message.sequence);
-                        out.mutable_ask()->set_to(message.to);
+                        out.mutable_ask()->set_to(message.target);
                         out.mutable_ask()->set_address(message.address);
                       },
                       [&](const Ack& message) {
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -20,10 +20,10 @@
   /// Digest of the sender's member table.
   std::uint64_t digest = 0;
 };
-/// Asks the recipient to ping the member `to` at `address` on the sender's behalf (ping-req in SWIM).
+/// Asks the recipient to ping the member `target` at `address` on the sender's behalf (ping-req in SWIM).
 struct PingRequest {
   std::uint32_t sequence = 0;
-  std::string to, address;
+  std::string target, address;
 };
 /// Acknowledges a ping, either directly or on behalf of the member `of`.
 struct Ack {
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -119,14 +119,14 @@
   const auto ask = body_of<wire::PingRequest>("peers_ask.hex");
 
   EXPECT_EQ(ask.sequence, 71'002u);
-  EXPECT_EQ(ask.to, "router-e");
+  EXPECT_EQ(ask.target, "router-e");
   EXPECT_EQ(ask.address, "10.9.8.7:7948");
 }
 
 TEST(Formats, WritesAPingRequestAsBefore) {
   wire::PingRequest ask;
   ask.sequence = 71'002;
-  ask.to = "router-e";
+  ask.target = "router-e";
   ask.address = "10.9.8.7:7948";
 
   expect_written(packet_with(ask), "peers_ask.hex");
