--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -74,22 +74,22 @@
 }
 
 void Membership::handle(const Fact& sender, const wire::Ack& ack) {
-  if (sender.name == ack.of) {
-    Entry* entry = table_.find(ack.of);
+  if (sender.name == ack.target) {
+    Entry* entry = table_.find(ack.target);
     const bool same_process = entry && process_id(entry->fact) == process_id(sender);
     if (same_process && entry->direct_probe_failures) {
       entry->direct_probe_failures = 0;
       table_.set_unreachable(*entry, false);
     }
-    if (auto indirect_ping = indirect_pings_.take_acknowledged(ack.sequence, ack.of);
+    if (auto indirect_ping = indirect_pings_.take_acknowledged(ack.sequence, ack.target);
         indirect_ping && same_process)
       send(indirect_ping->requester_address,
            wire::Ack{indirect_ping->request_sequence, indirect_ping->target, 0, ack.start});
-    if (probe_ && probe_->sequence == ack.sequence && probe_->name == ack.of && same_process)
+    if (probe_ && probe_->sequence == ack.sequence && probe_->name == ack.target && same_process)
       probe_->direct_ack = true;
     if (ack.digest && ack.digest != table_.digest() && !sync_sent_)
       send_sync(sender.address, false);
-  } else if (probe_ && probe_->sequence == ack.sequence && probe_->name == ack.of) {
+  } else if (probe_ && probe_->sequence == ack.sequence && probe_->name == ack.target) {
     // An ack from a newer process at the same address does not show that the probed one is alive.
     if (probe_->start == ack.start)
       probe_->indirect_ack = true;
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -85,7 +85,7 @@
                       },
                       [&](const Ack& message) {
                         out.mutable_ack()->set_sequence(message.sequence);
-                        out.mutable_ack()->set_of(message.of);
+                        out.mutable_ack()->set_of(message.target);
                         out.mutable_ack()->set_digest(message.digest);
                         out.mutable_ack()->set_start(message.start);
                       },
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -25,10 +25,10 @@
   std::uint32_t sequence = 0;
   std::string target, address;
 };
-/// Acknowledges a ping, either directly or on behalf of the member `of`.
+/// Acknowledges a ping, either directly or on behalf of the member `target`.
 struct Ack {
   std::uint32_t sequence = 0;
-  std::string of;
+  std::string target;
   /// Digest of the sender's member table; 0 in an ack that is passed on.
   std::uint64_t digest = 0;
   /// Start of the process that answered, Unix time in microseconds.
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -136,7 +136,7 @@
   const auto ack = body_of<wire::Ack>("peers_ack.hex");
 
   EXPECT_EQ(ack.sequence, 71'003u);
-  EXPECT_EQ(ack.of, "router-f");
+  EXPECT_EQ(ack.target, "router-f");
   EXPECT_EQ(ack.digest, 0x99aabbccddeeff01u);
   EXPECT_EQ(ack.start, 1764683799999999u);
 }
@@ -144,7 +144,7 @@
 TEST(Formats, WritesAnAckAsBefore) {
   wire::Ack ack;
   ack.sequence = 71'003;
-  ack.of = "router-f";
+  ack.target = "router-f";
   ack.digest = 0x99aabbccddeeff01;
   ack.start = 1764683799999999;
 
