--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -98,7 +98,7 @@
 }
 
 void Membership::handle(const Fact&, const wire::Nack& nack) {
-  if (probe_ && probe_->sequence == nack.sequence && probe_->name == nack.of)
+  if (probe_ && probe_->sequence == nack.sequence && probe_->name == nack.target)
     ++probe_->helpers_answered;
 }
 
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -91,7 +91,7 @@
                       },
                       [&](const Nack& message) {
                         out.mutable_nack()->set_sequence(message.sequence);
-                        out.mutable_nack()->set_of(message.of);
+                        out.mutable_nack()->set_of(message.target);
                       },
                       [&](const Sync& message) {
                         for (const auto one : message.buckets)
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -34,10 +34,10 @@
   /// Start of the process that answered, Unix time in microseconds.
   std::uint64_t start = 0;
 };
-/// Reports that the member `of` did not answer the recipient's request in time.
+/// Reports that the member `target` did not answer the recipient's request in time.
 struct Nack {
   std::uint32_t sequence = 0;
-  std::string of;
+  std::string target;
 };
 /// An anti-entropy exchange: the recipient sends the facts of each bucket whose hash differs from its own.
 struct Sync {
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -155,13 +155,13 @@
   const auto nack = body_of<wire::Nack>("peers_nack.hex");
 
   EXPECT_EQ(nack.sequence, 71'004u);
-  EXPECT_EQ(nack.of, "router-g");
+  EXPECT_EQ(nack.target, "router-g");
 }
 
 TEST(Formats, WritesANackAsBefore) {
   wire::Nack nack;
   nack.sequence = 71'004;
-  nack.of = "router-g";
+  nack.target = "router-g";
 
   expect_written(packet_with(nack), "peers_nack.hex");
 }
