--- a/src/peers/membership/receiving.cpp
+++ b/src/peers/membership/receiving.cpp
@@ -103,7 +103,7 @@
 }
 
 void Membership::handle(const Fact& sender, const wire::Sync& sync) {
-  if (!sync.answer && syncs_answered_ >= limits::max_syncs_answered) {
+  if (!sync.is_reply && syncs_answered_ >= limits::max_syncs_answered) {
     ++counters_.syncs_refused;
     return;
   }
@@ -112,7 +112,7 @@
   for (std::size_t at = 0; at < own_buckets.size(); ++at)
     if (own_buckets[at] != sync.buckets[at])
       differing.push_back(at);
-  if (!sync.answer) {
+  if (!sync.is_reply) {
     ++syncs_answered_;
     send_sync(sender.address, true);
   } else if (!std::exchange(sync_sent_, false)) {
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -96,7 +96,7 @@
                       [&](const Sync& message) {
                         for (const auto one : message.buckets)
                           out.mutable_sync()->add_buckets(one);
-                        out.mutable_sync()->set_answer(message.answer);
+                        out.mutable_sync()->set_answer(message.is_reply);
                       },
                       [&](const Payload& message) {
                         out.mutable_payload()->set_topic(message.topic);
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -43,7 +43,7 @@
 struct Sync {
   std::vector<std::uint32_t> buckets;
   /// Whether this is the reply to a Sync and expects none.
-  bool answer = false;
+  bool is_reply = false;
 };
 /// No body, facts only.
 struct Facts {};
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -178,13 +178,13 @@
   const auto sync = body_of<wire::Sync>("peers_sync.hex");
 
   EXPECT_EQ(sync.buckets, buckets());
-  EXPECT_TRUE(sync.answer);
+  EXPECT_TRUE(sync.is_reply);
 }
 
 TEST(Formats, WritesASyncAsBefore) {
   wire::Sync sync;
   sync.buckets = buckets();
-  sync.answer = true;
+  sync.is_reply = true;
 
   expect_written(packet_with(sync), "peers_sync.hex");
 }
