--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -53,15 +53,15 @@
   ++counters.received;
   wire::Packet packet;
   switch (wire::decode(bytes, packet, counters.facts_left_out)) {
-    case wire::Fault::none:
+    case wire::DecodeError::none:
       break;
-    case wire::Fault::unreadable:
+    case wire::DecodeError::unreadable:
       ++counters.unreadable;
       return;
-    case wire::Fault::version:
+    case wire::DecodeError::version:
       ++counters.unknown_version;
       return;
-    case wire::Fault::bad_field:
+    case wire::DecodeError::bad_field:
       ++counters.bad_field;
       return;
   }
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -133,29 +133,29 @@
   return out.SerializeAsString();
 }
 
-Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out) {
+DecodeError decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out) {
   if (bytes.size() > limits::max_plain_bytes)
-    return Fault::unreadable;
+    return DecodeError::unreadable;
   google::protobuf::Arena arena;
   auto& in = *google::protobuf::Arena::CreateMessage<pb::Packet>(&arena);
   if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-    return Fault::unreadable;
+    return DecodeError::unreadable;
   if (in.version() != version)
-    return Fault::version;
+    return DecodeError::version;
   const bool payload = in.has_payload();  // its sender has no site or address, to leave room for the content
   auto& sender = packet.sender;
   if (payload) {
     sender = {in.sender().name(), "", "", in.sender().start(), in.sender().incarnation(),
               Standing::alive,    ""};
     if (!membership::valid_name(sender.name))
-      return Fault::bad_field;
+      return DecodeError::bad_field;
   } else if (!from_proto(in.sender(), sender)) {
-    return Fault::bad_field;
+    return DecodeError::bad_field;
   }
   sender.standing = Standing::alive;
   sender.reported_by.clear();
   if (!from_proto(in, packet.body))
-    return Fault::bad_field;
+    return DecodeError::bad_field;
   packet.facts.clear();
   for (const auto& one : in.facts()) {
     Fact fact;
@@ -164,7 +164,7 @@
     else
       ++facts_left_out;
   }
-  return Fault::none;
+  return DecodeError::none;
 }
 
 }  // namespace lemonroute::peers::wire
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -65,13 +65,13 @@
 };
 
 /// Why a datagram was not decoded: not parsable or too long, an unknown version, or a field out of bounds.
-enum class Fault { none, unreadable, version, bad_field };
+enum class DecodeError { none, unreadable, version, bad_field };
 
 /// Encodes a packet with as many facts, from the front, as fit into limits::max_plain_bytes; `facts_encoded`
 /// receives their number.
 std::string encode(const Packet& packet, std::size_t* facts_encoded = nullptr);
 /// Decodes a packet. Invalid facts are left out and counted in `facts_left_out`.
-Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out);
+DecodeError decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out);
 /// Upper bound of a fact's size in a packet, in bytes.
 std::size_t max_encoded_bytes(const Fact& fact);
 
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -50,7 +50,7 @@
 wire::Packet packet_of(const std::string& fixture) {
   wire::Packet packet;
   std::uint64_t left_out = 0;
-  EXPECT_EQ(wire::decode(binary_fixture(fixture), packet, left_out), wire::Fault::none);
+  EXPECT_EQ(wire::decode(binary_fixture(fixture), packet, left_out), wire::DecodeError::none);
   EXPECT_EQ(left_out, 0u);
   return packet;
 }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -207,7 +207,7 @@
     EXPECT_LE(bytes.size(), limits::max_plain_bytes);
     wire::Packet decoded;
     std::uint64_t left_out = 0;
-    ASSERT_EQ(wire::decode(bytes, decoded, left_out), wire::Fault::none);
+    ASSERT_EQ(wire::decode(bytes, decoded, left_out), wire::DecodeError::none);
     EXPECT_EQ(decoded.body.index(), body.index());
     EXPECT_EQ(decoded.facts.size(), encoded_facts);
     EXPECT_EQ(left_out, 0u);
@@ -234,7 +234,7 @@
     if (random.below(4) == 0)
       bytes.resize(random.below(bytes.size()));
     wire::Packet decoded;
-    if (wire::decode(bytes, decoded, left_out) != wire::Fault::none) {
+    if (wire::decode(bytes, decoded, left_out) != wire::DecodeError::none) {
       ++refused;
       continue;
     }
@@ -245,7 +245,7 @@
   EXPECT_GT(refused, 0u);
   const auto good = wire::encode(packet_with(wire::Facts{}, 0));
   wire::Packet decoded;
-  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), decoded, left_out), wire::Fault::version);
+  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), decoded, left_out), wire::DecodeError::version);
   for (const auto& bad :
        {fact(""), fact("with blank"), fact(std::string(65, 'x')), fact("\xff\xfe"), fact("a", ~0ull),
         fact("a", 0, Standing::alive, ~0ull), fact("a", 0, Standing::alive, start_us, "nowhere"),
@@ -253,7 +253,7 @@
     wire::Packet packet = packet_with(wire::Facts{}, 1);
     packet.facts.push_back(bad);
     left_out = 0;
-    EXPECT_EQ(wire::decode(wire::encode(packet), decoded, left_out), wire::Fault::none);
+    EXPECT_EQ(wire::decode(wire::encode(packet), decoded, left_out), wire::DecodeError::none);
     EXPECT_EQ(decoded.facts.size(), 1u);
     EXPECT_EQ(left_out, 1u) << bad.name << " " << bad.address;
   }
