--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -58,7 +58,7 @@
     case wire::DecodeError::unreadable:
       ++counters.unreadable;
       return;
-    case wire::DecodeError::version:
+    case wire::DecodeError::unknown_version:
       ++counters.unknown_version;
       return;
     case wire::DecodeError::bad_field:
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -141,7 +141,7 @@
   if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return DecodeError::unreadable;
   if (in.version() != version)
-    return DecodeError::version;
+    return DecodeError::unknown_version;
   const bool payload = in.has_payload();  // its sender has no site or address, to leave room for the content
   auto& sender = packet.sender;
   if (payload) {
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -65,7 +65,7 @@
 };
 
 /// Why a datagram was not decoded: not parsable or too long, an unknown version, or a field out of bounds.
-enum class DecodeError { none, unreadable, version, bad_field };
+enum class DecodeError { none, unreadable, unknown_version, bad_field };
 
 /// Encodes a packet with as many facts, from the front, as fit into limits::max_plain_bytes; `facts_encoded`
 /// receives their number.
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -245,7 +245,7 @@
   EXPECT_GT(refused, 0u);
   const auto good = wire::encode(packet_with(wire::Facts{}, 0));
   wire::Packet decoded;
-  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), decoded, left_out), wire::DecodeError::version);
+  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), decoded, left_out), wire::DecodeError::unknown_version);
   for (const auto& bad :
        {fact(""), fact("with blank"), fact(std::string(65, 'x')), fact("\xff\xfe"), fact("a", ~0ull),
         fact("a", 0, Standing::alive, ~0ull), fact("a", 0, Standing::alive, start_us, "nowhere"),
