--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -8,7 +8,7 @@
 
 namespace lemonroute::peers {
 
-Agent::Impl::Impl(Options agent_options, std::uint64_t seed)
+Agent::Impl::Impl(AgentOptions agent_options, std::uint64_t seed)
     : options(agent_options), members(std::move(agent_options), seed) {}
 
 void Agent::Impl::send(Topic topic, std::string_view to, std::string bytes) {
@@ -29,7 +29,8 @@
     logging::warn() << "peers: " << notice;
 }
 
-Agent::Agent(Options options, std::uint64_t seed) : impl_(std::make_unique<Impl>(std::move(options), seed)) {}
+Agent::Agent(AgentOptions options, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(options), seed)) {}
 Agent::~Agent() = default;
 
 void Agent::add(Extension& extension) {
--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -23,7 +23,7 @@
 };
 
 /// Settings of an agent.
-struct Options {
+struct AgentOptions {
   /// Name and site of this router.
   std::string name, site;
   /// Address to which other routers send.
@@ -45,7 +45,7 @@
   static constexpr std::size_t max_datagram_bytes = 1232;
 
   /// `seed` determines all random choices.
-  Agent(Options options, std::uint64_t seed);
+  Agent(AgentOptions options, std::uint64_t seed);
   ~Agent();
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
--- a/src/peers/agent_impl.h
+++ b/src/peers/agent_impl.h
@@ -8,7 +8,7 @@
 
 /// State of an agent; the outbox of its extensions.
 struct Agent::Impl : Outbox {
-  Impl(Options options, std::uint64_t seed);
+  Impl(AgentOptions options, std::uint64_t seed);
 
   void send(Topic topic, std::string_view to, std::string bytes) override;
   /// Passes a changed view to the extensions: at most ten times a period, unless `always`.
@@ -18,7 +18,7 @@
   /// The JSON document of Agent::describe().
   nlohmann::json describe(Micros now) const;
 
-  Options options;
+  AgentOptions options;
   mutable membership::Membership members;
   std::vector<Extension*> extensions;
   Micros now{}, published_at{};
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -26,7 +26,7 @@
 class Membership {
  public:
   /// `seed` determines all random choices.
-  Membership(Options options, std::uint64_t seed);
+  Membership(AgentOptions options, std::uint64_t seed);
 
   /// Adds this router to its table and schedules the first tick.
   void start(Micros now);
@@ -106,7 +106,7 @@
     return options_.start + static_cast<std::uint64_t>((now_ - started_).count());
   }
 
-  Options options_;
+  AgentOptions options_;
   Random random_;
   Micros now_{}, started_{}, next_tick_ = Micros::max();
   std::uint64_t tick_ = 0, period_ends_ = 0, periods_ = 0;
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-Membership::Membership(Options options, std::uint64_t seed)
+Membership::Membership(AgentOptions options, std::uint64_t seed)
     : options_(std::move(options)),
       random_(seed),
       table_(std::max<std::size_t>(options_.most_members, 2)),
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -90,7 +90,7 @@
     return secret;
   }
   // The agent's options, with the address that is known once the socket is bound.
-  const peers::Options& agent_options() {
+  const peers::AgentOptions& agent_options() {
     auto& address = options_.agent.address;
     if (address.empty())
       address = with_port(options_.listen, port_of(socket_->address()));
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -23,7 +23,7 @@
   /// Settings of a service.
   struct Options {
     /// Settings of the agent. An empty address stands for the listening address.
-    peers::Options agent;
+    peers::AgentOptions agent;
     /// Address to listen on.
     std::string listen;
     /// The previous process still listens on `listen`, in an upgrade. Then this process advertises a free
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -92,7 +92,7 @@
   node.frozen = false;
   node.buffered.clear();
   node.wake_at = Micros::max();
-  Options options;
+  AgentOptions options;
   options.name = node.name;
   options.site = node.site;
   options.address = node.address;
