--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -35,7 +35,7 @@
   /// Protocol period, in which one member is probed; 20 ms or more.
   Micros period = std::chrono::seconds(1);
   /// Maximum number of members; further ones are counted and left out.
-  std::size_t most_members = 4096;
+  std::size_t max_members = 4096;
 };
 
 /// The peer protocol of one router. Not thread-safe; times passed in must not go back.
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -12,7 +12,7 @@
 Membership::Membership(AgentOptions options, std::uint64_t seed)
     : options_(std::move(options)),
       random_(seed),
-      table_(std::max<std::size_t>(options_.most_members, 2)),
+      table_(std::max<std::size_t>(options_.max_members, 2)),
       self_(
           {options_.name, options_.site, options_.address, options_.start, 0, Standing::alive, options_.name},
           options_.period),
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -99,7 +99,7 @@
   options.start =
       start_unix_us + static_cast<std::uint64_t>((local_time(member) + Micros(node.process)).count());
   options.period = settings_.period;
-  options.most_members = settings_.max_members;
+  options.max_members = settings_.max_members;
   for (std::size_t at = 0; at < std::min(settings_.seed_members, nodes_.size()); ++at)
     options.seeds.push_back(nodes_[at]->address);
   node.agent = std::make_unique<Agent>(options, settings_.seed * 1'000'003 + member * 1009 + node.process);
