--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -101,7 +101,7 @@
   impl_->publish_view(true);
 }
 
-std::vector<Datagram> Agent::take() {
+std::vector<Datagram> Agent::take_datagrams() {
   return impl_->members.take_datagrams();
 }
 
--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -63,7 +63,7 @@
   /// Tells other routers that this one leaves, and ends the protocol.
   void leave(Micros now);
   /// Removes and returns the datagrams to send, in their order.
-  std::vector<Datagram> take();
+  std::vector<Datagram> take_datagrams();
 
   /// What this router knows of the others; its contents change with the next call.
   const View& view() const;
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -186,7 +186,7 @@
   }
 
   void send() {
-    for (const auto& datagram : agent_.take()) {
+    for (const auto& datagram : agent_.take_datagrams()) {
       if (datagram.bytes.size() > seal::max_plain_bytes) {
         ++too_long_;
         continue;
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -249,7 +249,7 @@
 
 void Simulation::send_outgoing(std::size_t member) {
   Node& node = *nodes_[member];
-  for (auto& datagram : node.agent->take())
+  for (auto& datagram : node.agent->take_datagrams())
     transmit(member, std::move(datagram));
   schedule_wake(member);
 }
