--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -33,7 +33,7 @@
     : impl_(std::make_unique<Impl>(std::move(options), seed)) {}
 Agent::~Agent() = default;
 
-void Agent::add(Extension& extension) {
+void Agent::add_extension(Extension& extension) {
   impl_->extensions.push_back(&extension);
 }
 
--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -51,7 +51,7 @@
   Agent& operator=(const Agent&) = delete;
 
   /// Adds an extension, which must outlive the agent. To be called before start().
-  void add(Extension& extension);
+  void add_extension(Extension& extension);
   /// Starts the protocol.
   void start(Micros now);
   /// Handles the plaintext of an authentic datagram.
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -58,7 +58,7 @@
         read_pause_(loop_, [this] { resume(); }),
         bind_retry_(loop_, [this] { bind_configured_address(); }) {
     for (Extension* extension : extensions)
-      agent_.add(*extension);
+      agent_.add_extension(*extension);
   }
 
   std::unique_ptr<Udp> open(const std::string& address) {
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -106,7 +106,7 @@
   if (extension_factory_)
     node.extensions = extension_factory_(member);
   for (auto& extension : node.extensions)
-    node.agent->add(*extension);
+    node.agent->add_extension(*extension);
   node.agent->start(local_time(member));
   send_outgoing(member);
 }
