--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -21,7 +21,7 @@
   published_version = members.version();
   published_at = now;
   for (Extension* extension : extensions)
-    extension->viewed(now, members.view(now));
+    extension->on_view_change(now, members.view(now));
 }
 
 void Agent::Impl::log_notices() {
--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -33,7 +33,7 @@
   /// The topic of its payloads.
   virtual Topic topic() const = 0;
   /// The view has changed. The first of these calls precedes all other calls.
-  virtual void viewed(Micros now, const View& view) = 0;
+  virtual void on_view_change(Micros now, const View& view) = 0;
   /// Handles a payload. The sender holds the fleet's key, but the contents may be false. An unreadable
   /// payload must be counted and dropped.
   virtual void receive(Micros now, std::string_view from, std::string_view bytes, Outbox& out) = 0;
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -44,7 +44,7 @@
   std::uint64_t version() const { return version_; }  // grows with each other rights()
 
   peers::Topic topic() const override { return peers::Topic::pools; }
-  void viewed(Micros now, const peers::View& view) override;
+  void on_view_change(Micros now, const peers::View& view) override;
   void receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) override;
   void run_due(Micros now, peers::Outbox& out) override;
   Micros next_due() const override;
--- a/src/pools/extension/pools.cpp
+++ b/src/pools/extension/pools.cpp
@@ -58,7 +58,7 @@
   keeps_ = on;
 }
 
-void Pools::viewed(Micros now, const peers::View& view) {
+void Pools::on_view_change(Micros now, const peers::View& view) {
   view_ = view;
   if (!started_) {
     started_ = true;
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -121,7 +121,7 @@
   changed_ = true;
 }
 
-void Tiers::viewed(Micros, const peers::View& view) {
+void Tiers::on_view_change(Micros, const peers::View& view) {
   members_.clear();
   for (const auto& member : view.members)
     if (member.there())
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -33,7 +33,7 @@
   std::shared_ptr<const Map> map() const { return map_; }
 
   peers::Topic topic() const override { return peers::Topic::tiers; }
-  void viewed(Micros now, const peers::View& view) override;
+  void on_view_change(Micros now, const peers::View& view) override;
   void receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) override;
   void run_due(Micros now, peers::Outbox& out) override;
   Micros next_due() const override { return due_; }
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -138,7 +138,7 @@
     FleetView::NodeOverlay overlay(const Node&) const { return {true, Micros(0), Micros::max()}; }
   };
   peers::Topic topic() const override { return peers::Topic::tiers; }
-  void viewed(Micros, const peers::View& view) override {
+  void on_view_change(Micros, const peers::View& view) override {
     for (const auto& member : view.members)
       if (member.name != view.me)
         other_router = member.name;
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -246,7 +246,7 @@
 TEST_P(FailureCase, extension_payloads_arrive_by_member_name_after_the_first_view) {
   struct QuestionExtension : Extension {
     Topic topic() const override { return Topic::pools; }
-    void viewed(Micros, const View& view) override { members_seen = view.there(); }
+    void on_view_change(Micros, const View& view) override { members_seen = view.there(); }
     void receive(Micros, std::string_view from, std::string_view bytes, Outbox& out) override {
       EXPECT_GT(members_seen, 0u);
       ++received;
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -248,7 +248,7 @@
   view.members.emplace_back();
   view.members[0].name = one.name;
   view.members[0].start = one.start + 1;
-  one.pools->viewed(one.local(), view);
+  one.pools->on_view_change(one.local(), view);
   EXPECT_EQ(one.pools->describe(one.local())["keeper"]["on"], false);
 }
 
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -217,7 +217,7 @@
     if (alive == one.seen_as_alive)
       return;
     one.seen_as_alive = alive;
-    one.pools->viewed(one.local(), view);
+    one.pools->on_view_change(one.local(), view);
   }
   void look() {
     for (auto& one : processes)
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -54,7 +54,7 @@
       member.standing = part_[i] == part_[j] && !dead_[j] ? peers::Standing::alive : peers::Standing::gone;
       view.members.push_back(member);
     }
-    extensions_[i]->viewed(now_, view);
+    extensions_[i]->on_view_change(now_, view);
   }
 }
 
