--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -20,7 +20,7 @@
  public:
   virtual ~Outbox() = default;
   /// Maximum size of a payload in bytes; a longer one is dropped and counted.
-  static constexpr std::size_t most = 1000;
+  static constexpr std::size_t max_payload_bytes = 1000;
   /// Sends a payload to a member by its name. Dropped if the view does not have that member; arrival is not
   /// reported.
   virtual void send(Topic topic, std::string_view to, std::string bytes) = 0;
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -91,7 +91,7 @@
 
 void Membership::send_payload(Topic topic, std::string_view to, std::string bytes) {
   const Entry* entry = table_.find(to);
-  if (left_ || !entry || entry->fact.name == self_.fact().name || bytes.size() > Outbox::most ||
+  if (left_ || !entry || entry->fact.name == self_.fact().name || bytes.size() > Outbox::max_payload_bytes ||
       payloads_sent_ >= limits::max_payloads) {
     ++counters_.payloads_dropped;
     return;
--- a/src/peers/wire/packet.cpp
+++ b/src/peers/wire/packet.cpp
@@ -64,7 +64,7 @@
       return true;
     case pb::Packet::kPayload:
       body = Payload{in.payload().topic(), in.payload().content()};
-      return in.payload().content().size() <= Outbox::most;
+      return in.payload().content().size() <= Outbox::max_payload_bytes;
     case pb::Packet::BODY_NOT_SET:
       break;
   }
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -73,7 +73,7 @@
     put(entry, now, known);
     const std::size_t size = known.ByteSizeLong() + 3;  // its tag and length
     // The outer message's own length takes a byte more once it is long.
-    if (to && used + size + 2 > peers::Outbox::most)
+    if (to && used + size + 2 > peers::Outbox::max_payload_bytes)
       end();
     if (!to) {
       payload.Clear();
@@ -93,7 +93,7 @@
 
 Read read(std::string_view bytes, std::uint64_t mark, std::size_t regions, Micros now) {
   v1::Payload payload;
-  if (bytes.size() > peers::Outbox::most ||
+  if (bytes.size() > peers::Outbox::max_payload_bytes ||
       !payload.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return {std::nullopt, Fault::unreadable};
   if (payload.version() != version)
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -41,7 +41,7 @@
 // `mark`: of this router's settings; `regions`: how many it knows. Never throws.
 Read read(std::string_view bytes, std::uint64_t mark, std::size_t regions, Micros now);
 
-// One payload, or several where entries need them; each within peers::Outbox::most.
+// One payload, or several where entries need them; each within peers::Outbox::max_payload_bytes.
 std::vector<std::string> write(const Message& message, std::uint64_t mark, Micros now);
 
 }  // namespace lemonroute::pools::wire
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -29,7 +29,7 @@
     return std::nullopt;
   };
   v1::Payload from;
-  if (bytes.size() > peers::Outbox::most)
+  if (bytes.size() > peers::Outbox::max_payload_bytes)
     return bad("oversize");
   if (!from.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return bad("unreadable");
@@ -105,7 +105,7 @@
     return true;
   const auto cost =
       2 + 9 + 1 + varint(generation.start) + (generation.lanes ? 1 + varint(generation.lanes) : 0);
-  if (bytes + cost > peers::Outbox::most || payload.devices_size() == most_devices)
+  if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() == most_devices)
     return false;
   bytes += cost;
   devices[device] = static_cast<std::uint32_t>(payload.devices_size());
@@ -126,7 +126,7 @@
     cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint(holder.generation.start) +
             (holder.generation.lanes ? 1 + varint(holder.generation.lanes) : 0);
   const auto room = static_cast<int>(line.holders.size());
-  if (bytes + cost > peers::Outbox::most || payload.devices_size() + room > most_devices ||
+  if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() + room > most_devices ||
       payload.contributors_size() + room > most_devices)
     return false;
   auto* row = payload.add_rows();
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -257,7 +257,7 @@
       due_at = now + 1s;
       out.send(Topic::pools, "c0", "question");
       out.send(Topic::pools, "nobody", "question");
-      out.send(Topic::pools, "c0", std::string(Outbox::most + 1, 'x'));
+      out.send(Topic::pools, "c0", std::string(Outbox::max_payload_bytes + 1, 'x'));
     }
     Micros next_due() const override { return due_at; }
     nlohmann::json describe(Micros) const override { return {{"received", received}}; }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -197,7 +197,7 @@
           wire::Ack{9, "of", 98},
           wire::Nack{10, "of"},
           wire::Sync{std::vector<std::uint32_t>(limits::digest_buckets, ~0u), true},
-          wire::Payload{1, std::string(Outbox::most, '\xff')}};
+          wire::Payload{1, std::string(Outbox::max_payload_bytes, '\xff')}};
 }
 
 TEST(Wire, decodes_what_was_encoded_within_the_datagram_size) {
@@ -215,7 +215,7 @@
   // The longest name leaves room for the longest payload.
   wire::Packet longest{fact(std::string(limits::max_name_bytes, 'n'), limits::max_incarnation,
                             Standing::alive, limits::max_start_us),
-                       wire::Payload{~0u, std::string(Outbox::most, 'x')},
+                       wire::Payload{~0u, std::string(Outbox::max_payload_bytes, 'x')},
                        {}};
   longest.sender.site.clear();
   longest.sender.address.clear();
--- a/tests/pools/parts_test.cpp
+++ b/tests/pools/parts_test.cpp
@@ -90,7 +90,7 @@
     }
     std::vector<wire::Entry> got;
     for (auto payload : wire::write(grant, 9, now)) {
-      ASSERT_LE(payload.size(), peers::Outbox::most);
+      ASSERT_LE(payload.size(), peers::Outbox::max_payload_bytes);
       const auto read = wire::read(payload, 9, 4, now);
       ASSERT_TRUE(read.message);
       const auto& one = std::get<wire::Grant>(*read.message);
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -185,7 +185,7 @@
     ++payloads;
     digest.add(now, from.name, to, payload);
     bytes += payload.size();
-    if (payload.size() > peers::Outbox::most)
+    if (payload.size() > peers::Outbox::max_payload_bytes)
       broken = "a payload of " + std::to_string(payload.size()) + " bytes";
     for (auto& one : processes) {
       if (one->name != to || !linked(from, *one) || static_cast<double>(rng() % 1000) < loss * 1000)
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -157,7 +157,7 @@
       lines.push_back(line);
     }
     const auto bytes = packer.bytes(random());
-    ASSERT_LE(bytes.size(), peers::Outbox::most);
+    ASSERT_LE(bytes.size(), peers::Outbox::max_payload_bytes);
     EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the bound on its length is not wasteful
     const char* why = "";
     const auto payload = read(bytes, std::chrono::seconds(1000), why);
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -63,7 +63,7 @@
   bytes_out_[from] += bytes.size();
   digest_.add(now_, from, j, bytes);
   const auto draw = [&] { return static_cast<double>(random_() >> 11) * 0x1p-53; };
-  if (j >= size() || part_[from] != part_[j] || bytes.size() > peers::Outbox::most)
+  if (j >= size() || part_[from] != part_[j] || bytes.size() > peers::Outbox::max_payload_bytes)
     return;
   const auto shared = std::make_shared<const std::string>(std::move(bytes));
   for (int copies = draw() < options_.repeat ? 2 : 1; copies > 0; --copies) {
