--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -72,7 +72,7 @@
 
 json Agent::Impl::describe(Micros now) const {
   const View& view = members.view(now);
-  json document{{"me", view.me},
+  json document{{"me", view.own_name},
                 {"version", view.version},
                 {"period_ms", view.period.count() / 1000},
                 {"known", view.known},
--- a/src/peers/membership/view/view_builder.cpp
+++ b/src/peers/membership/view/view_builder.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 ViewBuilder::ViewBuilder(std::string me, Micros period) {
-  view_.me = std::move(me);
+  view_.own_name = std::move(me);
   view_.period = period;
 }
 
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -56,7 +56,7 @@
   /// The protocol period, the unit of the protocol's timeouts.
   Micros period{};
   /// Name of this router.
-  std::string me;
+  std::string own_name;
   /// All members by name, this router included; gone ones stay for a bounded time.
   std::vector<Member> members;
   /// Number of remembered members without those that left.
@@ -67,7 +67,7 @@
   /// The member of a name, or null.
   const Member* find(std::string_view name) const;
   /// This router's own entry, or null.
-  const Member* self() const { return find(me); }
+  const Member* self() const { return find(own_name); }
   /// Number of members that are alive or suspected, this router included.
   std::uint32_t there() const;
 };
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -140,7 +140,7 @@
   peers::Topic topic() const override { return peers::Topic::tiers; }
   void on_view_change(Micros, const peers::View& view) override {
     for (const auto& member : view.members)
-      if (member.name != view.me)
+      if (member.name != view.own_name)
         other_router = member.name;
   }
   void receive(Micros, std::string_view, std::string_view bytes, peers::Outbox&) override {
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -399,7 +399,7 @@
         return differs(node->name + " still sees " + other->name);
       const Member* reference = first->find(other->name);
       if (other->agent && (reference->start != seen->start || reference->incarnation != seen->incarnation))
-        return differs(node->name + " has other facts of " + other->name + " than " + first->me);
+        return differs(node->name + " has other facts of " + other->name + " than " + first->own_name);
     }
     if (view.there() != running)
       return differs(node->name + " sees " + std::to_string(view.there()) + " of " + std::to_string(running));
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -244,7 +244,7 @@
   one.pools->keep(true, one.local());
   EXPECT_EQ(one.pools->describe(one.local())["keeper"]["abstains"], true);
   peers::View view;
-  view.me = one.name;
+  view.own_name = one.name;
   view.members.emplace_back();
   view.members[0].name = one.name;
   view.members[0].start = one.start + 1;
--- a/tests/pools/world.h
+++ b/tests/pools/world.h
@@ -199,7 +199,7 @@
   void show(Process& one) {
     peers::View view;
     view.version = ++versions;
-    view.me = one.name;
+    view.own_name = one.name;
     std::vector<std::string> alive;
     for (auto& other : processes) {
       peers::Member member;
--- a/tests/tiers/net.cpp
+++ b/tests/tiers/net.cpp
@@ -45,7 +45,7 @@
     if (dead_[i])
       continue;
     peers::View view;
-    view.me = name(i);
+    view.own_name = name(i);
     for (const auto j : by_name) {
       peers::Member member;
       member.name = name(j);
