--- a/src/guide/router_count_estimator.cpp
+++ b/src/guide/router_count_estimator.cpp
@@ -18,7 +18,7 @@
     peaks_.pop_back();
   peaks_.push_back({now, present});
 
-  const auto expected = std::max(view.known, limits_.stated);
+  const auto expected = std::max(view.known_count, limits_.stated);
   const bool sees_majority = !view.minority_since && std::uint64_t{2} * present > expected;
   const Micros hold_time = view.period * static_cast<Micros::rep>(limits_.periods);
   if (sees_majority) {
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -75,7 +75,7 @@
   json document{{"me", view.own_name},
                 {"version", view.version},
                 {"period_ms", view.period.count() / 1000},
-                {"known", view.known},
+                {"known", view.known_count},
                 {"there", view.there()},
                 {"local_health", members.health_score()},
                 {"superseded", members.superseded()},
--- a/src/peers/membership/view/view_builder.cpp
+++ b/src/peers/membership/view/view_builder.cpp
@@ -30,7 +30,7 @@
   view_.minority_since = minority_since_;
   if (table_version_ != table.version()) {
     table_version_ = view_.version = table.version();
-    view_.known = static_cast<std::uint32_t>(table.live_count() + table.gone_count());
+    view_.known_count = static_cast<std::uint32_t>(table.live_count() + table.gone_count());
     view_.members.clear();
     view_.members.reserve(table.entries().size());
     for (const auto& [name, entry] : table.entries())
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -60,7 +60,7 @@
   /// All members by name, this router included; gone ones stay for a bounded time.
   std::vector<Member> members;
   /// Number of remembered members without those that left.
-  std::uint32_t known = 1;
+  std::uint32_t known_count = 1;
   /// Since when this router has seen less than half of the known members live; nothing otherwise.
   std::optional<Micros> minority_since;
 
--- a/tests/guide/router_count_estimator_test.cpp
+++ b/tests/guide/router_count_estimator_test.cpp
@@ -15,7 +15,7 @@
 peers::View view(std::uint32_t present, std::uint32_t known, bool minority = false) {
   peers::View view;
   view.period = seconds(1);
-  view.known = known;
+  view.known_count = known;
   view.members.resize(std::max(present, known));
   for (std::size_t i = present; i < view.members.size(); ++i)
     view.members[i].standing = peers::Standing::gone;
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -57,7 +57,7 @@
   EXPECT_NE(gone.by, "");
   EXPECT_NE(gone.by, simulation.name(1));
   EXPECT_LT(gone.since, simulation.local_time(0));
-  EXPECT_EQ(simulation.agent(0).view().known, members.size());
+  EXPECT_EQ(simulation.agent(0).view().known_count, members.size());
 }
 
 TEST_P(FailureCase, frozen_member_is_given_up_and_holds_nobody_gone_after_it_resumes) {
@@ -148,7 +148,7 @@
   simulation.leave(1);
   simulation.run_periods(3);
   EXPECT_EQ(seen(0, 1).standing, Standing::left);
-  EXPECT_EQ(simulation.agent(0).view().known, members.size() - 1);
+  EXPECT_EQ(simulation.agent(0).view().known_count, members.size() - 1);
   expect_convergence();
 }
 
