--- a/src/guide/router_count_estimator.cpp
+++ b/src/guide/router_count_estimator.cpp
@@ -5,7 +5,7 @@
 namespace lemonroute::guide {
 
 std::uint32_t RouterCountEstimator::update(Micros now, const peers::View& view) {
-  const std::uint32_t present = std::max<std::uint32_t>(1, view.there());
+  const std::uint32_t present = std::max<std::uint32_t>(1, view.live_count());
   if (peaks_.empty())
     peaks_.push_back({now, limits_.stated});
   // The previous count held until now, so that a late call doesn't count as periods with fewer routers.
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -76,7 +76,7 @@
                 {"version", view.version},
                 {"period_ms", view.period.count() / 1000},
                 {"known", view.known_count},
-                {"there", view.there()},
+                {"there", view.live_count()},
                 {"local_health", members.health_score()},
                 {"superseded", members.superseded()},
                 {"counters", counters_json(members.counters())}};
--- a/src/peers/view.cpp
+++ b/src/peers/view.cpp
@@ -11,7 +11,7 @@
   return at != members.end() && at->name == name ? &*at : nullptr;
 }
 
-std::uint32_t View::there() const {
+std::uint32_t View::live_count() const {
   return static_cast<std::uint32_t>(
       std::count_if(members.begin(), members.end(), [](auto& m) { return m.there(); }));
 }
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -69,7 +69,7 @@
   /// This router's own entry, or null.
   const Member* self() const { return find(own_name); }
   /// Number of members that are alive or suspected, this router included.
-  std::uint32_t there() const;
+  std::uint32_t live_count() const;
 };
 
 }  // namespace lemonroute::peers
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -91,7 +91,7 @@
   for (const auto member : site) {
     ASSERT_TRUE(simulation.agent(member).view().minority_since);
     EXPECT_LT(*simulation.agent(member).view().minority_since, simulation.local_time(member));
-    EXPECT_EQ(simulation.agent(member).view().there(), site.size());
+    EXPECT_EQ(simulation.agent(member).view().live_count(), site.size());
   }
   for (const auto member : rest)
     EXPECT_FALSE(simulation.agent(member).view().minority_since);
@@ -246,7 +246,7 @@
 TEST_P(FailureCase, extension_payloads_arrive_by_member_name_after_the_first_view) {
   struct QuestionExtension : Extension {
     Topic topic() const override { return Topic::pools; }
-    void on_view_change(Micros, const View& view) override { members_seen = view.there(); }
+    void on_view_change(Micros, const View& view) override { members_seen = view.live_count(); }
     void receive(Micros, std::string_view from, std::string_view bytes, Outbox& out) override {
       EXPECT_GT(members_seen, 0u);
       ++received;
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -401,8 +401,9 @@
       if (other->agent && (reference->start != seen->start || reference->incarnation != seen->incarnation))
         return differs(node->name + " has other facts of " + other->name + " than " + first->own_name);
     }
-    if (view.there() != running)
-      return differs(node->name + " sees " + std::to_string(view.there()) + " of " + std::to_string(running));
+    if (view.live_count() != running)
+      return differs(node->name + " sees " + std::to_string(view.live_count()) + " of " +
+                     std::to_string(running));
   }
   return true;
 }
