--- a/src/peers/view.cpp
+++ b/src/peers/view.cpp
@@ -13,7 +13,7 @@
 
 std::uint32_t View::live_count() const {
   return static_cast<std::uint32_t>(
-      std::count_if(members.begin(), members.end(), [](auto& m) { return m.there(); }));
+      std::count_if(members.begin(), members.end(), [](auto& m) { return m.is_live(); }));
 }
 
 }  // namespace lemonroute::peers
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -44,7 +44,7 @@
   /// Whether other routers reach it and this one does not.
   bool unreachable_from_here = false;
   /// Whether it is alive or suspected.
-  bool there() const { return standing == Standing::alive || standing == Standing::suspected; }
+  bool is_live() const { return standing == Standing::alive || standing == Standing::suspected; }
 };
 
 /// The members that a router knows, itself included.
--- a/src/pools/extension/planners.cpp
+++ b/src/pools/extension/planners.cpp
@@ -8,7 +8,7 @@
 namespace {
 bool there(const std::string& name, const peers::View& view) {
   const auto* member = view.find(name);
-  return member && member->there() && !member->unreachable_from_here;
+  return member && member->is_live() && !member->unreachable_from_here;
 }
 }  // namespace
 
--- a/src/pools/extension/pools.cpp
+++ b/src/pools/extension/pools.cpp
@@ -43,7 +43,7 @@
 std::size_t Pools::routers_of(RegionId region) const {
   return static_cast<std::size_t>(
       std::count_if(view_.members.begin(), view_.members.end(), [&](auto& member) {
-        return member.there() && !member.unreachable_from_here && region_of(member.site) == region;
+        return member.is_live() && !member.unreachable_from_here && region_of(member.site) == region;
       }));
 }
 
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -124,7 +124,7 @@
 void Tiers::on_view_change(Micros, const peers::View& view) {
   members_.clear();
   for (const auto& member : view.members)
-    if (member.there())
+    if (member.is_live())
       members_.push_back(member.name);
   const auto moved = site_.viewed(view);
   const auto has = [&](KeyId key) {
--- a/src/tiers/names/homes.cpp
+++ b/src/tiers/names/homes.cpp
@@ -10,7 +10,7 @@
   std::vector<NameId> ids;
   std::vector<std::uint64_t> starts;
   for (const auto& member : view.members) {
-    if (!member.there() || !in(member))
+    if (!member.is_live() || !in(member))
       continue;
     members_.push_back(member.name);
     ids.push_back(names_.of(member.name));
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -185,7 +185,7 @@
   simulation.partition({0}, {1}, true);
   const auto marked_unreachable = simulation.run_until([&] { return seen(0, 1).unreachable_from_here; }, 200);
   EXPECT_TRUE(marked_unreachable);
-  EXPECT_TRUE(seen(0, 1).there());
+  EXPECT_TRUE(seen(0, 1).is_live());
   EXPECT_FALSE(seen(2, 1).unreachable_from_here);
   simulation.heal_all();
   EXPECT_TRUE(simulation.run_until([&] { return !seen(0, 1).unreachable_from_here; }, 100));
--- a/tests/peers/measure_main.cpp
+++ b/tests/peers/measure_main.cpp
@@ -40,7 +40,7 @@
 
 bool holds_gone(const Simulation& simulation, std::size_t observer, std::size_t subject) {
   const Member* seen = simulation.agent(observer).view().find(simulation.name(subject));
-  return seen && !seen->there();
+  return seen && !seen->is_live();
 }
 
 void loss(int seeds) {
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -393,9 +393,9 @@
       first = &view;
     for (const auto& other : nodes_) {
       const Member* seen = view.find(other->name);
-      if (other->agent && !(seen && seen->there() && seen->address == other->address))
+      if (other->agent && !(seen && seen->is_live() && seen->address == other->address))
         return differs(node->name + " does not see " + other->name);
-      if (!other->agent && seen && seen->there())
+      if (!other->agent && seen && seen->is_live())
         return differs(node->name + " still sees " + other->name);
       const Member* reference = first->find(other->name);
       if (other->agent && (reference->start != seen->start || reference->incarnation != seen->incarnation))
@@ -415,7 +415,7 @@
       continue;
     for (const Member& member : node->agent->view().members) {
       const auto other = find(member.name);
-      if (!member.there() && other < nodes_.size() && nodes_[other]->agent)
+      if (!member.is_live() && other < nodes_.size() && nodes_[other]->agent)
         ++count;
     }
   }
