--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -61,7 +61,7 @@
                 {"start", member.start},
                 {"incarnation", member.incarnation},
                 {"standing", name_of(member.standing)},
-                {"since_ms", ms_since(now, member.since)},
+                {"since_ms", ms_since(now, member.standing_since)},
                 {"by", member.by},
                 {"unreachable_from_here", member.unreachable_from_here}};
   document["heard_ms"] = member.last_heard ? json(ms_since(now, *member.last_heard)) : json(nullptr);
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -36,7 +36,7 @@
   /// Its state.
   Standing standing = Standing::alive;
   /// Since when it has that standing, on this router's clock.
-  Micros since{};
+  Micros standing_since{};
   /// Router that first reported the standing, as far as is known.
   std::string by;
   /// When this router last heard from it directly.
