--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -62,7 +62,7 @@
                 {"incarnation", member.incarnation},
                 {"standing", name_of(member.standing)},
                 {"since_ms", ms_since(now, member.standing_since)},
-                {"by", member.by},
+                {"by", member.reported_by},
                 {"unreachable_from_here", member.unreachable_from_here}};
   document["heard_ms"] = member.last_heard ? json(ms_since(now, *member.last_heard)) : json(nullptr);
   return document;
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -38,7 +38,7 @@
   /// Since when it has that standing, on this router's clock.
   Micros standing_since{};
   /// Router that first reported the standing, as far as is known.
-  std::string by;
+  std::string reported_by;
   /// When this router last heard from it directly.
   std::optional<Micros> last_heard;
   /// Whether other routers reach it and this one does not.
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -54,8 +54,8 @@
   EXPECT_LE(*converged_after, 20);
   const Member& gone = seen(0, 1);
   EXPECT_EQ(gone.standing, Standing::gone);
-  EXPECT_NE(gone.by, "");
-  EXPECT_NE(gone.by, simulation.name(1));
+  EXPECT_NE(gone.reported_by, "");
+  EXPECT_NE(gone.reported_by, simulation.name(1));
   EXPECT_LT(gone.standing_since, simulation.local_time(0));
   EXPECT_EQ(simulation.agent(0).view().known_count, members.size());
 }
