--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -33,7 +33,7 @@
       updates_wake_(loop, [this] { take_updates(); }),
       router_count_estimator_(options.siblings),
       service_(std::make_unique<peers::Service>(std::move(options.service), clock, extensions_of(bindings_),
-                                                static_cast<peers::Service::Desk&>(*this))) {
+                                                static_cast<peers::Service::Delegate&>(*this))) {
   for (const auto& binding : bindings_)
     if (binding.observer)
       observers_.push_back(binding.observer.get());
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -21,7 +21,7 @@
 namespace lemonroute::guide {
 
 /// Runs the peers' service. Constructed, used and destroyed on the serving loop's thread.
-class Fleet final : peers::Service::Desk {
+class Fleet final : peers::Service::Delegate {
  public:
   struct Options {
     peers::Service::Options service;
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -43,11 +43,11 @@
 
 struct Service::Impl {
   Impl(Service& service, Options options, const Clock& clock, const std::vector<Extension*>& extensions,
-       Desk& desk)
+       Delegate& delegate)
       : service_(service),
         options_(std::move(options)),
         clock_(clock),
-        desk_(desk),
+        delegate_(delegate),
         socket_(bind_socket()),
         sealer_(options_.keys.at(0), {random_u64(), options_.agent.start}),
         opener_(options_.keys, max_senders),
@@ -135,7 +135,7 @@
   }
   void handle_wake() {
     const Micros now = clock_.now();
-    desk_.woken(now);
+    delegate_.woken(now);
     if (service_.ending_) {
       agent_.leave(now);
       send();
@@ -215,14 +215,14 @@
     const Micros now = clock_.now();
     if (const auto line = refusals_.take_log_line(now))
       logging::warn() << *line;
-    desk_.round(now, service_);
-    due_.start(std::min(agent_.next_due(), desk_.next_due()) - now);
+    delegate_.round(now, service_);
+    due_.start(std::min(agent_.next_due(), delegate_.next_due()) - now);
   }
 
   Service& service_;
   Options options_;
   const Clock& clock_;
-  Desk& desk_;
+  Delegate& delegate_;
   net::Loop loop_;
   bool on_temporary_port_ = false;
   std::unique_ptr<Udp> socket_, configured_socket_;
@@ -239,8 +239,9 @@
   std::unordered_map<std::string, std::string> address_overrides_;  // by the member's own address
 };
 
-Service::Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk)
-    : impl_(std::make_unique<Impl>(*this, std::move(options), clock, extensions, desk)) {}
+Service::Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions,
+                 Delegate& delegate)
+    : impl_(std::make_unique<Impl>(*this, std::move(options), clock, extensions, delegate)) {}
 
 Service::~Service() {
   ending_ = true;
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -35,9 +35,9 @@
     std::map<std::string, std::string> via;
   };
   /// Further work on the service's thread.
-  class Desk {
+  class Delegate {
    public:
-    virtual ~Desk() = default;
+    virtual ~Delegate() = default;
     /// Called after wake(). Calls to wake() may be merged, and the call may come early.
     virtual void woken(Micros now) = 0;
     /// Called after each event that may have changed something.
@@ -46,9 +46,9 @@
     virtual Micros next_due() const = 0;
   };
 
-  /// All references must outlive the service. Once it is started, it uses the extensions and the desk only on
-  /// its own thread. Throws std::runtime_error if the address is in use.
-  Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk);
+  /// All references must outlive the service. Once it is started, it uses the extensions and the delegate
+  /// only on its own thread. Throws std::runtime_error if the address is in use.
+  Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Delegate& delegate);
   /// Tells other routers that this one leaves, and ends the thread.
   ~Service();
   Service(const Service&) = delete;
@@ -56,7 +56,7 @@
 
   /// Starts the thread.
   void start();
-  /// Causes a call of Desk::woken(). May be called from any thread; never waits.
+  /// Causes a call of Delegate::woken(). May be called from any thread; never waits.
   void wake();
   /// Whether the thread has ended because of an exception.
   bool failed() const { return failed_; }
