--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -50,7 +50,7 @@
   return std::make_shared<const std::string>("{\"failed\":true}\n");
 }
 
-void Fleet::woken(Micros) {
+void Fleet::on_wake(Micros) {
   node_events_.deliver(observers_);
 }
 
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -54,7 +54,7 @@
   };
 
   // On the peers' thread.
-  void woken(Micros now) override;
+  void on_wake(Micros now) override;
   void round(Micros now, const peers::Service& service) override;
   Micros next_due() const override { return next_round_at_; }
   // Both return whether latest_ has changed.
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -135,7 +135,7 @@
   }
   void handle_wake() {
     const Micros now = clock_.now();
-    delegate_.woken(now);
+    delegate_.on_wake(now);
     if (service_.ending_) {
       agent_.leave(now);
       send();
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -39,7 +39,7 @@
    public:
     virtual ~Delegate() = default;
     /// Called after wake(). Calls to wake() may be merged, and the call may come early.
-    virtual void woken(Micros now) = 0;
+    virtual void on_wake(Micros now) = 0;
     /// Called after each event that may have changed something.
     virtual void round(Micros now, const Service& service) = 0;
     /// When to call round() if no event comes first.
@@ -56,7 +56,7 @@
 
   /// Starts the thread.
   void start();
-  /// Causes a call of Delegate::woken(). May be called from any thread; never waits.
+  /// Causes a call of Delegate::on_wake(). May be called from any thread; never waits.
   void wake();
   /// Whether the thread has ended because of an exception.
   bool failed() const { return failed_; }
