--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -54,7 +54,7 @@
   node_events_.deliver(observers_);
 }
 
-void Fleet::round(Micros now, const peers::Service& service) {
+void Fleet::on_update(Micros now, const peers::Service& service) {
   node_events_.deliver(observers_);
   const bool view_changed = refresh_view(now, service), status_changed = refresh_status(now, service);
   if (view_changed || status_changed || unsent_) {
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -55,7 +55,7 @@
 
   // On the peers' thread.
   void on_wake(Micros now) override;
-  void round(Micros now, const peers::Service& service) override;
+  void on_update(Micros now, const peers::Service& service) override;
   Micros next_due() const override { return next_round_at_; }
   // Both return whether latest_ has changed.
   bool refresh_view(Micros now, const peers::Service& service);
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -128,7 +128,7 @@
       agent_.start(clock_.now());
       if (on_temporary_port_)
         bind_retry_.start(bind_retry_interval);
-      round();
+      update();
     });
     if (!service_.failed_)
       loop_.run();
@@ -142,13 +142,13 @@
       loop_.stop();
       return;
     }
-    round();
+    update();
   }
   void run_due() {
     const Micros now = clock_.now();
     if (agent_.next_due() <= now)
       agent_.run_due(now);
-    round();
+    update();
   }
 
   bool handle_datagram(const std::string& from, std::string_view bytes) {
@@ -167,9 +167,9 @@
       rate_limiter_.record_authentic(now, from);
       ++opened_;
       agent_.receive(now, from, *plain);
-      // A timer merges the rounds of all datagrams read together. A deferred job of the loop would not do: it
-      // would run once more when the loop is destroyed.
-      if (!std::exchange(round_due_, true))
+      // A timer merges the updates of all datagrams read together. A deferred job of the loop would not do:
+      // it would run once more when the loop is destroyed.
+      if (!std::exchange(update_due_, true))
         due_.start(Micros(0));
       return true;
     }
@@ -209,13 +209,13 @@
         address_overrides_[member->address] = address;
     return address_overrides_;
   }
-  void round() {
-    round_due_ = false;
+  void update() {
+    update_due_ = false;
     send();
     const Micros now = clock_.now();
     if (const auto line = refusals_.take_log_line(now))
       logging::warn() << *line;
-    delegate_.round(now, service_);
+    delegate_.on_update(now, service_);
     due_.start(std::min(agent_.next_due(), delegate_.next_due()) - now);
   }
 
@@ -234,7 +234,7 @@
   Wake wake_;
   net::Timer due_, read_pause_, bind_retry_;
   std::uint64_t opened_ = 0, sent_ = 0, unsent_ = 0, too_long_ = 0;
-  bool round_due_ = false;
+  bool update_due_ = false;
   std::uint64_t overrides_version_ = ~std::uint64_t{0};
   std::unordered_map<std::string, std::string> address_overrides_;  // by the member's own address
 };
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -41,8 +41,8 @@
     /// Called after wake(). Calls to wake() may be merged, and the call may come early.
     virtual void on_wake(Micros now) = 0;
     /// Called after each event that may have changed something.
-    virtual void round(Micros now, const Service& service) = 0;
-    /// When to call round() if no event comes first.
+    virtual void on_update(Micros now, const Service& service) = 0;
+    /// When to call on_update() if no event comes first.
     virtual Micros next_due() const = 0;
   };
 
