--- a/src/cli/limits.cpp
+++ b/src/cli/limits.cpp
@@ -55,7 +55,7 @@
   service.agent.seeds = peers.seeds;
   service.agent.period = peers.period;
   service.listen = peers.listen;
-  service.beside_another = platform.socket.has_value();
+  service.previous_process_listening = platform.socket.has_value();
   service.keys = peers.keys;
   service.via = peers.via;
   options.siblings.stated = platform.settings.router_count;
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -74,7 +74,7 @@
     try {
       return open(options_.listen);
     } catch (const std::runtime_error&) {
-      if (!options_.beside_another)
+      if (!options_.previous_process_listening)
         throw;
     }
     auto socket = open(with_port(options_.listen, "0"));
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -28,7 +28,7 @@
     std::string listen;
     /// The previous process still listens on `listen`, in an upgrade. Then this process advertises a free
     /// port of that address and also receives on `listen` once the previous process has closed it.
-    bool beside_another = false;
+    bool previous_process_listening = false;
     /// Keys of the fleet: the first one seals, any of them opens.
     std::vector<seal::Key> keys;
     /// By a peer's name: the address to which its datagrams are sent instead of its own.
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -39,7 +39,7 @@
     fleet_options.service.agent.seeds = std::move(seeds);
     fleet_options.service.agent.period = milliseconds(40);
     fleet_options.service.listen = std::move(listen);
-    fleet_options.service.beside_another = predecessor_running;
+    fleet_options.service.previous_process_listening = predecessor_running;
     fleet_options.service.keys = std::move(keys);
     return fleet_options;
   }
