--- a/src/cli/limits.cpp
+++ b/src/cli/limits.cpp
@@ -57,7 +57,7 @@
   service.listen = peers.listen;
   service.previous_process_listening = platform.socket.has_value();
   service.keys = peers.keys;
-  service.via = peers.via;
+  service.address_overrides = peers.via;
   options.siblings.stated = platform.settings.router_count;
   options.siblings.least = static_cast<std::uint32_t>(peers.siblings_least);
   options.siblings.most = static_cast<std::uint32_t>(peers.siblings_most);
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -201,10 +201,10 @@
   }
   const std::unordered_map<std::string, std::string>& address_overrides() {
     const View& view = agent_.view();
-    if (options_.via.empty() || std::exchange(overrides_version_, view.version) == view.version)
+    if (options_.address_overrides.empty() || std::exchange(overrides_version_, view.version) == view.version)
       return address_overrides_;
     address_overrides_.clear();
-    for (const auto& [name, address] : options_.via)
+    for (const auto& [name, address] : options_.address_overrides)
       if (const auto* member = view.find(name))
         address_overrides_[member->address] = address;
     return address_overrides_;
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -32,7 +32,7 @@
     /// Keys of the fleet: the first one seals, any of them opens.
     std::vector<seal::Key> keys;
     /// By a peer's name: the address to which its datagrams are sent instead of its own.
-    std::map<std::string, std::string> via;
+    std::map<std::string, std::string> address_overrides;
   };
   /// Further work on the service's thread.
   class Delegate {
