--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -61,14 +61,15 @@
       agent_.add_extension(*extension);
   }
 
-  std::unique_ptr<Udp> open(const std::string& address) {
-    return std::make_unique<Udp>(loop_, address, seal::max_sealed_bytes, [this](auto& from, auto bytes) {
-      bool more = true;
-      end_on_exception([&] { more = handle_datagram(from, bytes); });
-      return more;
-    });
+  std::unique_ptr<UdpSocket> open(const std::string& address) {
+    return std::make_unique<UdpSocket>(loop_, address, seal::max_sealed_bytes,
+                                       [this](auto& from, auto bytes) {
+                                         bool more = true;
+                                         end_on_exception([&] { more = handle_datagram(from, bytes); });
+                                         return more;
+                                       });
   }
-  std::unique_ptr<Udp> bind_socket() {
+  std::unique_ptr<UdpSocket> bind_socket() {
     if (sodium_init() < 0)
       throw std::runtime_error("peers: libsodium could not be initialized");
     try {
@@ -225,7 +226,7 @@
   Delegate& delegate_;
   net::Loop loop_;
   bool on_temporary_port_ = false;
-  std::unique_ptr<Udp> socket_, configured_socket_;
+  std::unique_ptr<UdpSocket> socket_, configured_socket_;
   seal::Sealer sealer_;
   seal::Opener opener_;
   seal::RateLimiter rate_limiter_;
--- a/src/peers/udp.cpp
+++ b/src/peers/udp.cpp
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-Udp::Udp(net::Loop& loop, const std::string& address, std::size_t max_bytes, OnDatagram on_datagram)
+UdpSocket::UdpSocket(net::Loop& loop, const std::string& address, std::size_t max_bytes,
+                     OnDatagram on_datagram)
     : max_bytes_(max_bytes), on_datagram_(std::move(on_datagram)), buffer_(max_bytes + 1, '\0') {
   const net::SocketAddress at(address);
   fd_ = socket(at.address()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -43,27 +44,27 @@
   }
   event_.reset(event_new(
       loop.base(), fd_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Udp*>(self)->on_readable(); }, this));
+      [](evutil_socket_t, short, void* self) { static_cast<UdpSocket*>(self)->on_readable(); }, this));
   resume();
 }
 
-Udp::~Udp() {
+UdpSocket::~UdpSocket() {
   event_.reset();
   close(fd_);
 }
 
-std::string Udp::address() const {
+std::string UdpSocket::address() const {
   sockaddr_storage at{};
   socklen_t length = sizeof at;
   getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &length);
   return address_text(at);
 }
 
-void Udp::resume() {
+void UdpSocket::resume() {
   event_add(event_.get(), nullptr);
 }
 
-void Udp::on_readable() {
+void UdpSocket::on_readable() {
   for (int i = 0; i < max_reads_per_event; ++i) {
     sockaddr_storage from{};
     socklen_t length = sizeof from;
@@ -78,7 +79,7 @@
   }
 }
 
-bool Udp::send(const std::string& to, std::string_view bytes) {
+bool UdpSocket::send(const std::string& to, std::string_view bytes) {
   try {
     const net::SocketAddress at(to);
     return sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, at.address(),
--- a/src/peers/udp.h
+++ b/src/peers/udp.h
@@ -11,17 +11,17 @@
 namespace lemonroute::peers {
 
 /// A bound, non-blocking UDP socket.
-class Udp {
+class UdpSocket {
  public:
   /// Called for each datagram. False: stop reading until resume(), and leave further datagrams in the
   /// kernel's buffer.
   using OnDatagram = std::function<bool(const std::string& from, std::string_view bytes)>;
   /// Binds to `address`; throws std::runtime_error if that fails. A datagram longer than `max_bytes` is
   /// passed on truncated to max_bytes + 1.
-  Udp(net::Loop& loop, const std::string& address, std::size_t max_bytes, OnDatagram on_datagram);
-  ~Udp();
-  Udp(const Udp&) = delete;
-  Udp& operator=(const Udp&) = delete;
+  UdpSocket(net::Loop& loop, const std::string& address, std::size_t max_bytes, OnDatagram on_datagram);
+  ~UdpSocket();
+  UdpSocket(const UdpSocket&) = delete;
+  UdpSocket& operator=(const UdpSocket&) = delete;
 
   /// The bound address, with the port that the kernel chose if the given one was 0.
   std::string address() const;
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -113,7 +113,7 @@
 TEST_F(FleetTest, invalid_and_replayed_datagrams_are_counted_and_change_nothing_else) {
   Router one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
   ASSERT_TRUE(eventually([&] { return one.present_routers() == 2; }));
-  peers::Udp stranger(loop, "127.0.0.1:0", 2000, [](auto&, auto) { return true; });
+  peers::UdpSocket stranger(loop, "127.0.0.1:0", 2000, [](auto&, auto) { return true; });
   peers::seal::Sealer sealer(test_key(1), {1, 1});
   const auto sealed = sealer.seal("no packet");
   auto forged = sealer.seal("forged");
