--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -13,7 +13,7 @@
 #include "peers/seal/rate_limiter.h"
 #include "peers/seal/refusal_counters.h"
 #include "peers/seal/seal.h"
-#include "peers/udp.h"
+#include "peers/udp_socket.h"
 #include "peers/wake.h"
 
 namespace lemonroute::peers {
--- a/src/peers/udp.cpp
+++ b/src/peers/udp_socket.cpp
@@ -1,4 +1,4 @@
-#include "peers/udp.h"
+#include "peers/udp_socket.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "peers/seal/seal.h"
-#include "peers/udp.h"
+#include "peers/udp_socket.h"
 
 namespace lemonroute::guide {
 namespace {
