--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -69,7 +69,7 @@
   std::vector<NodeObserver*> observers_;
   NodeEventQueue node_events_;
   boost::lockfree::spsc_queue<Update> updates_;
-  peers::Wake updates_wake_;
+  peers::LoopWaker updates_wake_;
   std::shared_ptr<const FleetView> view_;
   std::shared_ptr<const std::string> status_;
 
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -232,7 +232,7 @@
   seal::RateLimiter rate_limiter_;
   seal::RefusalCounters refusals_;
   Agent agent_;
-  Wake wake_;
+  LoopWaker wake_;
   net::Timer due_, read_pause_, bind_retry_;
   std::uint64_t opened_ = 0, sent_ = 0, unsent_ = 0, too_long_ = 0;
   bool update_due_ = false;
--- a/src/peers/wake.h
+++ b/src/peers/wake.h
@@ -9,13 +9,13 @@
 namespace lemonroute::peers {
 
 /// Runs a callback on a loop when another thread asks for it.
-class Wake {
+class LoopWaker {
  public:
   /// `on_wake` runs on the loop. Throws std::runtime_error if no descriptor is available.
-  Wake(net::Loop& loop, std::function<void()> on_wake);
-  ~Wake();
-  Wake(const Wake&) = delete;
-  Wake& operator=(const Wake&) = delete;
+  LoopWaker(net::Loop& loop, std::function<void()> on_wake);
+  ~LoopWaker();
+  LoopWaker(const LoopWaker&) = delete;
+  LoopWaker& operator=(const LoopWaker&) = delete;
 
   /// Wakes the loop; may be called from any thread. Calls made before the loop runs are merged into one.
   void ring();
