--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -15,8 +15,8 @@
 #include "guide/combined_fleet_view.h"
 #include "guide/node_event_queue.h"
 #include "guide/router_count_estimator.h"
+#include "peers/loop_waker.h"
 #include "peers/service.h"
-#include "peers/wake.h"
 
 namespace lemonroute::guide {
 
--- a/src/peers/wake.cpp
+++ b/src/peers/loop_waker.cpp
@@ -1,4 +1,4 @@
-#include "peers/wake.h"
+#include "peers/loop_waker.h"
 
 #include <sys/eventfd.h>
 #include <unistd.h>
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -10,11 +10,11 @@
 #include <unordered_map>
 
 #include "base/log.h"
+#include "peers/loop_waker.h"
 #include "peers/seal/rate_limiter.h"
 #include "peers/seal/refusal_counters.h"
 #include "peers/seal/seal.h"
 #include "peers/udp_socket.h"
-#include "peers/wake.h"
 
 namespace lemonroute::peers {
 namespace {
