--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -59,7 +59,7 @@
   const bool view_changed = refresh_view(now, service), status_changed = refresh_status(now, service);
   if (view_changed || status_changed || unsent_) {
     unsent_ = !updates_.push(latest_);
-    updates_wake_.ring();
+    updates_wake_.wake();
   }
   std::erase_if(published_, [](const auto& object) { return object.use_count() == 1; });
   next_round_at_ = std::min(next_status_at_, now + poll_interval);
--- a/src/peers/loop_waker.cpp
+++ b/src/peers/loop_waker.cpp
@@ -23,7 +23,7 @@
   close(fd_);
 }
 
-void LoopWaker::ring() {
+void LoopWaker::wake() {
   if (pending_.exchange(true))
     return;
   const std::uint64_t one = 1;
--- a/src/peers/loop_waker.h
+++ b/src/peers/loop_waker.h
@@ -18,7 +18,7 @@
   LoopWaker& operator=(const LoopWaker&) = delete;
 
   /// Wakes the loop; may be called from any thread. Calls made before the loop runs are merged into one.
-  void ring();
+  void wake();
 
  private:
   void on_readable();
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -261,7 +261,7 @@
 }
 
 void Service::wake() {
-  impl_->wake_.ring();
+  impl_->wake_.wake();
 }
 const View& Service::view() const {
   return impl_->agent_.view();
