--- a/src/cli/limits.cpp
+++ b/src/cli/limits.cpp
@@ -44,9 +44,9 @@
   return options;
 }
 
-guide::Fleet::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
-                                    Micros now) {
-  guide::Fleet::Options options;
+guide::FleetBridge::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
+                                          Micros now) {
+  guide::FleetBridge::Options options;
   auto& service = options.service;
   service.agent.name = platform.name;
   service.agent.site = peers.site;
--- a/src/cli/limits.h
+++ b/src/cli/limits.h
@@ -17,7 +17,7 @@
                                   std::size_t parts);  // one of so many equal parts
 std::unique_ptr<NodeTransport> make_nodes(net::Loop& loop, const config::Platform& platform, bool grpc);
 http::Front::Options front_options(const config::Platform& platform, const config::Operator& settings);
-guide::Fleet::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
-                                    Micros now);
+guide::FleetBridge::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
+                                          Micros now);
 
 }  // namespace lemonroute::cli
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -80,7 +80,7 @@
       logging::info() << "agent-check on " << settings.agent_check_listen;
     }
     if (settings.peers) {
-      fleet_ = std::make_unique<guide::Fleet>(
+      fleet_ = std::make_unique<guide::FleetBridge>(
           loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()),
           std::vector<guide::Binding>{}, [this](auto newer) { router_.set_fleet_view(std::move(newer)); });
       router_.set_node_observer(&fleet_->observer());
@@ -268,7 +268,7 @@
   net::Signal term_, interrupt_, hang_up_;
   std::unique_ptr<Grpc> grpc_;
   std::unique_ptr<ops::AgentCheck> agent_;
-  std::unique_ptr<guide::Fleet> fleet_;  // none where peers are off
+  std::unique_ptr<guide::FleetBridge> fleet_;  // none where peers are off
   ops::Reloads reloads_;
   std::unique_ptr<ops::Handover> handover_;
   std::unique_ptr<ops::Management> management_;
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-Fleet::Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
-             ViewCallback on_view)
+FleetBridge::FleetBridge(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
+                         ViewCallback on_view)
     : on_view_(std::move(on_view)),
       bindings_(std::move(bindings)),
       node_events_([this] { service_->wake(); }),
@@ -40,21 +40,21 @@
   service_->start();
 }
 
-Fleet::~Fleet() {
+FleetBridge::~FleetBridge() {
   service_.reset();
 }
 
-std::shared_ptr<const std::string> Fleet::text() const {
+std::shared_ptr<const std::string> FleetBridge::text() const {
   if (!service_->failed())
     return status_;
   return std::make_shared<const std::string>("{\"failed\":true}\n");
 }
 
-void Fleet::on_wake(Micros) {
+void FleetBridge::on_wake(Micros) {
   node_events_.deliver(observers_);
 }
 
-void Fleet::on_update(Micros now, const peers::Service& service) {
+void FleetBridge::on_update(Micros now, const peers::Service& service) {
   node_events_.deliver(observers_);
   const bool view_changed = refresh_view(now, service), status_changed = refresh_status(now, service);
   if (view_changed || status_changed || unsent_) {
@@ -67,7 +67,7 @@
     next_round_at_ = std::min(next_round_at_, next_view_at_);
 }
 
-bool Fleet::refresh_view(Micros now, const peers::Service& service) {
+bool FleetBridge::refresh_view(Micros now, const peers::Service& service) {
   const auto router_count = router_count_estimator_.update(now, service.view());
   CombinedFleetView::Views views;
   for (const auto& binding : bindings_)
@@ -86,7 +86,7 @@
   return true;
 }
 
-bool Fleet::refresh_status(Micros now, const peers::Service& service) {
+bool FleetBridge::refresh_status(Micros now, const peers::Service& service) {
   if (latest_.status && now < next_status_at_)
     return false;
   next_status_at_ =
@@ -100,7 +100,7 @@
   return true;
 }
 
-void Fleet::take_updates() {
+void FleetBridge::take_updates() {
   Update update;
   bool received = false;
   while (updates_.pop(update))
--- a/src/guide/fleet.h
+++ b/src/guide/fleet.h
@@ -21,7 +21,7 @@
 namespace lemonroute::guide {
 
 /// Runs the peers' service. Constructed, used and destroyed on the serving loop's thread.
-class Fleet final : peers::Service::Delegate {
+class FleetBridge final : peers::Service::Delegate {
  public:
   struct Options {
     peers::Service::Options service;
@@ -31,10 +31,10 @@
   using ViewCallback = std::function<void(std::shared_ptr<const FleetView>)>;
   /// Starts the service's thread. `loop` and `clock` must outlive this object. Throws if the service's
   /// address is taken.
-  Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
-        ViewCallback on_view);
+  FleetBridge(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
+              ViewCallback on_view);
   /// Tells the other routers that this one leaves, and ends the service's thread.
-  ~Fleet() override;
+  ~FleetBridge() override;
 
   /// Shortest time between two new views.
   static constexpr std::chrono::milliseconds min_view_interval{10};
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -29,10 +29,10 @@
       : fleet(loop, clock,
               options(clock, name, std::move(seeds), std::move(keys), std::move(listen), predecessor_running),
               std::move(bindings), [this](auto view) { counted_routers = view->router_count(); }) {}
-  static Fleet::Options options(const Clock& clock, const std::string& name, std::vector<std::string> seeds,
-                                std::vector<peers::seal::Key> keys, std::string listen,
-                                bool predecessor_running) {
-    Fleet::Options fleet_options;
+  static FleetBridge::Options options(const Clock& clock, const std::string& name,
+                                      std::vector<std::string> seeds, std::vector<peers::seal::Key> keys,
+                                      std::string listen, bool predecessor_running) {
+    FleetBridge::Options fleet_options;
     fleet_options.service.agent.name = name;
     fleet_options.service.agent.site.assign(1, 'a');
     fleet_options.service.agent.start = static_cast<std::uint64_t>(clock.now().count());
@@ -52,7 +52,7 @@
   }
   int present_routers() const { return status().value("there", 0); }
   std::uint32_t counted_routers = 0;
-  Fleet fleet;
+  FleetBridge fleet;
 };
 
 struct FleetTest : testing::Test {
@@ -170,10 +170,10 @@
     return bindings;
   };
   std::shared_ptr<const FleetView> newest_view;
-  Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), make_bindings(),
-            [](auto) {});
-  Fleet two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false),
-            make_bindings(), [&](auto view) { newest_view = std::move(view); });
+  FleetBridge one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), make_bindings(),
+                  [](auto) {});
+  FleetBridge two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false),
+                  make_bindings(), [&](auto view) { newest_view = std::move(view); });
   ASSERT_TRUE(eventually([&] { return newest_view && newest_view->router_count() == 2; }));
   Node node;
   node.id = 4;
