--- a/src/cli/limits.h
+++ b/src/cli/limits.h
@@ -6,7 +6,7 @@
 
 #include "config/operator.h"
 #include "config/platform.h"
-#include "guide/fleet.h"
+#include "guide/fleet_bridge.h"
 #include "http/front.h"
 #include "net/loop.h"
 
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet_bridge.cpp
@@ -1,4 +1,4 @@
-#include "guide/fleet.h"
+#include "guide/fleet_bridge.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_test.cpp
@@ -1,13 +1,12 @@
 // Fleets of routers with real sockets and peers' threads, all on one serving loop. The tests wait for
 // conditions, never for a fixed time.
-#include "guide/fleet.h"
-
 #include <gtest/gtest.h>
 
 #include <atomic>
 #include <nlohmann/json.hpp>
 #include <random>
 
+#include "guide/fleet_bridge.h"
 #include "peers/seal/seal.h"
 #include "peers/udp_socket.h"
 
