--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -91,7 +91,7 @@
     if (!management.empty()) {
       ops::Management::Fleet fleet;
       if (fleet_)
-        fleet = [this] { return fleet_->text(); };
+        fleet = [this] { return fleet_->status_json(); };
       management_ = std::make_unique<ops::Management>(
           loop_, management, router_, status_, [this] { return reloads_; }, std::move(fleet));
       logging::info() << "management on " << management;
--- a/src/guide/fleet_bridge.cpp
+++ b/src/guide/fleet_bridge.cpp
@@ -44,7 +44,7 @@
   service_.reset();
 }
 
-std::shared_ptr<const std::string> FleetBridge::text() const {
+std::shared_ptr<const std::string> FleetBridge::status_json() const {
   if (!service_->failed())
     return status_;
   return std::make_shared<const std::string>("{\"failed\":true}\n");
--- a/src/guide/fleet_bridge.h
+++ b/src/guide/fleet_bridge.h
@@ -43,7 +43,7 @@
   NodeObserver& observer() { return node_events_; }
   /// Returns the status of peers and extensions as JSON, which may be a moment old: null until the peers'
   /// thread has made the first, and {"failed":true} once that thread has failed.
-  std::shared_ptr<const std::string> text() const;
+  std::shared_ptr<const std::string> status_json() const;
   /// Returns the address at which the service receives datagrams, as IP:PORT.
   const std::string& address() const { return service_->address(); }
 
--- a/tests/guide/fleet_bridge_test.cpp
+++ b/tests/guide/fleet_bridge_test.cpp
@@ -1,12 +1,13 @@
 // Fleets of routers with real sockets and peers' threads, all on one serving loop. The tests wait for
 // conditions, never for a fixed time.
+#include "guide/fleet_bridge.h"
+
 #include <gtest/gtest.h>
 
 #include <atomic>
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "guide/fleet_bridge.h"
 #include "peers/seal/seal.h"
 #include "peers/udp_socket.h"
 
@@ -43,7 +44,7 @@
     return fleet_options;
   }
   nlohmann::json status() const {
-    return fleet.text() ? nlohmann::json::parse(*fleet.text()) : nlohmann::json::object();
+    return fleet.status_json() ? nlohmann::json::parse(*fleet.status_json()) : nlohmann::json::object();
   }
   std::uint64_t refused_datagrams(const char* reason) const {
     const auto json = status();
