--- a/src/guide/fleet_bridge.cpp
+++ b/src/guide/fleet_bridge.cpp
@@ -31,7 +31,7 @@
       node_events_([this] { service_->wake(); }),
       updates_(update_ring_capacity),
       updates_wake_(loop, [this] { take_updates(); }),
-      router_count_estimator_(options.siblings),
+      router_count_estimator_(options.router_count),
       service_(std::make_unique<peers::Service>(std::move(options.service), clock, extensions_of(bindings_),
                                                 static_cast<peers::Service::Delegate&>(*this))) {
   for (const auto& binding : bindings_)
--- a/src/guide/fleet_bridge.h
+++ b/src/guide/fleet_bridge.h
@@ -25,7 +25,7 @@
  public:
   struct Options {
     peers::Service::Options service;
-    RouterCountEstimator::Limits siblings;  ///< limits of the number of routers
+    RouterCountEstimator::Limits router_count;  ///< limits of the number of routers
   };
   /// Called on the serving loop with each newer view.
   using ViewCallback = std::function<void(std::shared_ptr<const FleetView>)>;
