--- a/src/guide/router_count_estimator.cpp
+++ b/src/guide/router_count_estimator.cpp
@@ -7,7 +7,7 @@
 std::uint32_t RouterCountEstimator::update(Micros now, const peers::View& view) {
   const std::uint32_t present = std::max<std::uint32_t>(1, view.live_count());
   if (peaks_.empty())
-    peaks_.push_back({now, limits_.stated});
+    peaks_.push_back({now, limits_.configured});
   // The previous count held until now, so that a late call doesn't count as periods with fewer routers.
   if (previous_count_ > 0)
     for (auto& peak : peaks_)
@@ -18,7 +18,7 @@
     peaks_.pop_back();
   peaks_.push_back({now, present});
 
-  const auto expected = std::max(view.known_count, limits_.stated);
+  const auto expected = std::max(view.known_count, limits_.configured);
   const bool sees_majority = !view.minority_since && std::uint64_t{2} * present > expected;
   const Micros hold_time = view.period * static_cast<Micros::rep>(limits_.periods);
   if (sees_majority) {
--- a/src/guide/router_count_estimator.h
+++ b/src/guide/router_count_estimator.h
@@ -22,7 +22,7 @@
 class RouterCountEstimator {
  public:
   struct Limits {
-    std::uint32_t stated = 1;  ///< router count of the settings; it holds until views have replaced it
+    std::uint32_t configured = 1;  ///< router count of the settings; it holds until views have replaced it
     std::uint32_t least = 1, most = 100'000;  ///< bounds of the estimate
     std::uint32_t periods = 30;               ///< periods without a larger view before the estimate falls
   };
