--- a/src/cli/limits.cpp
+++ b/src/cli/limits.cpp
@@ -60,7 +60,7 @@
   service.address_overrides = peers.via;
   options.router_count.configured = platform.settings.router_count;
   options.router_count.min = static_cast<std::uint32_t>(peers.siblings_least);
-  options.router_count.most = static_cast<std::uint32_t>(peers.siblings_most);
+  options.router_count.max = static_cast<std::uint32_t>(peers.siblings_most);
   return options;
 }
 
--- a/src/guide/router_count_estimator.cpp
+++ b/src/guide/router_count_estimator.cpp
@@ -29,7 +29,7 @@
     for (auto& peak : peaks_)
       peak.last_seen_at = now;
   }
-  return std::clamp(peaks_.front().count, limits_.min, limits_.most);
+  return std::clamp(peaks_.front().count, limits_.min, limits_.max);
 }
 
 }  // namespace lemonroute::guide
--- a/src/guide/router_count_estimator.h
+++ b/src/guide/router_count_estimator.h
@@ -23,8 +23,8 @@
  public:
   struct Limits {
     std::uint32_t configured = 1;  ///< router count of the settings; it holds until views have replaced it
-    std::uint32_t min = 1, most = 100'000;  ///< bounds of the estimate
-    std::uint32_t periods = 30;             ///< periods without a larger view before the estimate falls
+    std::uint32_t min = 1, max = 100'000;  ///< bounds of the estimate
+    std::uint32_t periods = 30;            ///< periods without a larger view before the estimate falls
   };
   explicit RouterCountEstimator(Limits limits) : limits_(limits) {}
 
