--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -82,7 +82,8 @@
     if (settings.peers) {
       fleet_ = std::make_unique<guide::FleetBridge>(
           loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()),
-          std::vector<guide::Binding>{}, [this](auto newer) { router_.set_fleet_view(std::move(newer)); });
+          std::vector<guide::ExtensionBinding>{},
+          [this](auto newer) { router_.set_fleet_view(std::move(newer)); });
       router_.set_node_observer(&fleet_->observer());
       logging::info() << "peers on " << fleet_->address();
     }
--- a/src/guide/binding.h
+++ b/src/guide/binding.h
@@ -15,7 +15,7 @@
 namespace lemonroute::guide {
 
 /// An extension with its connections to the serving loop. Its functions are called on the peers' thread.
-struct Binding {
+struct ExtensionBinding {
   std::unique_ptr<peers::Extension> extension;
   /// Passes node events to the extension, which must outlive it; null: the extension gets no node events.
   std::unique_ptr<NodeObserver> observer;
@@ -95,10 +95,10 @@
 /// \param newest_snapshot called with the extension, returns its newest snapshot: a
 /// std::shared_ptr<const Snapshot> that may be null.
 template <class Extension, class NewestSnapshot>
-Binding bind_extension(std::unique_ptr<Extension> extension, NewestSnapshot newest_snapshot) {
+ExtensionBinding bind_extension(std::unique_ptr<Extension> extension, NewestSnapshot newest_snapshot) {
   using Pointer = std::invoke_result_t<NewestSnapshot, const Extension&>;
   using Snapshot = std::remove_const_t<typename Pointer::element_type>;
-  Binding binding;
+  ExtensionBinding binding;
   binding.observer = std::make_unique<ExtensionObserver<Extension>>(*extension);
   binding.fleet_view = [&bound = *extension, newest_snapshot, last_snapshot = Pointer{},
                         view = std::shared_ptr<const FleetView>{}]() mutable {
--- a/src/guide/fleet_bridge.cpp
+++ b/src/guide/fleet_bridge.cpp
@@ -14,7 +14,7 @@
 // the number of members.
 constexpr milliseconds poll_interval{100}, status_interval_per_member{1};
 
-std::vector<peers::Extension*> extensions_of(const std::vector<Binding>& bindings) {
+std::vector<peers::Extension*> extensions_of(const std::vector<ExtensionBinding>& bindings) {
   std::vector<peers::Extension*> extensions;
   extensions.reserve(bindings.size());
   for (const auto& binding : bindings)
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-FleetBridge::FleetBridge(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
-                         ViewCallback on_view)
+FleetBridge::FleetBridge(net::Loop& loop, const Clock& clock, Options options,
+                         std::vector<ExtensionBinding> bindings, ViewCallback on_view)
     : on_view_(std::move(on_view)),
       bindings_(std::move(bindings)),
       node_events_([this] { service_->wake(); }),
--- a/src/guide/fleet_bridge.h
+++ b/src/guide/fleet_bridge.h
@@ -31,7 +31,7 @@
   using ViewCallback = std::function<void(std::shared_ptr<const FleetView>)>;
   /// Starts the service's thread. `loop` and `clock` must outlive this object. Throws if the service's
   /// address is taken.
-  FleetBridge(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
+  FleetBridge(net::Loop& loop, const Clock& clock, Options options, std::vector<ExtensionBinding> bindings,
               ViewCallback on_view);
   /// Tells the other routers that this one leaves, and ends the service's thread.
   ~FleetBridge() override;
@@ -65,7 +65,7 @@
   void take_updates();
 
   ViewCallback on_view_;
-  std::vector<Binding> bindings_;
+  std::vector<ExtensionBinding> bindings_;
   std::vector<NodeObserver*> observers_;
   NodeEventQueue node_events_;
   boost::lockfree::spsc_queue<Update> updates_;
--- a/tests/guide/fleet_bridge_test.cpp
+++ b/tests/guide/fleet_bridge_test.cpp
@@ -24,7 +24,7 @@
 
 struct Router {
   Router(net::Loop& loop, const Clock& clock, const std::string& name, std::vector<std::string> seeds,
-         std::vector<peers::seal::Key> keys, std::vector<Binding> bindings = {},
+         std::vector<peers::seal::Key> keys, std::vector<ExtensionBinding> bindings = {},
          std::string listen = "127.0.0.1:0", bool predecessor_running = false)
       : fleet(loop, clock,
               options(clock, name, std::move(seeds), std::move(keys), std::move(listen), predecessor_running),
@@ -163,7 +163,7 @@
 
 TEST_F(FleetTest, a_cache_loss_at_one_router_reaches_the_view_of_another) {
   const auto make_bindings = [] {
-    std::vector<Binding> bindings;
+    std::vector<ExtensionBinding> bindings;
     bindings.push_back(
         bind_extension(std::make_unique<LossSharingExtension>(),
                        [](const LossSharingExtension& extension) { return extension.snapshot; }));
@@ -188,7 +188,7 @@
 };
 
 TEST_F(FleetTest, an_exception_on_the_peers_thread_ends_the_peers_but_not_serving) {
-  std::vector<Binding> bindings;
+  std::vector<ExtensionBinding> bindings;
   bindings.push_back(bind_extension(std::make_unique<ThrowingExtension>(),
                                     [](const ThrowingExtension& extension) { return extension.snapshot; }));
   Router one(loop, clock, "one", {}, keys, std::move(bindings)),
