--- a/src/guide/fleet_bridge.h
+++ b/src/guide/fleet_bridge.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "guide/binding.h"
 #include "guide/combined_fleet_view.h"
+#include "guide/extension_binding.h"
 #include "guide/node_event_queue.h"
 #include "guide/router_count_estimator.h"
 #include "peers/loop_waker.h"
