--- a/src/core/router/action_executor.cpp
+++ b/src/core/router/action_executor.cpp
@@ -32,7 +32,7 @@
 void ActionExecutor::handle_event(const Event& event) {
   const auto mark_request = [&](const auto& alternative) {
     if constexpr (requires { alternative.id; })
-      requests_.mark_touched(alternative.id);
+      requests_.mark_for_cleanup(alternative.id);
   };
   std::visit(mark_request, event);
   decide(event);
@@ -82,7 +82,7 @@
   logging::debug() << "request rejected: request=" << request->prompt.id
                    << " attempts=" << request->attempt_count;
   reporter_.record_rejected();
-  requests_.mark_touched(reject.id);
+  requests_.mark_for_cleanup(reject.id);
   client.reject(reject.retry_after);
 }
 
@@ -95,7 +95,7 @@
   ++request->counts->failed;
   logging::debug() << "request failed: request=" << request->prompt.id
                    << " attempts=" << request->attempt_count;
-  requests_.mark_touched(fail.id);
+  requests_.mark_for_cleanup(fail.id);
   const bool timed_out = context_.now() >= request->deadline;
   client.fail(timed_out ? FailureReason::timed_out : FailureReason::not_retried);
 }
--- a/src/core/router/request_table.h
+++ b/src/core/router/request_table.h
@@ -55,7 +55,7 @@
   void erase(RequestId id);
 
   /// Records that an event or an action has affected this request, so that it may have finished.
-  void mark_touched(RequestId id) { touched_.push_back(id); }
+  void mark_for_cleanup(RequestId id) { touched_.push_back(id); }
   /// Returns the requests that were marked since the last call, in that order and possibly with duplicates.
   [[nodiscard]] std::vector<RequestId> take_touched();
 
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -72,9 +72,9 @@
 }
 
 TEST_F(RequestTableTest, TakeTouchedReturnsMarkedRequestsInOrderAndClearsThem) {
-  table.mark_touched(7);
-  table.mark_touched(3);
-  table.mark_touched(7);
+  table.mark_for_cleanup(7);
+  table.mark_for_cleanup(3);
+  table.mark_for_cleanup(7);
   EXPECT_EQ(table.take_touched(), (std::vector<RequestId>{7, 3, 7}));
   EXPECT_TRUE(table.take_touched().empty());
 }
