--- a/src/core/router/action_executor.cpp
+++ b/src/core/router/action_executor.cpp
@@ -47,7 +47,7 @@
 
 // Releases what interrupted prefills may have left at nodes, and destroys requests that have finished.
 void ActionExecutor::after_last_event() {
-  for (const RequestId id : requests_.take_touched()) {
+  for (const RequestId id : requests_.take_cleanup_candidates()) {
     RequestState* request = requests_.find(id);
     if (!request || request->attempt)
       continue;
--- a/src/core/router/request_table.cpp
+++ b/src/core/router/request_table.cpp
@@ -67,7 +67,7 @@
   requests_.erase(found);
 }
 
-std::vector<RequestId> RequestTable::take_touched() {
+std::vector<RequestId> RequestTable::take_cleanup_candidates() {
   return std::exchange(touched_, {});
 }
 
--- a/src/core/router/request_table.h
+++ b/src/core/router/request_table.h
@@ -57,7 +57,7 @@
   /// Records that an event or an action has affected this request, so that it may have finished.
   void mark_for_cleanup(RequestId id) { touched_.push_back(id); }
   /// Returns the requests that were marked since the last call, in that order and possibly with duplicates.
-  [[nodiscard]] std::vector<RequestId> take_touched();
+  [[nodiscard]] std::vector<RequestId> take_cleanup_candidates();
 
  private:
   Requests requests_;
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -75,8 +75,8 @@
   table.mark_for_cleanup(7);
   table.mark_for_cleanup(3);
   table.mark_for_cleanup(7);
-  EXPECT_EQ(table.take_touched(), (std::vector<RequestId>{7, 3, 7}));
-  EXPECT_TRUE(table.take_touched().empty());
+  EXPECT_EQ(table.take_cleanup_candidates(), (std::vector<RequestId>{7, 3, 7}));
+  EXPECT_TRUE(table.take_cleanup_candidates().empty());
 }
 
 }  // namespace
