--- a/src/core/router/request_table.cpp
+++ b/src/core/router/request_table.cpp
@@ -68,7 +68,7 @@
 }
 
 std::vector<RequestId> RequestTable::take_cleanup_candidates() {
-  return std::exchange(touched_, {});
+  return std::exchange(cleanup_candidates_, {});
 }
 
 }  // namespace lemonroute
--- a/src/core/router/request_table.h
+++ b/src/core/router/request_table.h
@@ -55,14 +55,14 @@
   void erase(RequestId id);
 
   /// Records that an event or an action has affected this request, so that it may have finished.
-  void mark_for_cleanup(RequestId id) { touched_.push_back(id); }
+  void mark_for_cleanup(RequestId id) { cleanup_candidates_.push_back(id); }
   /// Returns the requests that were marked since the last call, in that order and possibly with duplicates.
   [[nodiscard]] std::vector<RequestId> take_cleanup_candidates();
 
  private:
   Requests requests_;
   std::unordered_map<std::string, RequestId> requests_by_client_id_;
-  std::vector<RequestId> touched_;
+  std::vector<RequestId> cleanup_candidates_;
   std::size_t waiting_clients_ = 0;
   std::optional<Micros> shutdown_deadline_;
 };
