--- a/src/core/router/node_registry.cpp
+++ b/src/core/router/node_registry.cpp
@@ -98,7 +98,8 @@
     removed_node_names_.pop_front();
 }
 
-EndpointListUpdate NodeRegistry::renumber(std::vector<std::string> zones, std::vector<std::string> kinds) {
+EndpointListUpdate NodeRegistry::set_zones_and_kinds(std::vector<std::string> zones,
+                                                     std::vector<std::string> kinds) {
   zones_ = std::move(zones);
   kinds_ = std::move(kinds);
   EndpointListUpdate update{EndpointListKind::full, list_version_, {}};
--- a/src/core/router/node_registry.h
+++ b/src/core/router/node_registry.h
@@ -59,7 +59,8 @@
   [[nodiscard]] EndpointListUpdate update(EndpointListKind kind, std::uint32_t version,
                                           const std::vector<ListedNode>& listed);
   /// Replaces the lists of zones and machine kinds, and returns all endpoints with their new indexes.
-  [[nodiscard]] EndpointListUpdate renumber(std::vector<std::string> zones, std::vector<std::string> kinds);
+  [[nodiscard]] EndpointListUpdate set_zones_and_kinds(std::vector<std::string> zones,
+                                                       std::vector<std::string> kinds);
 
   /// Returns all listed nodes.
   [[nodiscard]] const std::map<EndpointId, Node>& all() const { return known_nodes_; }
--- a/src/core/router/router.cpp
+++ b/src/core/router/router.cpp
@@ -51,7 +51,7 @@
   impl_->settings = std::move(settings);
   impl_->metrics.set_classes(impl_->settings.classes);
   impl_->scheduler.update_settings(impl_->nodes.effective_settings());
-  impl_->events.enqueue(impl_->nodes.renumber(std::move(zones), std::move(kinds)));
+  impl_->events.enqueue(impl_->nodes.set_zones_and_kinds(std::move(zones), std::move(kinds)));
   impl_->reporter.report_endpoints();
 }
 
--- a/tests/core/node_registry_test.cpp
+++ b/tests/core/node_registry_test.cpp
@@ -53,7 +53,7 @@
 
 TEST_F(NodeRegistryTest, RenumberAssignsKindsByTheNewNames) {
   (void)list_nodes({"r1", "w1"});
-  const auto update = nodes.renumber({"a"}, {"w", "r"});
+  const auto update = nodes.set_zones_and_kinds({"a"}, {"w", "r"});
   EXPECT_EQ(update.kind, EndpointListKind::full);
   EXPECT_EQ(update.endpoints.size(), 2u);
   EXPECT_EQ(nodes.role_of(id("w1")), Role::prefill);
