--- a/src/core/router.h
+++ b/src/core/router.h
@@ -126,7 +126,7 @@
   /// Returns the number of accepted requests that are not answered yet.
   [[nodiscard]] std::size_t open_requests() const;
   /// Returns the number of nodes in the endpoint list.
-  [[nodiscard]] std::size_t known_nodes() const;
+  [[nodiscard]] std::size_t listed_node_count() const;
   /// Returns whether no request is open and no release of a reservation is pending.
   [[nodiscard]] bool idle() const;
   /// Returns the number of nodes that may receive new attempts.
--- a/src/core/router/router.cpp
+++ b/src/core/router/router.cpp
@@ -151,7 +151,7 @@
   return impl_->requests.waiting_clients();
 }
 
-std::size_t Router::known_nodes() const {
+std::size_t Router::listed_node_count() const {
   return impl_->nodes.all().size();
 }
 
--- a/tests/acceptance/soak_test.cpp
+++ b/tests/acceptance/soak_test.cpp
@@ -96,7 +96,7 @@
     pass(1min);
     EXPECT_TRUE(core_.idle());
     EXPECT_EQ(core_.open_requests(), 0u);
-    EXPECT_EQ(core_.known_nodes(), 8u);
+    EXPECT_EQ(core_.listed_node_count(), 8u);
     EXPECT_EQ(core_.next_timer(), std::nullopt) << "no timer is left";
     return live;
   }
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -251,7 +251,7 @@
                               {Bed::node(name, EndpointState::removed)});
   }
   bed.core.update_endpoints(EndpointListKind::full, 300, {Bed::node("r")});
-  assert(bed.core.known_nodes() == 1);
+  assert(bed.core.listed_node_count() == 1);
   bed.done(Outcome::ok);
   assert(bed.client.seen == "a|end" && bed.core.idle());
 }
