--- a/src/core/router.h
+++ b/src/core/router.h
@@ -130,7 +130,7 @@
   /// Returns whether no request is open and no release of a reservation is pending.
   [[nodiscard]] bool idle() const;
   /// Returns the number of nodes that may receive new attempts.
-  [[nodiscard]] std::size_t ready_nodes() const;
+  [[nodiscard]] std::size_t ready_node_count() const;
 
  private:
   struct Impl;
--- a/src/core/router/router.cpp
+++ b/src/core/router/router.cpp
@@ -159,7 +159,7 @@
   return impl_->requests.empty() && impl_->releaser.idle();
 }
 
-std::size_t Router::ready_nodes() const {
+std::size_t Router::ready_node_count() const {
   return impl_->nodes.ready_nodes();
 }
 
--- a/src/ops/status.cpp
+++ b/src/ops/status.cpp
@@ -7,7 +7,7 @@
 State Status::state() const {
   if (draining_)
     return State::draining;
-  return router_.ready_nodes() > 0 ? State::up : State::down;
+  return router_.ready_node_count() > 0 ? State::up : State::down;
 }
 
 void Status::drain() {
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -289,7 +289,7 @@
   assert(bed.nodes.begun.empty() && bed.client.seen == "|refused");
   // A whole list that does not name a node any more tells that it is gone.
   bed.core.update_endpoints(EndpointListKind::full, 3, {Bed::node("w")});
-  assert(bed.core.ready_nodes() == 1);
+  assert(bed.core.ready_node_count() == 1);
 }
 
 // Two processes share the bans through a file: an order to either holds for both, is there after a restart,
@@ -313,7 +313,7 @@
     assert(new_one.core.undrain_node("w") == Ordered::applied &&
            new_one.core.drain_node("x") == Ordered::unknown_node);
     old_one.core.reload_overrides();
-    assert(old_one.unhealthy() == 2 && old_one.core.ready_nodes() == 1);
+    assert(old_one.unhealthy() == 2 && old_one.core.ready_node_count() == 1);
     // Not while the other writes; and without effect then.
     assert(old_lock.take(AdminOverrides::lock_byte));
     assert(new_one.core.undrain_node("r") == Ordered::not_stored && new_one.unhealthy() == 2);
@@ -331,7 +331,7 @@
   LockFile lock("core_test.lock"), none("no/such/folder/lock");
   Bed bed;
   bed.core.load_overrides("core_test.bans", none);
-  assert(bed.core.drain_node("w") == Ordered::not_stored && bed.core.ready_nodes() == 1);
+  assert(bed.core.drain_node("w") == Ordered::not_stored && bed.core.ready_node_count() == 1);
   std::remove(path.c_str());
   std::remove("core_test.lock");
 }
--- a/tests/net/guide_test.cpp
+++ b/tests/net/guide_test.cpp
@@ -33,12 +33,12 @@
   auto told = std::make_shared<Told>();
   told->laid["w"].drained = true;
   bed.core.set_fleet_view(told);
-  assert(bed.core.ready_nodes() == 1);
+  assert(bed.core.ready_node_count() == 1);
   bed.take();
   bed.done(Outcome::prefill_done);
   assert(bed.nodes.begun.size() == 1 && bed.client.answers == 1);
   bed.core.set_fleet_view(std::make_shared<Told>());
-  assert(bed.core.ready_nodes() == 2);
+  assert(bed.core.ready_node_count() == 2);
 }
 
 // Guards a pool against a process that was frozen while its right ran out: the first event after it finds the
