--- a/src/core/router/node_registry.cpp
+++ b/src/core/router/node_registry.cpp
@@ -78,7 +78,7 @@
 
 void NodeRegistry::log_update(const EndpointListUpdate& update) const {
   logging::info() << "endpoint list updated: version=" << update.version << " kind=" << kind_name(update.kind)
-                  << " endpoints=" << update.endpoints.size() << " ready=" << ready_nodes();
+                  << " endpoints=" << update.endpoints.size() << " ready=" << ready_node_count();
 }
 
 // Attempts that are in progress at a removed node have their own copy of the node's name.
@@ -155,7 +155,7 @@
   return node && node->ready();
 }
 
-std::size_t NodeRegistry::ready_nodes() const {
+std::size_t NodeRegistry::ready_node_count() const {
   const auto ready = [](const auto& known) { return known.second.ready(); };
   return static_cast<std::size_t>(std::count_if(known_nodes_.begin(), known_nodes_.end(), ready));
 }
--- a/src/core/router/node_registry.h
+++ b/src/core/router/node_registry.h
@@ -77,7 +77,7 @@
   /// Returns whether the node is listed and neither draining nor removed.
   [[nodiscard]] bool is_ready(EndpointId id) const;
   /// Returns the number of nodes that may receive new attempts.
-  [[nodiscard]] std::size_t ready_nodes() const;
+  [[nodiscard]] std::size_t ready_node_count() const;
   /// Stores the node's latest load report, as the node sent it. Does nothing for an unlisted node.
   void record_load_report(EndpointId id, std::string load_report, Micros reported_at);
 
--- a/src/core/router/router.cpp
+++ b/src/core/router/router.cpp
@@ -160,7 +160,7 @@
 }
 
 std::size_t Router::ready_node_count() const {
-  return impl_->nodes.ready_nodes();
+  return impl_->nodes.ready_node_count();
 }
 
 }  // namespace lemonroute
--- a/tests/core/node_registry_test.cpp
+++ b/tests/core/node_registry_test.cpp
@@ -32,7 +32,7 @@
   (void)list_nodes({"r1"});
   const auto update = nodes.update(EndpointListKind::incremental, 2, {listed_node("w1")});
   EXPECT_EQ(update.endpoints.size(), 1u);
-  EXPECT_EQ(nodes.ready_nodes(), 2u);
+  EXPECT_EQ(nodes.ready_node_count(), 2u);
 }
 
 TEST_F(NodeRegistryTest, KeepsTheAddressWhenTheListHasNone) {
