--- a/bench/grpc_streams.cpp
+++ b/bench/grpc_streams.cpp
@@ -113,7 +113,7 @@
   net::Timer hang(loop, [&] { loop.stop(); });
   hang.start(std::chrono::seconds(60));
   net::Timer look(loop, [&] {
-    if (core.open_requests() >= streams)
+    if (core.open_request_count() >= streams)
       loop.stop();
     else
       look.start(std::chrono::milliseconds(20));
@@ -123,7 +123,8 @@
   const std::size_t held = memory_kib() - before;
   kill(child, SIGKILL);
   waitpid(child, nullptr, 0);
-  std::cout << core.open_requests() << " calls open: " << held << " KiB more, "
-            << held * 1024 / std::max<std::size_t>(1, core.open_requests()) << " bytes a call" << std::endl;
-  return core.open_requests() == streams ? 0 : 1;
+  std::cout << core.open_request_count() << " calls open: " << held << " KiB more, "
+            << held * 1024 / std::max<std::size_t>(1, core.open_request_count()) << " bytes a call"
+            << std::endl;
+  return core.open_request_count() == streams ? 0 : 1;
 }
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -154,7 +154,7 @@
       handover_->finish();
     handover_.reset();
     const bool successor = processes_.another_serves();
-    logging::info() << signal << ": draining, " << router_.open_requests() << " requests open"
+    logging::info() << signal << ": draining, " << router_.open_request_count() << " requests open"
                     << (successor ? ", another process takes the clients" : "");
     if (successor)
       hand_over();
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -124,7 +124,7 @@
   std::function<void()> on_change;
 
   /// Returns the number of accepted requests that are not answered yet.
-  [[nodiscard]] std::size_t open_requests() const;
+  [[nodiscard]] std::size_t open_request_count() const;
   /// Returns the number of nodes in the endpoint list.
   [[nodiscard]] std::size_t listed_node_count() const;
   /// Returns whether no request is open and no release of a reservation is pending.
--- a/src/core/router/router.cpp
+++ b/src/core/router/router.cpp
@@ -84,7 +84,7 @@
   RouterMetrics metrics;
   metrics.classes = impl_->metrics.all();
   metrics.sent_attempts = impl_->attempts.sent_attempts();
-  metrics.open_requests = open_requests();
+  metrics.open_requests = open_request_count();
   metrics.listed_nodes = nodes.all().size();
   const std::vector<EndpointId> ejected = impl_->scheduler.ejected_endpoints(impl_->context.now());
   for (const auto& [id, node] : nodes.all()) {
@@ -147,7 +147,7 @@
   impl_->context.notify_change();
 }
 
-std::size_t Router::open_requests() const {
+std::size_t Router::open_request_count() const {
   return impl_->requests.waiting_clients();
 }
 
--- a/tests/acceptance/front_test.cpp
+++ b/tests/acceptance/front_test.cpp
@@ -153,7 +153,7 @@
   bed.ask("Req-Deadline: 0\r\n");
   bed.clock.at += 1us;
   bed.core.run_timers();
-  EXPECT_EQ(bed.core.open_requests(), 0u);
+  EXPECT_EQ(bed.core.open_request_count(), 0u);
 }
 
 TEST(Body, UpTo256KiBAndNotMore) {
--- a/tests/acceptance/soak_test.cpp
+++ b/tests/acceptance/soak_test.cpp
@@ -95,7 +95,7 @@
   std::size_t rest() {
     pass(1min);
     EXPECT_TRUE(core_.idle());
-    EXPECT_EQ(core_.open_requests(), 0u);
+    EXPECT_EQ(core_.open_request_count(), 0u);
     EXPECT_EQ(core_.listed_node_count(), 8u);
     EXPECT_EQ(core_.next_timer(), std::nullopt) << "no timer is left";
     return live;
--- a/tests/conformance/server_cases.cpp
+++ b/tests/conformance/server_cases.cpp
@@ -455,11 +455,11 @@
       return bed.connection_error({PROTOCOL_ERROR});
     const auto* reset = bed.peer->find(RST_STREAM, 257);
     if (!reset)
-      return "the 129th is not refused; open: " + std::to_string(bed.core.open_requests()) +
+      return "the 129th is not refused; open: " + std::to_string(bed.core.open_request_count()) +
              ", begun: " + std::to_string(bed.nodes.begun) + (bed.peer->closed ? ", closed" : "");
     if (bed.peer->code(*reset) != REFUSED_STREAM)
       return "code " + std::to_string(bed.peer->code(*reset));
-    return bed.expect(std::to_string(bed.core.open_requests()), "128");
+    return bed.expect(std::to_string(bed.core.open_request_count()), "128");
   });
   list.add("RFC9113 6.4", "RST_STREAM ends the call, and what was done for it", [](Bed& bed) {
     bed.nodes.hold = 1;
@@ -467,7 +467,7 @@
     bed.peer->until([&] { return bed.nodes.begun == 1; });
     bed.peer->send(frame(RST_STREAM, NONE, 1, number(CANCEL)));
     bed.peer->until([&] { return bed.nodes.gone == 1; });
-    if (bed.nodes.gone != 1 || bed.core.open_requests() != 0)
+    if (bed.nodes.gone != 1 || bed.core.open_request_count() != 0)
       return string("the attempt goes on");
     bed.nodes.hold = 0;
     return bed.alive(3);
@@ -500,7 +500,7 @@
     bed.peer->until([&] { return bed.nodes.begun == 2; });
     bed.peer->drop();
     bed.peer->until([&] { return bed.nodes.gone == 2; });
-    return bed.expect(std::to_string(bed.core.open_requests()), "0");
+    return bed.expect(std::to_string(bed.core.open_request_count()), "0");
   });
   // SETTINGS.
   list.connection("RFC9113 6.5.2", "ENABLE_PUSH of 2",
@@ -1017,7 +1017,7 @@
         bed.peer->until([&] { return bed.peer->find(RST_STREAM, 1) != nullptr; }, 12000);
         if (!bed.peer->find(RST_STREAM, 1))
           return string("it is kept");
-        return bed.expect(std::to_string(bed.core.open_requests()), "0");
+        return bed.expect(std::to_string(bed.core.open_request_count()), "0");
       },
       quick);
   grpc::Session::Limits idle;
--- a/tests/core/grpc_front_test.cpp
+++ b/tests/core/grpc_front_test.cpp
@@ -49,7 +49,7 @@
   void finish_prefill() { nodes.begun.back().attempt->on_done({Outcome::prefill_done, 0, {}, {}}); }
   AttemptHandler& decode_handler() { return *nodes.begun.back().attempt; }
   bool all_requests_closed() {
-    return peer->until([&] { return core.open_requests() == 0; });
+    return peer->until([&] { return core.open_request_count() == 0; });
   }
 
   net::Loop loop;
@@ -78,9 +78,9 @@
     exchange_settings();
     send_request(1);
     half_close ? peer->end() : peer->drop();
-    for (int i = 0; i < 4000 && core.open_requests() > 0; ++i)
+    for (int i = 0; i < 4000 && core.open_request_count() > 0; ++i)
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
-    EXPECT_EQ(core.open_requests(), 0u);
+    EXPECT_EQ(core.open_request_count(), 0u);
     EXPECT_FALSE(nodes.begun.back().open);
   }
 }
@@ -92,7 +92,7 @@
   send_request(1);
   peer->send(frame(GOAWAY, NONE, 0, number(0) + number(NO_ERROR)));
   peer->settle();
-  EXPECT_EQ(core.open_requests(), 1u);
+  EXPECT_EQ(core.open_request_count(), 1u);
   finish_prefill();
   decode_handler().on_data("a");
   decode_handler().on_done({Outcome::ok, 0, {}, {}});
@@ -125,9 +125,9 @@
     }
     EXPECT_TRUE(nodes.begun.back().open);
     peer->send(frame(RST_STREAM, NONE, 1, number(CANCEL)));
-    for (int i = 0; i < 4000 && core.open_requests() > 0; ++i)
+    for (int i = 0; i < 4000 && core.open_request_count() > 0; ++i)
       event_base_loop(loop.base(), EVLOOP_NONBLOCK);
-    EXPECT_EQ(core.open_requests(), 0u);
+    EXPECT_EQ(core.open_request_count(), 0u);
     EXPECT_FALSE(nodes.begun.back().open);
   }
 }
--- a/tests/core/schedule_simulation.cpp
+++ b/tests/core/schedule_simulation.cpp
@@ -296,7 +296,7 @@
   const Micros release_timeout = settings_.reservation_release_timeout;
   settings_ = random_.settings();
   settings_.reservation_release_timeout = release_timeout;
-  coverage_.settings_changed_with_open_requests += router_.open_requests() > 0;
+  coverage_.settings_changed_with_open_requests += router_.open_request_count() > 0;
   monitor_.limit(rule_limits(settings_));
   router_.update_settings(settings_, {"z1", "z2"}, {"r", "w", "m"});
 }
--- a/tests/crossings/grpc/cancel_test.cpp
+++ b/tests/crossings/grpc/cancel_test.cpp
@@ -120,7 +120,7 @@
     if (cancel_first) {
       client->send(reset(stream, CANCEL));
       client->settle();
-      EXPECT_EQ(core.open_requests(), 0u);
+      EXPECT_EQ(core.open_request_count(), 0u);
       writer->send(tail(*writer, at));
       writer->settle();
     } else {
@@ -129,7 +129,7 @@
       client->send(reset(stream, CANCEL));
       client->settle();
     }
-    EXPECT_EQ(core.open_requests(), 0u);
+    EXPECT_EQ(core.open_request_count(), 0u);
     EXPECT_FALSE(client->closed);
     EXPECT_FALSE(writer->closed);
     stream += 2;
--- a/tests/crossings/grpc/front_test.cpp
+++ b/tests/crossings/grpc/front_test.cpp
@@ -205,14 +205,14 @@
   peer->send(reset(1, CANCEL));
   serve();  // the first one's answer, before the loop sees the cancel
   peer->settle();
-  EXPECT_EQ(core.open_requests(), 1u);
+  EXPECT_EQ(core.open_request_count(), 1u);
   EXPECT_FALSE(peer->closed);
   nodes.begun[0].attempt->on_done({Outcome::prefill_done, 0, {}, {}});
   nodes.begun.back().attempt->on_data("b");
   nodes.begun.back().attempt->on_done({Outcome::ok, 0, {}, {}});
   ASSERT_TRUE(peer->until([&] { return peer->over(3); }));
   EXPECT_EQ(peer->field(3, "grpc-status"), "0");
-  EXPECT_EQ(core.open_requests(), 0u);
+  EXPECT_EQ(core.open_request_count(), 0u);
 }
 
 // A client that opens no window × a drain: the others of its connection end, and its answer waits for it.
--- a/tests/crossings/http/client_test.cpp
+++ b/tests/crossings/http/client_test.cpp
@@ -28,7 +28,7 @@
   }
   void all_gone(std::size_t sent) {
     door.settle();
-    EXPECT_EQ(door.core.open_requests(), 0u);
+    EXPECT_EQ(door.core.open_request_count(), 0u);
     EXPECT_FALSE(door.out());
     EXPECT_EQ(door.sent(), sent);
   }
--- a/tests/crossings/http/drain_test.cpp
+++ b/tests/crossings/http/drain_test.cpp
@@ -201,12 +201,12 @@
   door.front.drain();
   door.front.stop_accepting();
   const auto end = std::chrono::steady_clock::now() + 5s;
-  while (door.core.open_requests() > 1 && std::chrono::steady_clock::now() < end) {
+  while (door.core.open_request_count() > 1 && std::chrono::steady_clock::now() < end) {
     behind.send(noise);
     asks_none.send(noise);
     door.settle();
   }
-  EXPECT_EQ(door.core.open_requests(), 1u) << "the flood's request is ended";
+  EXPECT_EQ(door.core.open_request_count(), 1u) << "the flood's request is ended";
   EXPECT_NE(behind.read().find("HTTP/1.1 400 "), std::string::npos);
   EXPECT_NE(asks_none.read().find("HTTP/1.1 4"), std::string::npos);
   door.nodes.begun.front().attempt->on_done({Outcome::error, 0, {}, {}, true});
--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -366,7 +366,7 @@
     for (std::size_t i = 0; i < process.kinds.size(); ++i)
       s.kind_role[i] = roles[process.kinds[i]];
     process.settings = s;
-    seen_.retuned_open += process.core.open_requests() > 0;
+    seen_.retuned_open += process.core.open_request_count() > 0;
     process.core.update_settings(s, {"z"}, process.kinds);
   }
   void hand_over() {
--- a/tests/edges/ends.cpp
+++ b/tests/edges/ends.cpp
@@ -27,7 +27,7 @@
   door.settle();
   client.read();
   assert(client.ended && client.error == 0);  // not reset either
-  assert(door.sent() == 1 && door.core.open_requests() == 0);
+  assert(door.sent() == 1 && door.core.open_request_count() == 0);
   client.close();
   // What came unread hides the client's end; the connection goes all the same, in bounded time.
   assert(door.until([&] { return door.front.idle(); }, 5s));
--- a/tests/edges/floods.cpp
+++ b/tests/edges/floods.cpp
@@ -44,11 +44,11 @@
     }
     const std::string more(64 * 1024, 'x');
     std::size_t sent = 0;
-    for (int i = 0; i < 400 && door.core.open_requests() == 1; ++i) {
+    for (int i = 0; i < 400 && door.core.open_request_count() == 1; ++i) {
       sent += client.send(more);
       door.settle();
     }
-    assert(door.core.open_requests() == 0 && !door.out() && sent < 4 * 1024 * 1024);
+    assert(door.core.open_request_count() == 0 && !door.out() && sent < 4 * 1024 * 1024);
     assert(door.loop.tally().counted(Overdone::flood) == 1);
     const std::string got = client.read();
     assert(got.find(streams ? "data: one" : "400 Bad Request") != std::string::npos);
--- a/tests/edges/gone.cpp
+++ b/tests/edges/gone.cpp
@@ -17,9 +17,9 @@
 }
 
 void seen(Door& door, Plug& client, Goes how) {
-  assert(door.core.open_requests() == 1 && door.out());
+  assert(door.core.open_request_count() == 1 && door.out());
   go(client, how);
-  assert(door.until([&] { return door.core.open_requests() == 0 && !door.out(); }, 100ms));
+  assert(door.until([&] { return door.core.open_request_count() == 0 && !door.out(); }, 100ms));
 }
 
 // Its request is out at a reader, behind it wait more bytes than are kept, or fewer.
@@ -51,7 +51,7 @@
     client.send(std::string(100'000, 'x'));
     client.close();
     door.settle();
-    assert(door.core.open_requests() == 0 && !door.out() && door.sent() == before);
+    assert(door.core.open_request_count() == 0 && !door.out() && door.sent() == before);
     if (outcome == Outcome::prefill_done)
       assert(door.nodes.released.size() == 1);  // what the cut read may have left
   }
@@ -84,7 +84,7 @@
     client.send(Door::request("q1"));
     half ? client.end_sending() : client.close();
     door.settle();
-    assert(door.sent() == 0 && door.core.open_requests() == 0 && door.front.idle());
+    assert(door.sent() == 0 && door.core.open_request_count() == 0 && door.front.idle());
   }
 }
 
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -404,7 +404,7 @@
   assert(bed.core.submit(client_request, bed.client, id) == Router::SubmitResult::duplicate_id);
   client_request.request_class = "other";
   assert(bed.core.submit(client_request, bed.client, id) == Router::SubmitResult::unknown_class);
-  assert(bed.core.open_requests() == 1);
+  assert(bed.core.open_request_count() == 1);
 }
 
 void load_reports() {
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -375,7 +375,7 @@
       node.leave();
     else
       node.die(std::chrono::milliseconds(50 + world.random() % 300));
-    most_open = std::max(most_open, core.open_requests());
+    most_open = std::max(most_open, core.open_request_count());
     most_descriptors = std::max(most_descriptors, descriptors());
     most_memory = std::max(most_memory, memory_kib());
     plan.start(std::chrono::milliseconds(150 + world.random() % 200));
@@ -411,7 +411,7 @@
             << " KiB, all parts in one process\nrules broken: " << world.monitor.breaches().size()
             << std::endl;
   assert(load.asked == calls && load.open.empty());
-  assert(core.idle() && core.open_requests() == 0 && world.held.empty());
+  assert(core.idle() && core.open_request_count() == 0 && world.held.empty());
   assert(descriptors() <=
          descriptors_before + 2 * 4 * nodes.size());  // both ends of the connections that a pool keeps
   core.on_change = nullptr;
