--- a/src/core/router/attempt_runner.cpp
+++ b/src/core/router/attempt_runner.cpp
@@ -169,7 +169,7 @@
   const RequestState* request = requests_.find(id);
   if (!request || !request->is_streaming())
     return;
-  request->attempt->call->pause_reading(false);
+  request->attempt->call->set_reading_paused(false);
   restart_stream_timer(*request->attempt);
   context_.notify_change();
 }
@@ -216,7 +216,7 @@
     return;
   // While reading is paused for a slow client, no data can arrive, which must not count as a stalled stream.
   attempt.timer.cancel();
-  attempt.call->pause_reading(true);
+  attempt.call->set_reading_paused(true);
 }
 
 void AttemptRunner::on_first_event(RequestState& request, AttemptState& attempt) {
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -181,7 +181,7 @@
  public:
   virtual ~Call() = default;
   /// Pauses or resumes reading the answer, for flow control of a slow client.
-  virtual void pause_reading(bool /*paused*/) {}
+  virtual void set_reading_paused(bool /*paused*/) {}
   /// Returns whether it is certain that no part of the request was sent, and that none will be sent once the
   /// call is destroyed.
   virtual bool not_sent() const { return false; }
--- a/src/grpc/node_client/calls.cpp
+++ b/src/grpc/node_client/calls.cpp
@@ -35,7 +35,7 @@
     // every later call would wait on it in vain.
     session_->check_alive();
   }
-  void pause_reading(bool on) override {
+  void set_reading_paused(bool on) override {
     if (session_)
       session_->hold_back(id_, on);
   }
--- a/src/http/node_client.cpp
+++ b/src/http/node_client.cpp
@@ -66,7 +66,7 @@
     result_.outcome = Outcome::ok;
     exchange_ = client.adopt(node.address, connection, *this);
   }
-  void pause_reading(bool on) override { exchange_->hold_back(on); }
+  void set_reading_paused(bool on) override { exchange_->hold_back(on); }
   bool not_sent() const override { return exchange_ && exchange_->unsent(); }
   std::optional<TransferredConnection> transferable_connection() override {
     return streams_ && events_ > 0 && !done_seen_ && stream_.between() ? exchange_->passable() : std::nullopt;
--- a/tests/conformance/node_cases.cpp
+++ b/tests/conformance/node_cases.cpp
@@ -536,7 +536,7 @@
     peer->until([&] { return peer->over(3); });
     peer->send(head(*peer, 1) + data(1, event("a")));
     peer->until([&] { return !slow->text.empty(); });
-    slow->call->pause_reading(true);
+    slow->call->set_reading_paused(true);
     std::size_t given = 0;
     for (int i = 0; i < 3; ++i)
       peer->send(data(1, event(string(16000, 'x'))));
--- a/tests/core/schedule_simulation_nodes.cpp
+++ b/tests/core/schedule_simulation_nodes.cpp
@@ -3,7 +3,7 @@
 
 namespace lemonroute::property {
 
-void ScheduleSimulation::SimulatedAttempt::pause_reading(bool pause) {
+void ScheduleSimulation::SimulatedAttempt::set_reading_paused(bool pause) {
   reading_paused = pause;
   if (pause || !std::exchange(event_pending, false))
     return;
--- a/tests/core/schedule_simulation_parts.h
+++ b/tests/core/schedule_simulation_parts.h
@@ -16,7 +16,7 @@
   }
   ~SimulatedAttempt() override { simulation.on_attempt_closed(*this); }
   bool not_sent() const override { return !sent; }
-  void pause_reading(bool pause) override;
+  void set_reading_paused(bool pause) override;
   ScheduleSimulation& simulation;
   SimulatedNode& node;
   SimulatedClient& client;
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -181,7 +181,7 @@
       end();
       to->on_done(std::move(result));
     }
-    void pause_reading(bool on) override { call->pause_reading(on); }
+    void set_reading_paused(bool on) override { call->set_reading_paused(on); }
   };
   std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
                                       AttemptHandler& attempt) override {
