--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-NodeReport ProcessHandover::report_of(const Node& node) const {
-  NodeReport report;
+NodeHandoverState ProcessHandover::report_of(const Node& node) const {
+  NodeHandoverState report;
   report.node = node.name;
   // A report from before the node's start came from an earlier process of the node.
   const Micros age = context_.now() - node.load_reported_at;
@@ -41,7 +41,7 @@
   for (const auto& [id, node] : nodes_.all()) {
     if (!node.ready())
       continue;
-    NodeReport report = report_of(node);
+    NodeHandoverState report = report_of(node);
     report.ejected = std::find(ejected.begin(), ejected.end(), id) != ejected.end();
     if (const auto work_rate = work_rates.find(id); work_rate != work_rates.end())
       report.work_rate = work_rate->second;
@@ -51,7 +51,7 @@
   return handover_state;
 }
 
-bool ProcessHandover::is_current(const NodeReport& report, const Node& node, Micros reported_at) {
+bool ProcessHandover::is_current(const NodeHandoverState& report, const Node& node, Micros reported_at) {
   const bool fresh = report.age >= Micros(0) && report.age <= max_report_age;
   const bool newest = reported_at > std::max(node.endpoint.started_at, node.load_reported_at);
   const bool has_content = report.ejected || !report.load_report.empty();
@@ -63,7 +63,7 @@
 void ProcessHandover::apply_handover_state(const HandoverState& handover_state) {
   LearnedRates learned_rates{handover_state.prefill_rates, {}};
   std::size_t applied = 0;
-  for (const NodeReport& report : handover_state.nodes) {
+  for (const NodeHandoverState& report : handover_state.nodes) {
     const Node* node = nodes_.find(report.node);
     if (!node || !node->ready())
       continue;
--- a/src/core/router/process_handover.h
+++ b/src/core/router/process_handover.h
@@ -50,8 +50,8 @@
  private:
   [[nodiscard]] std::vector<RequestId> streaming_requests() const;
   void close_transferred(RequestState& request);
-  [[nodiscard]] NodeReport report_of(const Node& node) const;
-  [[nodiscard]] static bool is_current(const NodeReport& report, const Node& node, Micros reported_at);
+  [[nodiscard]] NodeHandoverState report_of(const Node& node) const;
+  [[nodiscard]] static bool is_current(const NodeHandoverState& report, const Node& node, Micros reported_at);
 
   const RouterContext& context_;
   RequestTable& requests_;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -95,7 +95,7 @@
 };
 
 /// What one process of this router has learned about a node, for a process that has just started.
-struct NodeReport {
+struct NodeHandoverState {
   std::string node;         ///< the node's name
   std::string load_report;  ///< the node's last load report, as the node sent it; empty: none, or too old
   Micros age{};             ///< time since the load report arrived
@@ -104,7 +104,7 @@
 };
 /// What one process of this router has learned about all nodes, for a process that has just started.
 struct HandoverState {
-  std::vector<NodeReport> nodes;                       ///< the ready nodes about which anything is known
+  std::vector<NodeHandoverState> nodes;                ///< the ready nodes about which anything is known
   std::vector<std::pair<Role, double>> prefill_rates;  ///< as in LearnedRates
 };
 
--- a/tests/formats/formats_test.cpp
+++ b/tests/formats/formats_test.cpp
@@ -265,7 +265,7 @@
 TEST(Formats, WritesWhatIsToldOfNodesAsBefore) {
   TemporaryFolder folder;
   DatagramSocket socket(folder.file("streams"));
-  NodeReport first, second;
+  NodeHandoverState first, second;
   first.node = "lettura-1";
   first.load_report = "inflight=7,queue=2";
   first.age = Micros(1234567);
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -154,15 +154,15 @@
   assert(adopted({Outcome::ok, 0, "active=4,x0=0.01", {}}) == usual);
   assert(adopted({Outcome::ok, 0, "nonsense", {}}) == usual);
   assert(adopted({Outcome::reset, 0, {}, {}}) != usual);
-  const auto told = [&](NodeReport heard) {
-    const NodeReport light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
+  const auto told = [&](NodeHandoverState heard) {
+    const NodeHandoverState light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
     return first_writer([&](Bed& bed, TestClient&) { bed.core.apply_handover_state({{light, heard}, {}}); });
   };
   assert(told({usual, "active=40,x0=0.8", 400ms, false}) != usual);
   assert(told({usual, {}, 0ms, true}) != usual);
-  for (const NodeReport& useless : {NodeReport{usual, "active=40,x0=0.8", 4s, false},
-                                    NodeReport{usual, "active=40,x0=0.8", -400ms, false},
-                                    NodeReport{"unlisted", "active=40,x0=0.8", 0ms, true}})
+  for (const NodeHandoverState& useless : {NodeHandoverState{usual, "active=40,x0=0.8", 4s, false},
+                                           NodeHandoverState{usual, "active=40,x0=0.8", -400ms, false},
+                                           NodeHandoverState{"unlisted", "active=40,x0=0.8", 0ms, true}})
     assert(told(useless) == usual);
 }
 
@@ -179,7 +179,7 @@
     for (const auto& one : bed.core.handover_state().nodes)
       if (one.node == name)
         return one;
-    return NodeReport{};
+    return NodeHandoverState{};
   };
   assert(of("w").load_report == "active=2,x0=0.3" && of("w").age == 1s && of("w").work_rate > 0);
   assert(of("r").load_report.empty() && of("r").work_rate > 0);
--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -711,7 +711,7 @@
   const string path =
       (std::filesystem::temp_directory_path() / ("told-" + std::to_string(getpid()))).string();
   net::Loop loop;
-  std::vector<NodeReport> got;
+  std::vector<NodeHandoverState> got;
   std::size_t messages = 0, streams = 0;
   const std::vector<std::pair<Role, double>> rates{{Role::prefill, 51.25}, {Role::mixed, 80}};
   ops::Handover end(
@@ -721,7 +721,7 @@
         assert(handover_state.prefill_rates == rates);
         got.insert(got.end(), handover_state.nodes.begin(), handover_state.nodes.end());
       });
-  std::vector<NodeReport> sent;
+  std::vector<NodeHandoverState> sent;
   for (int i = 0; i < 120; ++i)
     sent.push_back({"s-" + std::to_string(i), "inflight=7,queue=2,x0=0.61,x1=" + string(i % 7, '1'),
                     Micros(i), i % 5 == 0, i / 4.0});
