--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-NodeHandoverState ProcessHandover::report_of(const Node& node) const {
+NodeHandoverState ProcessHandover::node_handover_state(const Node& node) const {
   NodeHandoverState report;
   report.node = node.name;
   // A report from before the node's start came from an earlier process of the node.
@@ -41,7 +41,7 @@
   for (const auto& [id, node] : nodes_.all()) {
     if (!node.ready())
       continue;
-    NodeHandoverState report = report_of(node);
+    NodeHandoverState report = node_handover_state(node);
     report.ejected = std::find(ejected.begin(), ejected.end(), id) != ejected.end();
     if (const auto work_rate = work_rates.find(id); work_rate != work_rates.end())
       report.work_rate = work_rate->second;
--- a/src/core/router/process_handover.h
+++ b/src/core/router/process_handover.h
@@ -50,7 +50,7 @@
  private:
   [[nodiscard]] std::vector<RequestId> streaming_requests() const;
   void close_transferred(RequestState& request);
-  [[nodiscard]] NodeHandoverState report_of(const Node& node) const;
+  [[nodiscard]] NodeHandoverState node_handover_state(const Node& node) const;
   [[nodiscard]] static bool is_current(const NodeHandoverState& report, const Node& node, Micros reported_at);
 
   const RouterContext& context_;
