--- a/src/core/load_report.cpp
+++ b/src/core/load_report.cpp
@@ -40,7 +40,7 @@
 }  // namespace
 
 // One malformed item invalidates the whole report, since its other values may be wrong too.
-std::vector<float> parse_load(std::string_view report, const std::vector<std::string>& columns) {
+std::vector<float> parse_load_report(std::string_view report, const std::vector<std::string>& columns) {
   std::vector<float> values(columns.size(), std::numeric_limits<float>::quiet_NaN());
   bool any_found = false;
   while (!report.empty()) {
--- a/src/core/router/action_executor.cpp
+++ b/src/core/router/action_executor.cpp
@@ -118,7 +118,7 @@
   const auto on_result = [this, number, sent_at, endpoint = probe.endpoint](const AttemptResult& result) {
     probes_.erase(number);
     events_.enqueue(HealthResult{endpoint, result.outcome, context_.now() - sent_at,
-                                 parse_load(result.load_report, context_.settings.report_columns)});
+                                 parse_load_report(result.load_report, context_.settings.report_columns)});
   };
   auto call = context_.transport.probe(*node, on_result);
   probes_[number] = std::move(call);
--- a/src/core/router/attempt_results.cpp
+++ b/src/core/router/attempt_results.cpp
@@ -61,7 +61,7 @@
       ended->request,   result.outcome,
       request_finished, context_.now() - ended->sent_at,
       ended->endpoint,  result.cached_tokens,
-      ended->number,    parse_load(result.load_report, context_.settings.report_columns)};
+      ended->number,    parse_load_report(result.load_report, context_.settings.report_columns)};
   if (const Node* node = nodes_.find(ended->endpoint))
     reporter_.report_attempt(request, *ended, *node, completed);
   ended->call.reset();
--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -77,7 +77,7 @@
       nodes_.record_load_report(id, report.load_report, reported_at);
     ++applied;
     events_.enqueue(HealthResult{id, report.ejected ? Outcome::error : Outcome::ok, Micros(0),
-                                 parse_load(report.load_report, context_.settings.report_columns)});
+                                 parse_load_report(report.load_report, context_.settings.report_columns)});
   }
   scheduler_.adopt_learned_rates(context_.now(), learned_rates);
   logging::info() << "handover state applied: nodes=" << handover_state.nodes.size()
--- a/src/expect/read/requests.cpp
+++ b/src/expect/read/requests.cpp
@@ -129,7 +129,7 @@
 }
 
 void RequestReader::read_load(Section& in, std::string_view key, std::string& to) const {
-  if (in.text(key, to) && parse_load(to, setup_.platform.settings.report_columns).empty())
+  if (in.text(key, to) && parse_load_report(to, setup_.platform.settings.report_columns).empty())
     in.fault(key, "'" + to + "' is no load report with a column that the settings name");
 }
 
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -409,12 +409,12 @@
 
 void load_reports() {
   const std::vector<std::string> columns{"active", "waiting", "x0"};
-  const auto values = parse_load("inflight=7, queue=2,x0=0.5,other=1", columns);
+  const auto values = parse_load_report("inflight=7, queue=2,x0=0.5,other=1", columns);
   assert((values == std::vector<float>{7, 2, 0.5f}));
   for (const char* bad : {"", "x0", "x0=", "x0=nan", "x0=inf", "x0=1x", "=,=", "zz=1", ",,,", "x0=0.5,queue",
                           "x0=0.5,active=-1", "active=2,x0=1e30", "x0=0.5,active=1\x80"})
-    assert(parse_load(bad, columns).empty());
-  assert(std::isnan(parse_load("x0=1", columns)[0]));
+    assert(parse_load_report(bad, columns).empty());
+  assert(std::isnan(parse_load_report("x0=1", columns)[0]));
 }
 
 }  // namespace
