--- a/src/core/router/pending_release.h
+++ b/src/core/router/pending_release.h
@@ -36,7 +36,7 @@
   Micros due_at{};                         ///< the time by which a call has to arrive
   std::size_t tries = 0;                   ///< number of calls made
   std::map<EndpointId, std::size_t> calls_by_endpoint;  ///< number of calls made to each node
-  bool arrived = false;  ///< a node acknowledged a call while no attempt was in progress
+  bool acknowledged = false;  ///< a node acknowledged a call while no attempt was in progress
   /// The number of the attempt that was in progress when a node last acknowledged a call during an attempt.
   std::optional<std::uint16_t> acknowledged_during_attempt;
   std::vector<ReleaseCall> calls;  ///< calls in progress, the oldest first
--- a/src/core/router/release_calls.cpp
+++ b/src/core/router/release_calls.cpp
@@ -70,7 +70,7 @@
     return schedule_release(pending, context_.now());
   logging::debug() << "reservation released: request=" << pending.id
                    << " node=" << nodes_.name_of(call.endpoint);
-  pending.arrived = true;
+  pending.acknowledged = true;
   std::erase_if(pending.holders, [&](const ReservationHolder& holder) {
     return holder.endpoint == call.endpoint || !holder.prefill_may_complete;
   });
--- a/src/core/router/release_schedule.cpp
+++ b/src/core/router/release_schedule.cpp
@@ -45,7 +45,7 @@
   // Little time is left before the process ends, so more nodes are called, at shorter intervals.
   if (shutdown_deadline_ && now >= *shutdown_deadline_)
     return std::min(release_timeout() / calls_per_timeout, max_shutdown_interval);
-  if (pending.arrived)
+  if (pending.acknowledged)
     return std::min(release_timeout() / (notifies_other_nodes(pending) ? 4 : 2), max_interval);
   const Micros period = std::clamp(pending.due_at - pending.since, min_call_period, release_timeout());
   const Micros interval = period / calls_per_timeout;
--- a/src/core/router/release_targets.cpp
+++ b/src/core/router/release_targets.cpp
@@ -38,9 +38,9 @@
 const Node* ReleaseTargets::next_target(const PendingRelease& pending) const {
   const Node* holder = holder_target(pending);
   const bool holder_only = pending.tries % 2 == 0 || !schedule_.notifies_other_nodes(pending);
-  if (pending.arrived && holder && holder_only)
+  if (pending.acknowledged && holder && holder_only)
     return holder;
-  if (!pending.arrived && holder && pending.tries % holder_call_period == 0)
+  if (!pending.acknowledged && holder && pending.tries % holder_call_period == 0)
     return holder;
   const Node* other = other_target(pending);
   return other ? other : holder;
--- a/src/core/router/reservation_releaser.cpp
+++ b/src/core/router/reservation_releaser.cpp
@@ -98,7 +98,7 @@
   schedule_.limit_to_shutdown(pending);
   pending.tries = 0;
   pending.calls_by_endpoint.clear();
-  pending.arrived = false;
+  pending.acknowledged = false;
   try_release(pending);
 }
 
@@ -139,7 +139,7 @@
   if (request->is_streaming())
     return true;
   if (request->awaits_prefill_result())
-    return pending.arrived || context_.now() < pending.due_at - schedule_.release_timeout() / 2;
+    return pending.acknowledged || context_.now() < pending.due_at - schedule_.release_timeout() / 2;
   const bool acknowledged =
       request->attempt && pending.acknowledged_during_attempt == request->attempt->number;
   const bool expects_attempt = acknowledged || (request->client && request->has_reservation);
@@ -154,7 +154,7 @@
   pending.expires_at += pause;
   if (!request.awaits_prefill_result())
     pending.due_at = request.reservation_idle_since.value_or(now) + schedule_.release_timeout();
-  else if (pending.arrived)
+  else if (pending.acknowledged)
     pending.due_at = now + schedule_.release_timeout();
   schedule_.limit_to_shutdown(pending);
   schedule_release(pending, now + pause);
@@ -166,7 +166,7 @@
   std::erase_if(pending.holders, [&](const ReservationHolder& holder) {
     const Node* node = nodes_.find(holder.endpoint);
     if (!node)
-      return pending.arrived && !schedule_.notifies_other_nodes(pending);
+      return pending.acknowledged && !schedule_.notifies_other_nodes(pending);
     const Micros started_at = node->listed_start;
     return started_at != holder.process_started_at && started_at >= holder.since + clock_error;
   });
@@ -180,7 +180,7 @@
 // Each call uses a connection, and thus a file descriptor, of its own. Therefore, once its release has
 // arrived at any node, a release does not call a hanging holder that another release is calling.
 bool ReservationReleaser::waits_for_holder(const PendingRelease& pending, EndpointId endpoint) const {
-  if (!pending.arrived || nodes_.has_answered_since(endpoint, pending.since))
+  if (!pending.acknowledged || nodes_.has_answered_since(endpoint, pending.since))
     return false;
   const auto calls_endpoint = [&](const ReleaseCall& call) { return call.endpoint == endpoint; };
   return std::any_of(releases_.begin(), releases_.end(), [&](const PendingRelease& other) {
--- a/tests/core/release_targets_test.cpp
+++ b/tests/core/release_targets_test.cpp
@@ -86,7 +86,7 @@
 TEST_F(ReleaseTargetsTest, CallsOnlyHoldersAfterNotifyingOtherNodesForEightTimeouts) {
   (void)list_nodes({"r1", "w1"});
   add_holder("r1");
-  pending.arrived = true;
+  pending.acknowledged = true;
   pending.tries = 1;
   EXPECT_EQ(next_target_name(), "w1");
   clock.time += 8 * settings.reservation_release_timeout;
