--- a/src/core/router/pending_release.h
+++ b/src/core/router/pending_release.h
@@ -34,7 +34,7 @@
   Micros since{};                          ///< when the release was requested
   Micros expires_at{};                     ///< when the release is abandoned
   Micros due_at{};                         ///< the time by which a call has to arrive
-  std::size_t tries = 0;                   ///< number of calls made
+  std::size_t calls_made = 0;              ///< number of calls made
   std::map<EndpointId, std::size_t> calls_by_endpoint;  ///< number of calls made to each node
   bool acknowledged = false;  ///< a node acknowledged a call while no attempt was in progress
   /// The number of the attempt that was in progress when a node last acknowledged a call during an attempt.
--- a/src/core/router/release_calls.cpp
+++ b/src/core/router/release_calls.cpp
@@ -22,7 +22,7 @@
 void ReservationReleaser::send_release(PendingRelease& pending, const Node& node) {
   if (pending.calls.size() >= max_open_calls_per_release)
     pending.calls.erase(pending.calls.begin());
-  ++pending.tries;
+  ++pending.calls_made;
   ++pending.calls_by_endpoint[node.id];
   const std::uint64_t number = next_call_number_++;
   const RequestState* request = requests_.find(pending.request);
--- a/src/core/router/release_targets.cpp
+++ b/src/core/router/release_targets.cpp
@@ -37,10 +37,10 @@
 // called.
 const Node* ReleaseTargets::next_target(const PendingRelease& pending) const {
   const Node* holder = holder_target(pending);
-  const bool holder_only = pending.tries % 2 == 0 || !schedule_.notifies_other_nodes(pending);
+  const bool holder_only = pending.calls_made % 2 == 0 || !schedule_.notifies_other_nodes(pending);
   if (pending.acknowledged && holder && holder_only)
     return holder;
-  if (!pending.acknowledged && holder && pending.tries % holder_call_period == 0)
+  if (!pending.acknowledged && holder && pending.calls_made % holder_call_period == 0)
     return holder;
   const Node* other = other_target(pending);
   return other ? other : holder;
@@ -73,7 +73,7 @@
 // of one role may become unreachable together.
 const Node* ReleaseTargets::other_target(const PendingRelease& pending) const {
   const Role holder_role = nodes_.role_of(pending.holders.front().endpoint);
-  const bool prefers_holder_role = pending.tries % 2 == 0;
+  const bool prefers_holder_role = pending.calls_made % 2 == 0;
   const Node* best = nullptr;
   TargetRank lowest;
   for (const auto& [id, node] : nodes_.all()) {
--- a/src/core/router/reservation_releaser.cpp
+++ b/src/core/router/reservation_releaser.cpp
@@ -96,7 +96,7 @@
   pending.expires_at = pending.since + release_lifetime;
   pending.due_at = request.reservation_idle_since.value_or(pending.since) + schedule_.release_timeout();
   schedule_.limit_to_shutdown(pending);
-  pending.tries = 0;
+  pending.calls_made = 0;
   pending.calls_by_endpoint.clear();
   pending.acknowledged = false;
   try_release(pending);
@@ -111,7 +111,8 @@
   if (waits_for_attempt(pending))
     return postpone_release(pending, *requests_.find(pending.request));
   if (now >= pending.expires_at) {
-    logging::warn() << "reservation release abandoned: request=" << pending.id << " calls=" << pending.tries;
+    logging::warn() << "reservation release abandoned: request=" << pending.id
+                    << " calls=" << pending.calls_made;
     return drop_release(pending);
   }
   const Node* node = targets_.next_target(pending);
@@ -134,7 +135,7 @@
 // until the reservation must be released whether or not that attempt has arrived at its node.
 bool ReservationReleaser::waits_for_attempt(const PendingRelease& pending) const {
   const RequestState* request = requests_.find(pending.request);
-  if (pending.tries == 0 || !request)
+  if (pending.calls_made == 0 || !request)
     return false;
   if (request->is_streaming())
     return true;
--- a/tests/core/release_targets_test.cpp
+++ b/tests/core/release_targets_test.cpp
@@ -24,7 +24,7 @@
   // Records a call to the next target and returns its name.
   std::string call_next() {
     const std::string name = next_target_name();
-    ++pending.tries;
+    ++pending.calls_made;
     ++pending.calls_by_endpoint[id(name)];
     return name;
   }
@@ -87,7 +87,7 @@
   (void)list_nodes({"r1", "w1"});
   add_holder("r1");
   pending.acknowledged = true;
-  pending.tries = 1;
+  pending.calls_made = 1;
   EXPECT_EQ(next_target_name(), "w1");
   clock.time += 8 * settings.reservation_release_timeout;
   EXPECT_EQ(next_target_name(), "r1");
