--- a/src/core/router/attempt_runner.cpp
+++ b/src/core/router/attempt_runner.cpp
@@ -57,7 +57,7 @@
   const Micros now = context_.now();
   if (const auto reason = reason_not_to_send(request, number, send.endpoint, now)) {
     const bool request_finished = !request || !request->client;
-    events_.append(
+    events_.enqueue_deferred(
         AttemptCompleted{send.id, *reason, request_finished, Micros(0), send.endpoint, 0, number, {}});
     return;
   }
--- a/src/core/router/event_dispatcher.cpp
+++ b/src/core/router/event_dispatcher.cpp
@@ -8,11 +8,11 @@
     : handler_(handler), notify_change_(std::move(notify_change)) {}
 
 void EventDispatcher::enqueue(Event event) {
-  append(std::move(event));
+  enqueue_deferred(std::move(event));
   dispatch_events();
 }
 
-void EventDispatcher::append(Event event) {
+void EventDispatcher::enqueue_deferred(Event event) {
   events_.push_back(std::move(event));
 }
 
--- a/src/core/router/event_dispatcher.h
+++ b/src/core/router/event_dispatcher.h
@@ -32,7 +32,7 @@
   /// it.
   void enqueue(Event event);
   /// Queues an event without starting a delivery. Call it only while a delivery is in progress.
-  void append(Event event);
+  void enqueue_deferred(Event event);
 
  private:
   void dispatch_events();
--- a/tests/core/event_dispatcher_test.cpp
+++ b/tests/core/event_dispatcher_test.cpp
@@ -40,7 +40,7 @@
 
 TEST(EventDispatcherTest, AppendedEventIsHandledWithTheNextEnqueuedOne) {
   RecordingHandler handler;
-  handler.events.append(TimerFired{3});
+  handler.events.enqueue_deferred(TimerFired{3});
   EXPECT_TRUE(handler.calls.empty());
   handler.events.enqueue(TimerFired{4});
   const std::vector<std::string> expected = {"before",  "begin 3", "end 3", "before",
