--- a/src/core/router/node_registry.cpp
+++ b/src/core/router/node_registry.cpp
@@ -178,7 +178,7 @@
     last_contact_[id].last_failure = clock_.now();
 }
 
-bool NodeRegistry::suspected(EndpointId id) const {
+bool NodeRegistry::failed_at_last_contact(EndpointId id) const {
   const auto found = last_contact_.find(id);
   if (found == last_contact_.end())
     return false;
@@ -188,7 +188,7 @@
 
 bool NodeRegistry::has_answered_since(EndpointId id, Micros since) const {
   const auto found = last_contact_.find(id);
-  return found != last_contact_.end() && found->second.last_answer >= since && !suspected(id);
+  return found != last_contact_.end() && found->second.last_answer >= since && !failed_at_last_contact(id);
 }
 
 std::optional<Micros> NodeRegistry::last_answer(EndpointId id) const {
--- a/src/core/router/node_registry.h
+++ b/src/core/router/node_registry.h
@@ -118,7 +118,7 @@
   /// Records that a call to the node has failed now. Does nothing for an unlisted node.
   void record_failure(EndpointId id);
   /// Returns whether the last contact with the node was a failure.
-  [[nodiscard]] bool suspected(EndpointId id) const;
+  [[nodiscard]] bool failed_at_last_contact(EndpointId id) const;
   /// Returns whether the node has answered at `since` or later and has not failed after that answer.
   [[nodiscard]] bool has_answered_since(EndpointId id, Micros since) const;
   /// Returns the time of the last answer (0: none), or nothing if there was no contact at all.
--- a/src/core/router/release_schedule.cpp
+++ b/src/core/router/release_schedule.cpp
@@ -49,7 +49,7 @@
     return std::min(release_timeout() / (notifies_other_nodes(pending) ? 4 : 2), max_interval);
   const Micros period = std::clamp(pending.due_at - pending.since, min_call_period, release_timeout());
   const Micros interval = period / calls_per_timeout;
-  if (pending.calls_made <= 1 && nodes_.suspected(pending.holders.front().endpoint))
+  if (pending.calls_made <= 1 && nodes_.failed_at_last_contact(pending.holders.front().endpoint))
     return interval / 2;
   const auto timeouts_passed = (now - pending.since) / release_timeout();
   return std::min(interval * (1 + timeouts_passed), std::max(interval, max_interval));
--- a/src/core/router/release_targets.cpp
+++ b/src/core/router/release_targets.cpp
@@ -63,7 +63,7 @@
 }
 
 int ReleaseTargets::contact_rank(EndpointId endpoint) const {
-  if (nodes_.suspected(endpoint))
+  if (nodes_.failed_at_last_contact(endpoint))
     return 2;
   const auto last_answer = nodes_.last_answer(endpoint);
   return last_answer && context_.now() - *last_answer <= max_recent_answer_age ? 0 : 1;
--- a/tests/core/node_registry_test.cpp
+++ b/tests/core/node_registry_test.cpp
@@ -138,11 +138,11 @@
   EXPECT_TRUE(nodes.has_answered_since(id("r1"), clock.time));
   clock.time += 1ms;
   nodes.record_failure(id("r1"));
-  EXPECT_TRUE(nodes.suspected(id("r1")));
+  EXPECT_TRUE(nodes.failed_at_last_contact(id("r1")));
   EXPECT_FALSE(nodes.has_answered_since(id("r1"), clock.time - 1ms));
   clock.time += 1ms;
   nodes.record_answer(id("r1"));
-  EXPECT_FALSE(nodes.suspected(id("r1")));
+  EXPECT_FALSE(nodes.failed_at_last_contact(id("r1")));
 }
 
 TEST_F(NodeRegistryTest, RemovedNodeLosesItsLastContact) {
@@ -151,7 +151,7 @@
   (void)list_nodes({});
   nodes.record_failure(id("r1"));
   (void)list_nodes({"r1"});
-  EXPECT_FALSE(nodes.suspected(id("r1")));
+  EXPECT_FALSE(nodes.failed_at_last_contact(id("r1")));
   EXPECT_EQ(nodes.last_answer(id("r1")), std::nullopt);
 }
 
