--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -128,7 +128,7 @@
 auto fields(const Subscribe& a) {
   return std::tuple(a.on);
 }
-auto fields(const Snapshot&) {
+auto fields(const FetchEndpointList&) {
   return std::tuple();
 }
 auto fields(const EvictReservation& a) {
--- a/include/lemonroute/actions.h
+++ b/include/lemonroute/actions.h
@@ -67,7 +67,7 @@
 };
 
 /// Fetch the full endpoint list.
-struct Snapshot {};
+struct FetchEndpointList {};
 
 /// Release capacity that was reserved for a request ahead of its attempt.
 struct EvictReservation {
@@ -87,7 +87,7 @@
 
 /// Any action.
 using Action = std::variant<Send, RejectRequest, FailRequest, CancelAttempt, StartTimer, Probe,
-                            CloseIdleConnections, SendPeerMessage, Log, Subscribe, Snapshot, EvictReservation,
-                            ReserveCapacity, ReleaseReservation>;
+                            CloseIdleConnections, SendPeerMessage, Log, Subscribe, FetchEndpointList,
+                            EvictReservation, ReserveCapacity, ReleaseReservation>;
 
 }  // namespace lemonroute
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -256,7 +256,7 @@
   io(v.on);
 }
 template <class IO>
-void fields(IO&, Snapshot&) {}
+void fields(IO&, FetchEndpointList&) {}
 template <class IO>
 void fields(IO& io, EvictReservation& v) {
   io(v.id);
--- a/tests/wire/wire_test.cpp
+++ b/tests/wire/wire_test.cpp
@@ -90,7 +90,7 @@
                     {1, SendPeerMessage{1, "x"}},
                     {1, Log{"y"}},
                     {1, Subscribe{true}},
-                    {1, Snapshot{}},
+                    {1, FetchEndpointList{}},
                     {1, EvictReservation{1}},
                     {1, ReserveCapacity{1, 2}},
                     {1, ReleaseReservation{1}}};
