--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -125,7 +125,7 @@
 auto fields(const Log& a) {
   return std::tuple(digits(a.line));
 }
-auto fields(const Subscribe& a) {
+auto fields(const WatchEndpointList& a) {
   return std::tuple(a.on);
 }
 auto fields(const FetchEndpointList&) {
--- a/include/lemonroute/actions.h
+++ b/include/lemonroute/actions.h
@@ -62,7 +62,7 @@
 };
 
 /// Open or close the watch of the endpoint list.
-struct Subscribe {
+struct WatchEndpointList {
   bool on = true;  ///< true: open the watch, or poll once where the list is polled; false: close it
 };
 
@@ -87,7 +87,7 @@
 
 /// Any action.
 using Action = std::variant<Send, RejectRequest, FailRequest, CancelAttempt, StartTimer, Probe,
-                            CloseIdleConnections, SendPeerMessage, Log, Subscribe, FetchEndpointList,
+                            CloseIdleConnections, SendPeerMessage, Log, WatchEndpointList, FetchEndpointList,
                             EvictReservation, ReserveCapacity, ReleaseReservation>;
 
 }  // namespace lemonroute
--- a/src/core/router/action_executor.h
+++ b/src/core/router/action_executor.h
@@ -19,11 +19,12 @@
 namespace lemonroute {
 
 /// The actions that the core ignores. The Scheduler never returns ReserveCapacity or EvictReservation,
-/// whatever the settings allow. Only the simulator executes SendPeerMessage, Subscribe and FetchEndpointList:
-/// routers exchange datagrams with peers on a separate thread and always watch the endpoint list.
+/// whatever the settings allow. Only the simulator executes SendPeerMessage, WatchEndpointList and
+/// FetchEndpointList: routers exchange datagrams with peers on a separate thread and always watch the
+/// endpoint list.
 template <class Action>
 concept UnusedAction = std::same_as<Action, EvictReservation> || std::same_as<Action, ReserveCapacity> ||
-    std::same_as<Action, SendPeerMessage> || std::same_as<Action, Subscribe> ||
+    std::same_as<Action, SendPeerMessage> || std::same_as<Action, WatchEndpointList> ||
     std::same_as<Action, FetchEndpointList>;
 
 /// Passes each event to the Scheduler and executes the resulting actions in order. Owns the health checks
--- a/src/module/node_registry.cpp
+++ b/src/module/node_registry.cpp
@@ -27,7 +27,7 @@
   if (update.kind != EndpointListKind::from_cache)
     failed_polls_in_a_row_ = 0;
   else if (polls)
-    context_.emit(Subscribe{true});
+    context_.emit(WatchEndpointList{true});
   if (update.kind != EndpointListKind::incremental)
     for (auto& [id, node] : nodes_)
       node.endpoint_.state = EndpointState::removed;
@@ -52,7 +52,7 @@
 
 void NodeRegistry::handle_poll_timer() {
   if (context_.settings().discovery_on_request)
-    context_.emit(Subscribe{true});
+    context_.emit(WatchEndpointList{true});
 }
 
 void NodeRegistry::apply_endpoint(const Endpoint& endpoint) {
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -252,7 +252,7 @@
   io(ShortText{v.line});
 }
 template <class IO>
-void fields(IO& io, Subscribe& v) {
+void fields(IO& io, WatchEndpointList& v) {
   io(v.on);
 }
 template <class IO>
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -21,8 +21,8 @@
     std::variant<Create, Shutdown, EndpointListUpdate, Request, FirstTokenReceived, ReservationUpdate,
                  AttemptCompleted, ClientDisconnected, TimerFired, HealthResult, PeerMessage>;
 using AnyAction = std::variant<Broken, Send, RejectRequest, FailRequest, CancelAttempt, StartTimer, Probe,
-                               CloseIdleConnections, SendPeerMessage, Log, Subscribe, FetchEndpointList,
-                               EvictReservation, ReserveCapacity, ReleaseReservation>;
+                               CloseIdleConnections, SendPeerMessage, Log, WatchEndpointList,
+                               FetchEndpointList, EvictReservation, ReserveCapacity, ReleaseReservation>;
 
 template <class Body>
 struct Record {
--- a/tests/wire/wire_test.cpp
+++ b/tests/wire/wire_test.cpp
@@ -89,7 +89,7 @@
                     {1, CloseIdleConnections{1}},
                     {1, SendPeerMessage{1, "x"}},
                     {1, Log{"y"}},
-                    {1, Subscribe{true}},
+                    {1, WatchEndpointList{true}},
                     {1, FetchEndpointList{}},
                     {1, EvictReservation{1}},
                     {1, ReserveCapacity{1, 2}},
