--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -126,7 +126,7 @@
   return std::tuple(digits(a.line));
 }
 auto fields(const WatchEndpointList& a) {
-  return std::tuple(a.on);
+  return std::tuple(a.open);
 }
 auto fields(const FetchEndpointList&) {
   return std::tuple();
--- a/include/lemonroute/actions.h
+++ b/include/lemonroute/actions.h
@@ -63,7 +63,7 @@
 
 /// Open or close the watch of the endpoint list.
 struct WatchEndpointList {
-  bool on = true;  ///< true: open the watch, or poll once where the list is polled; false: close it
+  bool open = true;  ///< true: open the watch, or poll once where the list is polled; false: close it
 };
 
 /// Fetch the full endpoint list.
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -253,7 +253,7 @@
 }
 template <class IO>
 void fields(IO& io, WatchEndpointList& v) {
-  io(v.on);
+  io(v.open);
 }
 template <class IO>
 void fields(IO&, FetchEndpointList&) {}
