--- a/include/lemonroute/explanations.h
+++ b/include/lemonroute/explanations.h
@@ -15,14 +15,14 @@
   double recorded_match = 0;               ///< prompt tokens cached there, as recorded
   /// Prompt tokens cached there as the score counts them: recorded, or assumed because of cache affinity.
   double assumed_match = 0;
-  double prefill_rate = 0;   ///< microseconds per prompt token
-  double queued_tokens = 0;  ///< prompt tokens queued there
-  double load = 0;           ///< share of KV cache memory in use, as a decode node
-  double latency_ratio = 1;  ///< time to first token against the usual one, as a decode node
-  double failure_ratio = 0;  ///< share of recent attempts that failed, 0 to 1
-  Micros queue_wait{};       ///< estimated wait of this request before its prefill
-  Micros prefill_time{};     ///< estimated time of this request's prefill
-  int proximity = 0;         ///< to the node that holds the KV cache: 1 in its zone, 2 in its cell
+  double prefill_time_per_token = 0;  ///< microseconds per prompt token
+  double queued_tokens = 0;           ///< prompt tokens queued there
+  double load = 0;                    ///< share of KV cache memory in use, as a decode node
+  double latency_ratio = 1;           ///< time to first token against the usual one, as a decode node
+  double failure_ratio = 0;           ///< share of recent attempts that failed, 0 to 1
+  Micros queue_wait{};                ///< estimated wait of this request before its prefill
+  Micros prefill_time{};              ///< estimated time of this request's prefill
+  int proximity = 0;                  ///< to the node that holds the KV cache: 1 in its zone, 2 in its cell
   double score = 0;  ///< lowest is chosen; of decode nodes, the nearest among those close to the lowest
 };
 
--- a/src/module/choice_explainer.cpp
+++ b/src/module/choice_explainer.cpp
@@ -22,7 +22,7 @@
       .exclusion_reason = exclusion_reason,
       .recorded_match = prefills ? estimators_.prefix_cache.recorded_cached_tokens(node, request) : 0,
       .assumed_match = shown.assumed_cached_tokens,
-      .prefill_rate = time_per_token,
+      .prefill_time_per_token = time_per_token,
       .queued_tokens = estimators_.prefill_times.queued_tokens(node, time_per_token),
       .load = estimators_.decode_loads.load(node),
       .latency_ratio = estimators_.decode_loads.latency_ratio(node),
