--- a/include/lemonroute/explanations.h
+++ b/include/lemonroute/explanations.h
@@ -12,7 +12,7 @@
 struct Candidate {
   EndpointId endpoint = 0;                 ///< endpoint that the estimates describe
   const char* exclusion_reason = nullptr;  ///< why it was not eligible, in static storage; null: eligible
-  double recorded_match = 0;               ///< prompt tokens cached there, as recorded
+  double recorded_cached_tokens = 0;       ///< prompt tokens cached there, as recorded
   /// Prompt tokens cached there as the score counts them: recorded, or assumed because of cache affinity.
   double assumed_match = 0;
   double prefill_time_per_token = 0;  ///< microseconds per prompt token
--- a/src/expect/explanation.cpp
+++ b/src/expect/explanation.cpp
@@ -49,9 +49,9 @@
     out << std::setprecision(3) << std::setw(8) << one.load << std::setw(9) << one.latency_ratio
         << std::setw(9) << one.failure_ratio << std::setw(6) << one.proximity;
   else
-    out << std::setprecision(0) << std::setw(8) << one.recorded_match << std::setw(8) << one.assumed_match
-        << std::setprecision(1) << std::setw(9) << one.prefill_time_per_token << std::setprecision(0)
-        << std::setw(8) << one.queued_tokens << std::setw(10)
+    out << std::setprecision(0) << std::setw(8) << one.recorded_cached_tokens << std::setw(8)
+        << one.assumed_match << std::setprecision(1) << std::setw(9) << one.prefill_time_per_token
+        << std::setprecision(0) << std::setw(8) << one.queued_tokens << std::setw(10)
         << (one.exclusion_reason ? "-" : readable(one.queue_wait)) << std::setw(10)
         << (one.exclusion_reason ? "-" : readable(one.prefill_time)) << std::setprecision(3) << std::setw(9)
         << one.failure_ratio;
--- a/src/expect/report.cpp
+++ b/src/expect/report.cpp
@@ -94,7 +94,7 @@
     for (const auto& told : story.choices) {
       json candidates = json::array();
       for (const auto& c : told.choice.candidates) {
-        json candidate{{"node", told.names.at(c.endpoint)}, {"match", c.recorded_match},
+        json candidate{{"node", told.names.at(c.endpoint)}, {"match", c.recorded_cached_tokens},
                        {"credit", c.assumed_match},         {"rate_us", c.prefill_time_per_token},
                        {"unread", c.queued_tokens},         {"load", c.load},
                        {"slowness", c.latency_ratio},       {"failing", c.failure_ratio}};
--- a/tests/acceptance/evidence_test.cpp
+++ b/tests/acceptance/evidence_test.cpp
@@ -76,7 +76,7 @@
     fixture.scheduler.set_choice_observer([&](const Choice& choice) {
       for (const auto& one : choice.candidates)
         if (one.endpoint == at)
-          match = std::max(match, one.recorded_match);
+          match = std::max(match, one.recorded_cached_tokens);
     });
     fixture.serve(fixture.request(2300, 0, key), 50ms);
     fixture.scheduler.set_choice_observer({});
