--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -143,9 +143,9 @@
 
 /// The fields of one candidate of a choice; its reason counts by its presence alone.
 auto fields(const Candidate& c) {
-  return std::tuple(c.endpoint, c.exclusion_reason != nullptr, c.recorded_cached_tokens, c.assumed_match,
-                    c.prefill_time_per_token, c.queued_tokens, c.load, c.latency_ratio, c.failure_ratio,
-                    c.queue_wait, c.prefill_time, c.proximity, c.score);
+  return std::tuple(c.endpoint, c.exclusion_reason != nullptr, c.recorded_cached_tokens,
+                    c.assumed_cached_tokens, c.prefill_time_per_token, c.queued_tokens, c.load,
+                    c.latency_ratio, c.failure_ratio, c.queue_wait, c.prefill_time, c.proximity, c.score);
 }
 
 /// The fields of a choice itself, with the number of its candidates.
--- a/include/lemonroute/explanations.h
+++ b/include/lemonroute/explanations.h
@@ -14,7 +14,7 @@
   const char* exclusion_reason = nullptr;  ///< why it was not eligible, in static storage; null: eligible
   double recorded_cached_tokens = 0;       ///< prompt tokens cached there, as recorded
   /// Prompt tokens cached there as the score counts them: recorded, or assumed because of cache affinity.
-  double assumed_match = 0;
+  double assumed_cached_tokens = 0;
   double prefill_time_per_token = 0;  ///< microseconds per prompt token
   double queued_tokens = 0;           ///< prompt tokens queued there
   double load = 0;                    ///< share of KV cache memory in use, as a decode node
--- a/src/expect/explanation.cpp
+++ b/src/expect/explanation.cpp
@@ -50,7 +50,7 @@
         << std::setw(9) << one.failure_ratio << std::setw(6) << one.proximity;
   else
     out << std::setprecision(0) << std::setw(8) << one.recorded_cached_tokens << std::setw(8)
-        << one.assumed_match << std::setprecision(1) << std::setw(9) << one.prefill_time_per_token
+        << one.assumed_cached_tokens << std::setprecision(1) << std::setw(9) << one.prefill_time_per_token
         << std::setprecision(0) << std::setw(8) << one.queued_tokens << std::setw(10)
         << (one.exclusion_reason ? "-" : readable(one.queue_wait)) << std::setw(10)
         << (one.exclusion_reason ? "-" : readable(one.prefill_time)) << std::setprecision(3) << std::setw(9)
--- a/src/expect/report.cpp
+++ b/src/expect/report.cpp
@@ -95,7 +95,7 @@
       json candidates = json::array();
       for (const auto& c : told.choice.candidates) {
         json candidate{{"node", told.names.at(c.endpoint)}, {"match", c.recorded_cached_tokens},
-                       {"credit", c.assumed_match},         {"rate_us", c.prefill_time_per_token},
+                       {"credit", c.assumed_cached_tokens}, {"rate_us", c.prefill_time_per_token},
                        {"unread", c.queued_tokens},         {"load", c.load},
                        {"slowness", c.latency_ratio},       {"failing", c.failure_ratio}};
         if (c.exclusion_reason)
--- a/src/module/choice_explainer.cpp
+++ b/src/module/choice_explainer.cpp
@@ -21,7 +21,7 @@
       .endpoint = node.id(),
       .exclusion_reason = exclusion_reason,
       .recorded_cached_tokens = prefills ? estimators_.prefix_cache.recorded_cached_tokens(node, request) : 0,
-      .assumed_match = shown.assumed_cached_tokens,
+      .assumed_cached_tokens = shown.assumed_cached_tokens,
       .prefill_time_per_token = time_per_token,
       .queued_tokens = estimators_.prefill_times.queued_tokens(node, time_per_token),
       .load = estimators_.decode_loads.load(node),
