--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -576,8 +576,8 @@
   LearnedRates digest_rates() {
     ++coverage_.learned_rates;
     LearnedRates rates = scheduler_.learned_rates(now_);
-    digest_.add(rates.prefill_rates.size());
-    for (const auto& [role, rate] : rates.prefill_rates)
+    digest_.add(rates.prefill_times_per_token.size());
+    for (const auto& [role, rate] : rates.prefill_times_per_token)
       digest_.add(role), digest_.add(rate);
     digest_.add(rates.work_rates.size());
     for (const auto& [host, rate] : rates.work_rates)
--- a/include/lemonroute/scheduler.h
+++ b/include/lemonroute/scheduler.h
@@ -19,7 +19,8 @@
 
 /// Rates that one Scheduler has learned and that stay valid for its successor process.
 struct LearnedRates {
-  std::vector<std::pair<Role, double>> prefill_rates;  ///< usual microseconds per prompt token, by role
+  std::vector<std::pair<Role, double>>
+      prefill_times_per_token;  ///< usual microseconds per prompt token, by role
   /// Prompt tokens per microsecond that this router sends to each endpoint.
   std::vector<std::pair<EndpointId, double>> work_rates;
 };
--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -35,7 +35,7 @@
   const Micros now = context_.now();
   const std::vector<EndpointId> ejected = scheduler_.ejected_endpoints(now);
   LearnedRates learned_rates = scheduler_.learned_rates(now);
-  handover_state.prefill_rates = std::move(learned_rates.prefill_rates);
+  handover_state.prefill_times_per_token = std::move(learned_rates.prefill_times_per_token);
   const std::map<EndpointId, double> work_rates(learned_rates.work_rates.begin(),
                                                 learned_rates.work_rates.end());
   for (const auto& [id, node] : nodes_.all()) {
@@ -61,7 +61,7 @@
 // Each report is passed to the Scheduler as the result of one health check, so that the next results of the
 // node itself outweigh it.
 void ProcessHandover::apply_handover_state(const HandoverState& handover_state) {
-  LearnedRates learned_rates{handover_state.prefill_rates, {}};
+  LearnedRates learned_rates{handover_state.prefill_times_per_token, {}};
   std::size_t applied = 0;
   for (const NodeHandoverState& report : handover_state.nodes) {
     const Node* node = nodes_.find(report.node);
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -104,8 +104,8 @@
 };
 /// What one process of this router has learned about all nodes, for a process that has just started.
 struct HandoverState {
-  std::vector<NodeHandoverState> nodes;                ///< the ready nodes about which anything is known
-  std::vector<std::pair<Role, double>> prefill_rates;  ///< as in LearnedRates
+  std::vector<NodeHandoverState> nodes;  ///< the ready nodes about which anything is known
+  std::vector<std::pair<Role, double>> prefill_times_per_token;  ///< as in LearnedRates
 };
 
 /// The client of one request. A front implements it and owns it. Exactly one of finish, reject, fail and
--- a/src/module/scheduler.cpp
+++ b/src/module/scheduler.cpp
@@ -34,14 +34,14 @@
 }
 
 LearnedRates Scheduler::learned_rates(Micros now) const {
-  return {.prefill_rates = core_->estimators.prefill_times.usual_times_per_token(),
+  return {.prefill_times_per_token = core_->estimators.prefill_times.usual_times_per_token(),
           .work_rates = core_->estimators.slow_start.work_rates(now)};
 }
 
 // A process that takes over under load would measure its first prefills together with their waits,
 // overestimate the time per token and shed all requests. It adopts the rates of its predecessor instead.
 void Scheduler::adopt_learned_rates(Micros now, const LearnedRates& learned_rates) {
-  core_->estimators.prefill_times.adopt_usual_times_per_token(now, learned_rates.prefill_rates);
+  core_->estimators.prefill_times.adopt_usual_times_per_token(now, learned_rates.prefill_times_per_token);
   for (const auto& [endpoint, rate] : learned_rates.work_rates)
     if (decisions::Node* const node = core_->nodes.find(endpoint))
       core_->estimators.slow_start.adopt_work_rate(*node, rate, now);
--- a/src/ops/handover.cpp
+++ b/src/ops/handover.cpp
@@ -109,7 +109,7 @@
 
 void Handover::tell(const std::string& path, const HandoverState& handover_state) {
   auto rates = nlohmann::json::array();
-  for (const auto& [role, rate] : handover_state.prefill_rates)
+  for (const auto& [role, rate] : handover_state.prefill_times_per_token)
     rates.push_back({static_cast<int>(role), rate});
   const std::string begins = R"({"read_rates":)" + text_of(rates) + R"(,"nodes":[)", ends = "]}";
   std::string list;
@@ -158,8 +158,8 @@
     if (const auto nodes = all.find("nodes"); nodes != all.end()) {
       HandoverState handover_state;
       for (const auto& one : all.at("read_rates"))
-        handover_state.prefill_rates.emplace_back(static_cast<Role>(one.at(0).get<int>()),
-                                                  one.at(1).get<double>());
+        handover_state.prefill_times_per_token.emplace_back(static_cast<Role>(one.at(0).get<int>()),
+                                                            one.at(1).get<double>());
       for (const auto& one : *nodes)
         handover_state.nodes.push_back({one.at("node"), one.at("load"),
                                         Micros(one.at("age_us").get<Micros::rep>()), one.at("avoided"),
--- a/tests/formats/formats_test.cpp
+++ b/tests/formats/formats_test.cpp
@@ -259,7 +259,7 @@
 
   ASSERT_EQ(successor.states.size(), 1u);
   const std::vector<std::pair<Role, double>> read_rates{{Role::decode, 0.125}, {Role::mixed, 2.3}};
-  EXPECT_EQ(successor.states[0].prefill_rates, read_rates);
+  EXPECT_EQ(successor.states[0].prefill_times_per_token, read_rates);
 }
 
 TEST(Formats, WritesWhatIsToldOfNodesAsBefore) {
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -168,7 +168,8 @@
 
 void tells_the_other_process() {
   Bed bed;
-  assert(bed.core.handover_state().nodes.empty() && bed.core.handover_state().prefill_rates.empty());
+  assert(bed.core.handover_state().nodes.empty() &&
+         bed.core.handover_state().prefill_times_per_token.empty());
   bed.take();
   bed.pass(20ms);
   bed.done(Outcome::prefill_done);
@@ -183,7 +184,7 @@
   };
   assert(of("w").load_report == "active=2,x0=0.3" && of("w").age == 1s && of("w").work_rate > 0);
   assert(of("r").load_report.empty() && of("r").work_rate > 0);
-  const auto rates = bed.core.handover_state().prefill_rates;
+  const auto rates = bed.core.handover_state().prefill_times_per_token;
   assert(rates.size() == 1 && rates[0].first == Role::prefill && rates[0].second > 0);
   // Neither an old report nor one of a node that is out, or has started anew since.
   bed.core.update_endpoints(EndpointListKind::incremental, 2, {Bed::node("w", EndpointState::draining)});
@@ -235,7 +236,7 @@
   Bed bed;
   bed.core.apply_handover_state(
       {{}, {{Role::prefill, 0}, {Role::prefill, -1}, {Role::prefill, std::nan("")}}});
-  assert(bed.core.handover_state().prefill_rates.empty());
+  assert(bed.core.handover_state().prefill_times_per_token.empty());
 }
 
 // Nodes that have gone are forgotten, though an attempt is still out at one of them.
--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -718,7 +718,7 @@
       loop, path, [&](const TransferredStream&) { ++streams; },
       [&](const HandoverState& handover_state) {
         ++messages;
-        assert(handover_state.prefill_rates == rates);
+        assert(handover_state.prefill_times_per_token == rates);
         got.insert(got.end(), handover_state.nodes.begin(), handover_state.nodes.end());
       });
   std::vector<NodeHandoverState> sent;
