--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -207,13 +207,13 @@
 
 /// Draws machine kinds: mostly a kind for each stage and at times mixed ones, or roles at random.
 void draw_kinds(Generator& random, Settings& drawn) {
-  drawn.kind_role = {Role::prefill, Role::decode};
+  drawn.role_by_kind = {Role::prefill, Role::decode};
   if (random.one_in(2))
-    drawn.kind_role.push_back(Role::mixed);
+    drawn.role_by_kind.push_back(Role::mixed);
   if (random.one_in(5))
-    for (Role& role : drawn.kind_role)
+    for (Role& role : drawn.role_by_kind)
       role = random.any({Role::prefill, Role::decode, Role::mixed});
-  for (std::size_t kind = 0; kind < drawn.kind_role.size(); ++kind)
+  for (std::size_t kind = 0; kind < drawn.role_by_kind.size(); ++kind)
     drawn.kind_memory.push_back(random.any({0.0, 2e4, 1.5e5, 4e5}));
   if (random.one_in(10))
     drawn.kind_memory.pop_back();
@@ -602,7 +602,7 @@
     entry.id = next_host_++;
     entry.zone = static_cast<std::uint8_t>(random_.below(3));
     entry.cell = static_cast<std::uint16_t>(random_.below(4));
-    entry.kind = static_cast<std::uint8_t>(random_.below(settings_.kind_role.size() + random_.one_in(15)));
+    entry.kind = static_cast<std::uint8_t>(random_.below(settings_.role_by_kind.size() + random_.one_in(15)));
     entry.weight = static_cast<float>(random_.real(0.5, 2));
     entry.started_at = random_.one_in(3) ? now_ - random_.duration(0ms, 6s) : Micros(0);
     return entry;
@@ -654,8 +654,8 @@
   /// The role of a host by the settings of now.
   Role role_at(EndpointId host) const {
     for (const Endpoint& entry : hosts_)
-      if (entry.id == host && entry.kind < settings_.kind_role.size())
-        return settings_.kind_role[entry.kind];
+      if (entry.id == host && entry.kind < settings_.role_by_kind.size())
+        return settings_.role_by_kind[entry.kind];
     return Role::mixed;
   }
 
--- a/bench/grpc_streams.cpp
+++ b/bench/grpc_streams.cpp
@@ -48,7 +48,7 @@
   c.name = "k";
   c.latency_objective = c.deadline = std::chrono::minutes(10);
   s.classes = {c};
-  s.kind_role = {Role::prefill, Role::decode};
+  s.role_by_kind = {Role::prefill, Role::decode};
   s.kind_memory = {1e12, 1e12};
   s.max_attempts = 2;
   s.overload_window = std::chrono::seconds(1);
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -11,7 +11,7 @@
   chat.latency_objective = 1500ms;
   chat.deadline = 6s;
   settings.classes = {chat};
-  settings.kind_role = {lemonroute::Role::prefill, lemonroute::Role::decode};
+  settings.role_by_kind = {lemonroute::Role::prefill, lemonroute::Role::decode};
   settings.kind_memory = {200000, 150000};
   settings.max_attempts = 4;
 
--- a/include/lemonroute/events.h
+++ b/include/lemonroute/events.h
@@ -15,7 +15,7 @@
 struct Endpoint {
   EndpointId id = 0;       ///< never 0
   std::uint8_t zone = 0;   ///< zone, numbered as Settings::router_zone
-  std::uint8_t kind = 0;   ///< machine kind: index into Settings::kind_role and Settings::kind_memory
+  std::uint8_t kind = 0;   ///< machine kind: index into Settings::role_by_kind and Settings::kind_memory
   std::uint16_t cell = 0;  ///< cell: endpoints near each other; 0 where the list does not state it
   EndpointState state = EndpointState::ready;  ///< state in the list, or as overridden by an operator
   float weight = 1;                            ///< weight in the list; no decision depends on it
--- a/include/lemonroute/settings.h
+++ b/include/lemonroute/settings.h
@@ -39,7 +39,7 @@
 struct Settings {
   std::vector<ClassSettings> classes;       ///< by Request::class_index
   std::vector<TenantSettings> tenants;      ///< by Request::tenant_index
-  std::vector<Role> kind_role;              ///< by machine kind
+  std::vector<Role> role_by_kind;           ///< by machine kind
   std::vector<double> kind_memory;          ///< by machine kind: tokens of KV cache
   std::vector<std::string> report_columns;  ///< names of the values of a load report, in order
 
--- a/src/config/installation.cpp
+++ b/src/config/installation.cpp
@@ -180,7 +180,7 @@
     in.number("tokens", tokens, 1, 1e9);
     in.end();
     to.kinds.push_back(name);
-    s.kind_role.push_back(role);
+    s.role_by_kind.push_back(role);
     s.kind_memory.push_back(tokens);
   }
   if (to.kinds.size() > 255)
--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -292,7 +292,7 @@
   for (const auto& node : platform.known.nodes) {
     const auto kind =
         std::find(platform.kinds.begin(), platform.kinds.end(), node.kind) - platform.kinds.begin();
-    const auto& roles = platform.settings.kind_role;
+    const auto& roles = platform.settings.role_by_kind;
     if (kind < std::ssize(roles) && roles[kind] == Role::decode)
       there.insert({node.zone, node.cell});
   }
--- a/src/core/router/node_registry.cpp
+++ b/src/core/router/node_registry.cpp
@@ -145,9 +145,9 @@
 
 Role NodeRegistry::role_of(EndpointId id) const {
   const Node* node = find(id);
-  if (!node || node->endpoint.kind >= settings_.kind_role.size())
+  if (!node || node->endpoint.kind >= settings_.role_by_kind.size())
     return Role::mixed;
-  return settings_.kind_role[node->endpoint.kind];
+  return settings_.role_by_kind[node->endpoint.kind];
 }
 
 bool NodeRegistry::is_ready(EndpointId id) const {
--- a/src/expect/read/nodes.cpp
+++ b/src/expect/read/nodes.cpp
@@ -117,7 +117,7 @@
   // What follows from the settings: its role, and its capacity where it states none.
   void fill_in(ScriptedNode& node) const {
     const auto& kinds = setup_.platform.kinds;
-    const auto& roles = setup_.platform.settings.kind_role;
+    const auto& roles = setup_.platform.settings.role_by_kind;
     const auto at =
         static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
     node.role = at < roles.size() ? roles[at] : Role::mixed;
--- a/src/module/node_registry.cpp
+++ b/src/module/node_registry.cpp
@@ -73,7 +73,7 @@
 void NodeRegistry::apply_machine_kind(Node& node) const {
   const auto& settings = context_.settings();
   const std::size_t kind = node.endpoint_.kind;
-  node.role_ = kind < settings.kind_role.size() ? settings.kind_role[kind] : Role::mixed;
+  node.role_ = kind < settings.role_by_kind.size() ? settings.role_by_kind[kind] : Role::mixed;
   node.kv_cache_tokens_ = kind < settings.kind_memory.size() ? settings.kind_memory[kind] : 0;
 }
 
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -139,7 +139,7 @@
   }
   table.text("extra.kind-role");  // no role can be guessed
   for (const auto role : table.list("extra.kind-role"))
-    s.kind_role.push_back(table.choose<Role>(
+    s.role_by_kind.push_back(table.choose<Role>(
         "extra.kind-role", role, {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}));
   s.kind_memory = table.numbers("extra.tokens-by-kind");
   for (const auto column : table.list("report.columns"))
--- a/tests/acceptance/front_test.cpp
+++ b/tests/acceptance/front_test.cpp
@@ -53,7 +53,7 @@
     s.classes[0].name = "k";
     s.classes[0].latency_objective = 1500ms;
     s.classes[0].deadline = 7500ms;
-    s.kind_role = {Role::prefill, Role::decode};
+    s.role_by_kind = {Role::prefill, Role::decode};
     s.max_attempts = 6;
     s.cancellation_allowed = true;
     s.retry_after_allowed = most_retry_after > 0us;
--- a/tests/acceptance/late_connect_test.cpp
+++ b/tests/acceptance/late_connect_test.cpp
@@ -40,7 +40,7 @@
   s.classes[0].name = "k";
   s.classes[0].latency_objective = 2s;
   s.classes[0].deadline = 30s;
-  s.kind_role = {Role::prefill, Role::decode};
+  s.role_by_kind = {Role::prefill, Role::decode};
   s.max_attempts = 6;
   s.connect_timeout = limits.connect_timeout;
   Router core(s, {"a"}, {"r", "w"}, 1, clock, nodes);
--- a/tests/acceptance/soak_test.cpp
+++ b/tests/acceptance/soak_test.cpp
@@ -110,7 +110,7 @@
     c.latency_objective = 1500ms;
     c.deadline = 6s;
     s.classes = {c};
-    s.kind_role = {Role::prefill, Role::decode};
+    s.role_by_kind = {Role::prefill, Role::decode};
     s.kind_memory = {200000, 150000};
     s.report_columns = {"x0"};
     s.report_x0_is_memory = true;
--- a/tests/conformance/server_cases.cpp
+++ b/tests/conformance/server_cases.cpp
@@ -83,7 +83,7 @@
   c.latency_objective = std::chrono::seconds(2);
   c.deadline = std::chrono::seconds(6);
   s.classes = {c};
-  s.kind_role = {Role::prefill, Role::decode};
+  s.role_by_kind = {Role::prefill, Role::decode};
   s.kind_memory = {200000, 150000};
   s.max_attempts = 2;
   s.cancellation_allowed = s.retry_after_allowed = true;
--- a/tests/core/class_test_support.h
+++ b/tests/core/class_test_support.h
@@ -48,7 +48,7 @@
 struct RouterClassFixture {
   RouterClassFixture() {
     logging::set_level(logging::Level::error);
-    settings.kind_role = {Role::prefill, Role::decode};
+    settings.role_by_kind = {Role::prefill, Role::decode};
     settings.reservation_release_timeout = 800ms;
   }
   EndpointListUpdate list_nodes(const std::vector<std::string>& names) {
--- a/tests/core/random_source.h
+++ b/tests/core/random_source.h
@@ -50,7 +50,7 @@
       settings.classes.push_back(class_settings);
     }
     shuffle(settings.classes);
-    settings.kind_role = {Role::prefill, Role::decode, Role::mixed};
+    settings.role_by_kind = {Role::prefill, Role::decode, Role::mixed};
     settings.kind_memory = {200000, 150000, 150000};
     settings.max_attempts = pick<std::uint32_t>({1, 2, 2, 3, 3, 4, 4, 5, 5, 6, 6});
     settings.cancellation_allowed = one_in(2);
--- a/tests/crossings/http/stream_play.h
+++ b/tests/crossings/http/stream_play.h
@@ -79,7 +79,7 @@
     s.classes[0].name = "k";
     s.classes[0].latency_objective = 30s;
     s.classes[0].deadline = 60s;
-    s.kind_role = {Role::prefill, Role::decode};
+    s.role_by_kind = {Role::prefill, Role::decode};
     s.max_attempts = 6;
     return s;
   }
--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -144,7 +144,7 @@
         ++play.seen_.safe_again;
       const auto kind =
           static_cast<std::size_t>(std::find(kinds.begin(), kinds.end(), node.kind) - kinds.begin());
-      return std::make_unique<Run>(play, prompt.id, attempt, settings.kind_role.at(kind) != Role::prefill);
+      return std::make_unique<Run>(play, prompt.id, attempt, settings.role_by_kind.at(kind) != Role::prefill);
     }
     std::unique_ptr<Call> adopt_stream(const Node& node, const TransferredConnection&,
                                        AttemptHandler& attempt) override {
@@ -192,7 +192,7 @@
       c.streaming = true;
       s.classes.push_back(c);
     }
-    s.kind_role = {Role::prefill, Role::decode, Role::mixed};
+    s.role_by_kind = {Role::prefill, Role::decode, Role::mixed};
     s.kind_memory = {200000, 150000, 150000};
     s.max_attempts = static_cast<std::uint32_t>(2 + below(5));
     s.cancellation_allowed = !one_in(4);
@@ -364,7 +364,7 @@
     if (!kinds_fixed_ && one_in(2))
       std::swap(roles["r"], roles["w"]);
     for (std::size_t i = 0; i < process.kinds.size(); ++i)
-      s.kind_role[i] = roles[process.kinds[i]];
+      s.role_by_kind[i] = roles[process.kinds[i]];
     process.settings = s;
     seen_.retuned_open += process.core.open_request_count() > 0;
     process.core.update_settings(s, {"z"}, process.kinds);
--- a/tests/module/rules_test.cpp
+++ b/tests/module/rules_test.cpp
@@ -248,7 +248,7 @@
     EXPECT_TRUE(open.is_open && !open.answered) << "sent after its end: request " << send.id;
     ASSERT_TRUE(listed.count(send.endpoint)) << "endpoint was never listed";
     EXPECT_EQ(listed.at(send.endpoint).state, EndpointState::ready);
-    const Role role = settings.kind_role[listed.at(send.endpoint).kind];
+    const Role role = settings.role_by_kind[listed.at(send.endpoint).kind];
     EXPECT_LT(open.attempts.size(), settings.max_attempts);
     const auto idempotency = settings.classes[open.request.class_index].idempotency;
     if (has_outstanding_attempt(open)) {
--- a/tests/module/support.h
+++ b/tests/module/support.h
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// Machine kinds: indexes into Settings::kind_role of settings().
+// Machine kinds: indexes into Settings::role_by_kind of settings().
 inline constexpr std::uint8_t prefill_kind = 0, decode_kind = 1, mixed_kind = 2;
 
 // Request classes: indexes into Settings::classes of settings(). Class 0 is idempotent.
@@ -34,7 +34,7 @@
   not_idempotent.name = "unsafe";
   not_idempotent.idempotency = Idempotency::not_idempotent;
   s.classes = {idempotent, idempotent_with_key, not_idempotent};
-  s.kind_role = {Role::prefill, Role::decode, Role::mixed};
+  s.role_by_kind = {Role::prefill, Role::decode, Role::mixed};
   s.kind_memory = {200000, 150000, 200000};
   s.cancellation_allowed = true;
   s.retry_after_allowed = true;
--- a/tests/net/core_bed.h
+++ b/tests/net/core_bed.h
@@ -76,7 +76,7 @@
   c.latency_objective = 1500ms;
   c.deadline = 6s;
   s.classes = {c};
-  s.kind_role = {Role::prefill, Role::decode};
+  s.role_by_kind = {Role::prefill, Role::decode};
   s.kind_memory = {200000, 150000};
   s.report_columns = {"active", "x0"};
   s.max_attempts = 6;
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -216,7 +216,7 @@
   c.latency_objective = 4s;
   c.deadline = 5s;
   s.classes = {c};
-  s.kind_role = {Role::prefill, Role::decode};
+  s.role_by_kind = {Role::prefill, Role::decode};
   s.kind_memory = {1e9, 1e9};
   s.max_attempts = 6;
   s.cancellation_allowed = s.retry_after_allowed = true;
--- a/tests/net/scenario.cpp
+++ b/tests/net/scenario.cpp
@@ -414,7 +414,7 @@
   c.inter_token_objective = std::chrono::milliseconds(70);
   c.streaming = true;
   s.classes = {c};
-  s.kind_role = {Role::prefill, Role::decode};
+  s.role_by_kind = {Role::prefill, Role::decode};
   s.kind_memory = {200000, 150000};
   s.max_attempts = 6;
   s.cancellation_allowed = s.retry_after_allowed = true;
@@ -549,7 +549,7 @@
     Settings now = settings();
     now.classes[0].name = kind;
     now.max_attempts = static_cast<std::uint32_t>(attempts);
-    std::swap(now.kind_role[0], now.kind_role[1]);
+    std::swap(now.role_by_kind[0], now.role_by_kind[1]);
     core_->update_settings(now, {"a"}, {"scrittura", "lettura"});  // the kinds trade places
   }
   void drain(const string& verb) {
--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -595,7 +595,7 @@
   NoNodes nodes;
   Router core{[] {
                 Settings s;
-                s.kind_role = {Role::prefill};
+                s.role_by_kind = {Role::prefill};
                 return s;
               }(),
               {"a"},
--- a/tests/pools/config_test.cpp
+++ b/tests/pools/config_test.cpp
@@ -91,7 +91,7 @@
   Installation in;
   in.fixed = true;
   in.platform.kinds = {"reader", "writer"};
-  in.platform.settings.kind_role = {Role::prefill, Role::decode};
+  in.platform.settings.role_by_kind = {Role::prefill, Role::decode};
   for (const auto& [kind, cell] : {std::pair("writer", 1), std::pair("reader", 2)}) {
     Router::ListedNode node;
     node.name = kind;
--- a/tests/wire/settings_test.cpp
+++ b/tests/wire/settings_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_EQ(s.classes[0].retry_scope, RetryScope::zone);
   EXPECT_EQ(s.classes[0].retry_window, Micros(5000000));
   EXPECT_EQ(s.classes[0].latency_objective_per_1000_tokens, Micros(40000));
-  EXPECT_EQ(s.kind_role, (std::vector<Role>{Role::prefill, Role::decode, Role::mixed}));
+  EXPECT_EQ(s.role_by_kind, (std::vector<Role>{Role::prefill, Role::decode, Role::mixed}));
   EXPECT_EQ(s.tenants.at(0).quota_rps, 20);
   EXPECT_EQ(s.report_columns, (std::vector<std::string>{"active", "x0"}));
   EXPECT_TRUE(s.report_x0_is_memory);
