--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -214,9 +214,9 @@
     for (Role& role : drawn.role_by_kind)
       role = random.any({Role::prefill, Role::decode, Role::mixed});
   for (std::size_t kind = 0; kind < drawn.role_by_kind.size(); ++kind)
-    drawn.kind_memory.push_back(random.any({0.0, 2e4, 1.5e5, 4e5}));
+    drawn.kv_cache_tokens_by_kind.push_back(random.any({0.0, 2e4, 1.5e5, 4e5}));
   if (random.one_in(10))
-    drawn.kind_memory.pop_back();
+    drawn.kv_cache_tokens_by_kind.pop_back();
 }
 
 /// Draws what load reports are said to contain.
--- a/bench/grpc_streams.cpp
+++ b/bench/grpc_streams.cpp
@@ -49,7 +49,7 @@
   c.latency_objective = c.deadline = std::chrono::minutes(10);
   s.classes = {c};
   s.role_by_kind = {Role::prefill, Role::decode};
-  s.kind_memory = {1e12, 1e12};
+  s.kv_cache_tokens_by_kind = {1e12, 1e12};
   s.max_attempts = 2;
   s.overload_window = std::chrono::seconds(1);
   return s;
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -12,7 +12,7 @@
   chat.deadline = 6s;
   settings.classes = {chat};
   settings.role_by_kind = {lemonroute::Role::prefill, lemonroute::Role::decode};
-  settings.kind_memory = {200000, 150000};
+  settings.kv_cache_tokens_by_kind = {200000, 150000};
   settings.max_attempts = 4;
 
   lemonroute::Scheduler scheduler(settings, 1);
--- a/include/lemonroute/events.h
+++ b/include/lemonroute/events.h
@@ -13,9 +13,10 @@
 
 /// One endpoint of the endpoint list.
 struct Endpoint {
-  EndpointId id = 0;       ///< never 0
-  std::uint8_t zone = 0;   ///< zone, numbered as Settings::router_zone
-  std::uint8_t kind = 0;   ///< machine kind: index into Settings::role_by_kind and Settings::kind_memory
+  EndpointId id = 0;      ///< never 0
+  std::uint8_t zone = 0;  ///< zone, numbered as Settings::router_zone
+  std::uint8_t kind =
+      0;  ///< machine kind: index into Settings::role_by_kind and Settings::kv_cache_tokens_by_kind
   std::uint16_t cell = 0;  ///< cell: endpoints near each other; 0 where the list does not state it
   EndpointState state = EndpointState::ready;  ///< state in the list, or as overridden by an operator
   float weight = 1;                            ///< weight in the list; no decision depends on it
--- a/include/lemonroute/settings.h
+++ b/include/lemonroute/settings.h
@@ -37,11 +37,11 @@
 
 /// All settings of one router.
 struct Settings {
-  std::vector<ClassSettings> classes;       ///< by Request::class_index
-  std::vector<TenantSettings> tenants;      ///< by Request::tenant_index
-  std::vector<Role> role_by_kind;           ///< by machine kind
-  std::vector<double> kind_memory;          ///< by machine kind: tokens of KV cache
-  std::vector<std::string> report_columns;  ///< names of the values of a load report, in order
+  std::vector<ClassSettings> classes;           ///< by Request::class_index
+  std::vector<TenantSettings> tenants;          ///< by Request::tenant_index
+  std::vector<Role> role_by_kind;               ///< by machine kind
+  std::vector<double> kv_cache_tokens_by_kind;  ///< by machine kind: tokens of KV cache
+  std::vector<std::string> report_columns;      ///< names of the values of a load report, in order
 
   bool report_x0_is_memory = false;         ///< column x0 is the share of KV cache memory in use, 0 to 1
   bool report_x1_is_queued_tokens = false;  ///< column x1 is the prompt tokens queued, in thousands
--- a/src/config/installation.cpp
+++ b/src/config/installation.cpp
@@ -181,7 +181,7 @@
     in.end();
     to.kinds.push_back(name);
     s.role_by_kind.push_back(role);
-    s.kind_memory.push_back(tokens);
+    s.kv_cache_tokens_by_kind.push_back(tokens);
   }
   if (to.kinds.size() > 255)
     file.fault("kinds", "there are more than 255");
--- a/src/core/router/observer_reporter.cpp
+++ b/src/core/router/observer_reporter.cpp
@@ -60,7 +60,7 @@
   if (!observer_)
     return;
   const Micros now = context_.now();
-  const auto& kind_memory = context_.settings.kind_memory;
+  const auto& kv_cache_tokens_by_kind = context_.settings.kv_cache_tokens_by_kind;
   double memory = 0, own_tokens = 0;
   std::uint32_t decode_nodes = 0;
   for (const auto& [id, node] : nodes_.all()) {
@@ -68,7 +68,7 @@
       continue;
     ++decode_nodes;
     const auto kind = node.endpoint.kind;
-    memory += kind < kind_memory.size() ? kind_memory[kind] : 0;
+    memory += kind < kv_cache_tokens_by_kind.size() ? kv_cache_tokens_by_kind[kind] : 0;
   }
   for (const auto& [id, request] : requests_.all())
     if (request->attempt && request->attempt->role != Role::prefill)
--- a/src/expect/contrast.cpp
+++ b/src/expect/contrast.cpp
@@ -133,9 +133,9 @@
     real("over_share_worth", &Settings::over_quota_priority_weight);
   flag("report_memory", &Settings::report_x0_is_memory);
   flag("report_unread", &Settings::report_x1_is_queued_tokens);
-  for (std::size_t i = 0; i < setup.platform.settings.kind_memory.size(); ++i)
+  for (std::size_t i = 0; i < setup.platform.settings.kv_cache_tokens_by_kind.size(); ++i)
     scaled<double>(knobs, "kinds." + setup.platform.kinds[i] + ".tokens",
-                   [i](Settings& s) -> double& { return s.kind_memory[i]; });
+                   [i](Settings& s) -> double& { return s.kv_cache_tokens_by_kind[i]; });
   for (std::size_t i = 0; i < setup.platform.settings.classes.size(); ++i) {
     const ClassSettings& c = setup.platform.settings.classes[i];
     const std::string in = "classes." + c.name + ".";
--- a/src/module/node_registry.cpp
+++ b/src/module/node_registry.cpp
@@ -74,7 +74,8 @@
   const auto& settings = context_.settings();
   const std::size_t kind = node.endpoint_.kind;
   node.role_ = kind < settings.role_by_kind.size() ? settings.role_by_kind[kind] : Role::mixed;
-  node.kv_cache_tokens_ = kind < settings.kind_memory.size() ? settings.kind_memory[kind] : 0;
+  node.kv_cache_tokens_ =
+      kind < settings.kv_cache_tokens_by_kind.size() ? settings.kv_cache_tokens_by_kind[kind] : 0;
 }
 
 void NodeRegistry::apply_machine_kinds() {
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -141,7 +141,7 @@
   for (const auto role : table.list("extra.kind-role"))
     s.role_by_kind.push_back(table.choose<Role>(
         "extra.kind-role", role, {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}));
-  s.kind_memory = table.numbers("extra.tokens-by-kind");
+  s.kv_cache_tokens_by_kind = table.numbers("extra.tokens-by-kind");
   for (const auto column : table.list("report.columns"))
     s.report_columns.emplace_back(column);
   s.report_x0_is_memory = table.text("extra.report-x0", "").find("memory") != std::string_view::npos;
--- a/tests/acceptance/soak_test.cpp
+++ b/tests/acceptance/soak_test.cpp
@@ -111,7 +111,7 @@
     c.deadline = 6s;
     s.classes = {c};
     s.role_by_kind = {Role::prefill, Role::decode};
-    s.kind_memory = {200000, 150000};
+    s.kv_cache_tokens_by_kind = {200000, 150000};
     s.report_columns = {"x0"};
     s.report_x0_is_memory = true;
     s.max_attempts = 6;
--- a/tests/conformance/server_cases.cpp
+++ b/tests/conformance/server_cases.cpp
@@ -84,7 +84,7 @@
   c.deadline = std::chrono::seconds(6);
   s.classes = {c};
   s.role_by_kind = {Role::prefill, Role::decode};
-  s.kind_memory = {200000, 150000};
+  s.kv_cache_tokens_by_kind = {200000, 150000};
   s.max_attempts = 2;
   s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = std::chrono::seconds(1);
--- a/tests/core/random_source.h
+++ b/tests/core/random_source.h
@@ -51,7 +51,7 @@
     }
     shuffle(settings.classes);
     settings.role_by_kind = {Role::prefill, Role::decode, Role::mixed};
-    settings.kind_memory = {200000, 150000, 150000};
+    settings.kv_cache_tokens_by_kind = {200000, 150000, 150000};
     settings.max_attempts = pick<std::uint32_t>({1, 2, 2, 3, 3, 4, 4, 5, 5, 6, 6});
     settings.cancellation_allowed = one_in(2);
     settings.retry_after_allowed = one_in(2);
--- a/tests/deployments/once_play.h
+++ b/tests/deployments/once_play.h
@@ -193,7 +193,7 @@
       s.classes.push_back(c);
     }
     s.role_by_kind = {Role::prefill, Role::decode, Role::mixed};
-    s.kind_memory = {200000, 150000, 150000};
+    s.kv_cache_tokens_by_kind = {200000, 150000, 150000};
     s.max_attempts = static_cast<std::uint32_t>(2 + below(5));
     s.cancellation_allowed = !one_in(4);
     s.retry_after_allowed = true;
--- a/tests/module/slow_start_test.cpp
+++ b/tests/module/slow_start_test.cpp
@@ -53,7 +53,7 @@
     };
     settings_ = settings();
     settings_.router_count = fleet_case.routers;
-    settings_.kind_memory = {1e9, 1e9, 1e9};
+    settings_.kv_cache_tokens_by_kind = {1e9, 1e9, 1e9};
     for (auto& class_settings : settings_.classes)
       class_settings.latency_objective = 5s, class_settings.deadline = 8s;
     settings_.overload_factor = draw(2, 4);
--- a/tests/module/support.h
+++ b/tests/module/support.h
@@ -35,7 +35,7 @@
   not_idempotent.idempotency = Idempotency::not_idempotent;
   s.classes = {idempotent, idempotent_with_key, not_idempotent};
   s.role_by_kind = {Role::prefill, Role::decode, Role::mixed};
-  s.kind_memory = {200000, 150000, 200000};
+  s.kv_cache_tokens_by_kind = {200000, 150000, 200000};
   s.cancellation_allowed = true;
   s.retry_after_allowed = true;
   s.max_attempts = 5;
--- a/tests/net/core_bed.h
+++ b/tests/net/core_bed.h
@@ -77,7 +77,7 @@
   c.deadline = 6s;
   s.classes = {c};
   s.role_by_kind = {Role::prefill, Role::decode};
-  s.kind_memory = {200000, 150000};
+  s.kv_cache_tokens_by_kind = {200000, 150000};
   s.report_columns = {"active", "x0"};
   s.max_attempts = 6;
   s.cancellation_allowed = true;
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -217,7 +217,7 @@
   c.deadline = 5s;
   s.classes = {c};
   s.role_by_kind = {Role::prefill, Role::decode};
-  s.kind_memory = {1e9, 1e9};
+  s.kv_cache_tokens_by_kind = {1e9, 1e9};
   s.max_attempts = 6;
   s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = 1s;
