--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -230,7 +230,7 @@
 
 /// Draws the switches, each of which turns a behaviour of the module on or off.
 void draw_switches(Generator& random, Settings& drawn) {
-  drawn.discovery_on_request = random.one_in(2);
+  drawn.endpoint_list_is_polled = random.one_in(2);
   drawn.decode_nodes_prefill = random.one_in(2);
   drawn.stream_resume_allowed = random.one_in(2);
   drawn.reservation_allowed = random.one_in(2);
--- a/include/lemonroute/settings.h
+++ b/include/lemonroute/settings.h
@@ -46,7 +46,7 @@
   bool report_x0_is_memory = false;         ///< column x0 is the share of KV cache memory in use, 0 to 1
   bool report_x1_is_queued_tokens = false;  ///< column x1 is the prompt tokens queued, in thousands
   bool report_by_probe = false;             ///< load reports come with health checks only
-  bool discovery_on_request = false;        ///< the endpoint list is polled instead of pushed
+  bool endpoint_list_is_polled = false;     ///< the endpoint list is polled instead of pushed
   bool decode_nodes_prefill = false;        ///< a decode node may prefill
   bool stream_resume_allowed = false;       ///< an interrupted stream may continue at another node
   bool reservation_allowed = false;         ///< capacity at a decode node may be reserved in advance
--- a/src/cli/start.cpp
+++ b/src/cli/start.cpp
@@ -61,7 +61,7 @@
 }
 
 discovery::Lists lists_of(const Settings& settings) {
-  return settings.discovery_on_request ? discovery::Lists::asked : discovery::Lists::pushed;
+  return settings.endpoint_list_is_polled ? discovery::Lists::asked : discovery::Lists::pushed;
 }
 
 std::unique_ptr<discovery::Watch> first_list(net::Loop& loop, const config::Platform& platform,
--- a/src/module/node_registry.cpp
+++ b/src/module/node_registry.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void NodeRegistry::handle(const EndpointListUpdate& update) {
-  const bool polls = context_.settings().discovery_on_request;
+  const bool polls = context_.settings().endpoint_list_is_polled;
   if (update.kind == EndpointListKind::fetch_failed) {
     if (polls)
       poll_again_later();
@@ -51,7 +51,7 @@
 }
 
 void NodeRegistry::handle_poll_timer() {
-  if (context_.settings().discovery_on_request)
+  if (context_.settings().endpoint_list_is_polled)
     context_.emit(WatchEndpointList{true});
 }
 
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -148,7 +148,7 @@
   s.report_x1_is_queued_tokens =
       table.text("extra.report-x1", "").find("prompt_tokens") != std::string_view::npos;
   s.report_by_probe = table.text("report.how", "") == "pull";
-  s.discovery_on_request =
+  s.endpoint_list_is_polled =
       table.has("discovery") && table.pick<bool>("discovery", {{"pushed", false}, {"on_request", true}});
   s.decode_nodes_prefill = table.flag("extra.read-in-place", false);
   s.stream_resume_allowed = table.flag("extra.resume", false);
--- a/tests/wire/settings_test.cpp
+++ b/tests/wire/settings_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_TRUE(s.report_x0_is_memory);
   EXPECT_TRUE(s.cancellation_allowed);
   EXPECT_FALSE(s.hedging_allowed);
-  EXPECT_TRUE(s.discovery_on_request);
+  EXPECT_TRUE(s.endpoint_list_is_polled);
   EXPECT_EQ(s.overload_factor, 4.0);
 }
 
