--- a/bench/decision_trace.cpp
+++ b/bench/decision_trace.cpp
@@ -125,10 +125,10 @@
 auto fields(const Log& a) {
   return std::tuple(digits(a.line));
 }
-auto fields(const Subscribe& a) {
-  return std::tuple(a.on);
+auto fields(const WatchEndpointList& a) {
+  return std::tuple(a.open);
 }
-auto fields(const Snapshot&) {
+auto fields(const FetchEndpointList&) {
   return std::tuple();
 }
 auto fields(const EvictReservation& a) {
@@ -143,9 +143,9 @@
 
 /// The fields of one candidate of a choice; its reason counts by its presence alone.
 auto fields(const Candidate& c) {
-  return std::tuple(c.endpoint, c.exclusion_reason != nullptr, c.recorded_match, c.assumed_match,
-                    c.prefill_rate, c.queued_tokens, c.load, c.latency_ratio, c.failure_ratio, c.queue_wait,
-                    c.prefill_time, c.proximity, c.score);
+  return std::tuple(c.endpoint, c.exclusion_reason != nullptr, c.recorded_cached_tokens,
+                    c.assumed_cached_tokens, c.prefill_time_per_token, c.queued_tokens, c.load,
+                    c.latency_ratio, c.failure_ratio, c.queue_wait, c.prefill_time, c.proximity, c.score);
 }
 
 /// The fields of a choice itself, with the number of its candidates.
@@ -207,16 +207,16 @@
 
 /// Draws machine kinds: mostly a kind for each stage and at times mixed ones, or roles at random.
 void draw_kinds(Generator& random, Settings& drawn) {
-  drawn.kind_role = {Role::prefill, Role::decode};
+  drawn.role_by_kind = {Role::prefill, Role::decode};
   if (random.one_in(2))
-    drawn.kind_role.push_back(Role::mixed);
+    drawn.role_by_kind.push_back(Role::mixed);
   if (random.one_in(5))
-    for (Role& role : drawn.kind_role)
+    for (Role& role : drawn.role_by_kind)
       role = random.any({Role::prefill, Role::decode, Role::mixed});
-  for (std::size_t kind = 0; kind < drawn.kind_role.size(); ++kind)
-    drawn.kind_memory.push_back(random.any({0.0, 2e4, 1.5e5, 4e5}));
+  for (std::size_t kind = 0; kind < drawn.role_by_kind.size(); ++kind)
+    drawn.kv_cache_tokens_by_kind.push_back(random.any({0.0, 2e4, 1.5e5, 4e5}));
   if (random.one_in(10))
-    drawn.kind_memory.pop_back();
+    drawn.kv_cache_tokens_by_kind.pop_back();
 }
 
 /// Draws what load reports are said to contain.
@@ -230,7 +230,7 @@
 
 /// Draws the switches, each of which turns a behaviour of the module on or off.
 void draw_switches(Generator& random, Settings& drawn) {
-  drawn.discovery_on_request = random.one_in(2);
+  drawn.endpoint_list_is_polled = random.one_in(2);
   drawn.decode_nodes_prefill = random.one_in(2);
   drawn.stream_resume_allowed = random.one_in(2);
   drawn.reservation_allowed = random.one_in(2);
@@ -576,8 +576,8 @@
   LearnedRates digest_rates() {
     ++coverage_.learned_rates;
     LearnedRates rates = scheduler_.learned_rates(now_);
-    digest_.add(rates.prefill_rates.size());
-    for (const auto& [role, rate] : rates.prefill_rates)
+    digest_.add(rates.prefill_times_per_token.size());
+    for (const auto& [role, rate] : rates.prefill_times_per_token)
       digest_.add(role), digest_.add(rate);
     digest_.add(rates.work_rates.size());
     for (const auto& [host, rate] : rates.work_rates)
@@ -602,7 +602,7 @@
     entry.id = next_host_++;
     entry.zone = static_cast<std::uint8_t>(random_.below(3));
     entry.cell = static_cast<std::uint16_t>(random_.below(4));
-    entry.kind = static_cast<std::uint8_t>(random_.below(settings_.kind_role.size() + random_.one_in(15)));
+    entry.kind = static_cast<std::uint8_t>(random_.below(settings_.role_by_kind.size() + random_.one_in(15)));
     entry.weight = static_cast<float>(random_.real(0.5, 2));
     entry.started_at = random_.one_in(3) ? now_ - random_.duration(0ms, 6s) : Micros(0);
     return entry;
@@ -654,8 +654,8 @@
   /// The role of a host by the settings of now.
   Role role_at(EndpointId host) const {
     for (const Endpoint& entry : hosts_)
-      if (entry.id == host && entry.kind < settings_.kind_role.size())
-        return settings_.kind_role[entry.kind];
+      if (entry.id == host && entry.kind < settings_.role_by_kind.size())
+        return settings_.role_by_kind[entry.kind];
     return Role::mixed;
   }
 
--- a/bench/grpc_streams.cpp
+++ b/bench/grpc_streams.cpp
@@ -48,8 +48,8 @@
   c.name = "k";
   c.latency_objective = c.deadline = std::chrono::minutes(10);
   s.classes = {c};
-  s.kind_role = {Role::prefill, Role::decode};
-  s.kind_memory = {1e12, 1e12};
+  s.role_by_kind = {Role::prefill, Role::decode};
+  s.kv_cache_tokens_by_kind = {1e12, 1e12};
   s.max_attempts = 2;
   s.overload_window = std::chrono::seconds(1);
   return s;
@@ -113,7 +113,7 @@
   net::Timer hang(loop, [&] { loop.stop(); });
   hang.start(std::chrono::seconds(60));
   net::Timer look(loop, [&] {
-    if (core.open_requests() >= streams)
+    if (core.open_request_count() >= streams)
       loop.stop();
     else
       look.start(std::chrono::milliseconds(20));
@@ -123,7 +123,8 @@
   const std::size_t held = memory_kib() - before;
   kill(child, SIGKILL);
   waitpid(child, nullptr, 0);
-  std::cout << core.open_requests() << " calls open: " << held << " KiB more, "
-            << held * 1024 / std::max<std::size_t>(1, core.open_requests()) << " bytes a call" << std::endl;
-  return core.open_requests() == streams ? 0 : 1;
+  std::cout << core.open_request_count() << " calls open: " << held << " KiB more, "
+            << held * 1024 / std::max<std::size_t>(1, core.open_request_count()) << " bytes a call"
+            << std::endl;
+  return core.open_request_count() == streams ? 0 : 1;
 }
--- a/include/lemonroute/actions.h
+++ b/include/lemonroute/actions.h
@@ -62,12 +62,12 @@
 };
 
 /// Open or close the watch of the endpoint list.
-struct Subscribe {
-  bool on = true;  ///< true: open the watch, or poll once where the list is polled; false: close it
+struct WatchEndpointList {
+  bool open = true;  ///< true: open the watch, or poll once where the list is polled; false: close it
 };
 
 /// Fetch the full endpoint list.
-struct Snapshot {};
+struct FetchEndpointList {};
 
 /// Release capacity that was reserved for a request ahead of its attempt.
 struct EvictReservation {
@@ -87,7 +87,7 @@
 
 /// Any action.
 using Action = std::variant<Send, RejectRequest, FailRequest, CancelAttempt, StartTimer, Probe,
-                            CloseIdleConnections, SendPeerMessage, Log, Subscribe, Snapshot, EvictReservation,
-                            ReserveCapacity, ReleaseReservation>;
+                            CloseIdleConnections, SendPeerMessage, Log, WatchEndpointList, FetchEndpointList,
+                            EvictReservation, ReserveCapacity, ReleaseReservation>;
 
 }  // namespace lemonroute
--- a/src/cli/limits.cpp
+++ b/src/cli/limits.cpp
@@ -44,9 +44,9 @@
   return options;
 }
 
-guide::Fleet::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
-                                    Micros now) {
-  guide::Fleet::Options options;
+guide::FleetBridge::Options fleet_options(const config::Platform& platform, const config::PeersFile& peers,
+                                          Micros now) {
+  guide::FleetBridge::Options options;
   auto& service = options.service;
   service.agent.name = platform.name;
   service.agent.site = peers.site;
@@ -55,12 +55,12 @@
   service.agent.seeds = peers.seeds;
   service.agent.period = peers.period;
   service.listen = peers.listen;
-  service.beside_another = platform.socket.has_value();
+  service.previous_process_listening = platform.socket.has_value();
   service.keys = peers.keys;
-  service.via = peers.via;
-  options.siblings.stated = platform.settings.router_count;
-  options.siblings.least = static_cast<std::uint32_t>(peers.siblings_least);
-  options.siblings.most = static_cast<std::uint32_t>(peers.siblings_most);
+  service.address_overrides = peers.via;
+  options.router_count.configured = platform.settings.router_count;
+  options.router_count.min = static_cast<std::uint32_t>(peers.siblings_least);
+  options.router_count.max = static_cast<std::uint32_t>(peers.siblings_most);
   return options;
 }
 
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -80,9 +80,10 @@
       logging::info() << "agent-check on " << settings.agent_check_listen;
     }
     if (settings.peers) {
-      fleet_ = std::make_unique<guide::Fleet>(
+      fleet_ = std::make_unique<guide::FleetBridge>(
           loop_, clock_, fleet_options(platform, *settings.peers, clock_.now()),
-          std::vector<guide::Binding>{}, [this](auto newer) { router_.set_fleet_view(std::move(newer)); });
+          std::vector<guide::ExtensionBinding>{},
+          [this](auto newer) { router_.set_fleet_view(std::move(newer)); });
       router_.set_node_observer(&fleet_->observer());
       logging::info() << "peers on " << fleet_->address();
     }
@@ -91,7 +92,7 @@
     if (!management.empty()) {
       ops::Management::Fleet fleet;
       if (fleet_)
-        fleet = [this] { return fleet_->text(); };
+        fleet = [this] { return fleet_->status_json(); };
       management_ = std::make_unique<ops::Management>(
           loop_, management, router_, status_, [this] { return reloads_; }, std::move(fleet));
       logging::info() << "management on " << management;
@@ -153,7 +154,7 @@
       handover_->finish();
     handover_.reset();
     const bool successor = processes_.another_serves();
-    logging::info() << signal << ": draining, " << router_.open_requests() << " requests open"
+    logging::info() << signal << ": draining, " << router_.open_request_count() << " requests open"
                     << (successor ? ", another process takes the clients" : "");
     if (successor)
       hand_over();
@@ -268,7 +269,7 @@
   net::Signal term_, interrupt_, hang_up_;
   std::unique_ptr<Grpc> grpc_;
   std::unique_ptr<ops::AgentCheck> agent_;
-  std::unique_ptr<guide::Fleet> fleet_;  // none where peers are off
+  std::unique_ptr<guide::FleetBridge> fleet_;  // none where peers are off
   ops::Reloads reloads_;
   std::unique_ptr<ops::Handover> handover_;
   std::unique_ptr<ops::Management> management_;
--- a/src/core/router/action_executor.cpp
+++ b/src/core/router/action_executor.cpp
@@ -32,7 +32,7 @@
 void ActionExecutor::handle_event(const Event& event) {
   const auto mark_request = [&](const auto& alternative) {
     if constexpr (requires { alternative.id; })
-      requests_.mark_touched(alternative.id);
+      requests_.mark_for_cleanup(alternative.id);
   };
   std::visit(mark_request, event);
   decide(event);
@@ -47,7 +47,7 @@
 
 // Releases what interrupted prefills may have left at nodes, and destroys requests that have finished.
 void ActionExecutor::after_last_event() {
-  for (const RequestId id : requests_.take_touched()) {
+  for (const RequestId id : requests_.take_cleanup_candidates()) {
     RequestState* request = requests_.find(id);
     if (!request || request->attempt)
       continue;
@@ -82,7 +82,7 @@
   logging::debug() << "request rejected: request=" << request->prompt.id
                    << " attempts=" << request->attempt_count;
   reporter_.record_rejected();
-  requests_.mark_touched(reject.id);
+  requests_.mark_for_cleanup(reject.id);
   client.reject(reject.retry_after);
 }
 
@@ -95,7 +95,7 @@
   ++request->counts->failed;
   logging::debug() << "request failed: request=" << request->prompt.id
                    << " attempts=" << request->attempt_count;
-  requests_.mark_touched(fail.id);
+  requests_.mark_for_cleanup(fail.id);
   const bool timed_out = context_.now() >= request->deadline;
   client.fail(timed_out ? FailureReason::timed_out : FailureReason::not_retried);
 }
@@ -118,7 +118,7 @@
   const auto on_result = [this, number, sent_at, endpoint = probe.endpoint](const AttemptResult& result) {
     probes_.erase(number);
     events_.enqueue(HealthResult{endpoint, result.outcome, context_.now() - sent_at,
-                                 parse_load(result.load_report, context_.settings.report_columns)});
+                                 parse_load_report(result.load_report, context_.settings.report_columns)});
   };
   auto call = context_.transport.probe(*node, on_result);
   probes_[number] = std::move(call);
--- a/src/core/router/handover_state.cpp
+++ b/src/core/router/handover_state.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-NodeReport ProcessHandover::report_of(const Node& node) const {
-  NodeReport report;
+NodeHandoverState ProcessHandover::node_handover_state(const Node& node) const {
+  NodeHandoverState report;
   report.node = node.name;
   // A report from before the node's start came from an earlier process of the node.
   const Micros age = context_.now() - node.load_reported_at;
@@ -35,13 +35,13 @@
   const Micros now = context_.now();
   const std::vector<EndpointId> ejected = scheduler_.ejected_endpoints(now);
   LearnedRates learned_rates = scheduler_.learned_rates(now);
-  handover_state.prefill_rates = std::move(learned_rates.prefill_rates);
+  handover_state.prefill_times_per_token = std::move(learned_rates.prefill_times_per_token);
   const std::map<EndpointId, double> work_rates(learned_rates.work_rates.begin(),
                                                 learned_rates.work_rates.end());
   for (const auto& [id, node] : nodes_.all()) {
     if (!node.ready())
       continue;
-    NodeReport report = report_of(node);
+    NodeHandoverState report = node_handover_state(node);
     report.ejected = std::find(ejected.begin(), ejected.end(), id) != ejected.end();
     if (const auto work_rate = work_rates.find(id); work_rate != work_rates.end())
       report.work_rate = work_rate->second;
@@ -51,7 +51,7 @@
   return handover_state;
 }
 
-bool ProcessHandover::is_current(const NodeReport& report, const Node& node, Micros reported_at) {
+bool ProcessHandover::is_current(const NodeHandoverState& report, const Node& node, Micros reported_at) {
   const bool fresh = report.age >= Micros(0) && report.age <= max_report_age;
   const bool newest = reported_at > std::max(node.endpoint.started_at, node.load_reported_at);
   const bool has_content = report.ejected || !report.load_report.empty();
@@ -61,9 +61,9 @@
 // Each report is passed to the Scheduler as the result of one health check, so that the next results of the
 // node itself outweigh it.
 void ProcessHandover::apply_handover_state(const HandoverState& handover_state) {
-  LearnedRates learned_rates{handover_state.prefill_rates, {}};
+  LearnedRates learned_rates{handover_state.prefill_times_per_token, {}};
   std::size_t applied = 0;
-  for (const NodeReport& report : handover_state.nodes) {
+  for (const NodeHandoverState& report : handover_state.nodes) {
     const Node* node = nodes_.find(report.node);
     if (!node || !node->ready())
       continue;
@@ -77,7 +77,7 @@
       nodes_.record_load_report(id, report.load_report, reported_at);
     ++applied;
     events_.enqueue(HealthResult{id, report.ejected ? Outcome::error : Outcome::ok, Micros(0),
-                                 parse_load(report.load_report, context_.settings.report_columns)});
+                                 parse_load_report(report.load_report, context_.settings.report_columns)});
   }
   scheduler_.adopt_learned_rates(context_.now(), learned_rates);
   logging::info() << "handover state applied: nodes=" << handover_state.nodes.size()
--- a/src/core/router/node_registry.cpp
+++ b/src/core/router/node_registry.cpp
@@ -78,7 +78,7 @@
 
 void NodeRegistry::log_update(const EndpointListUpdate& update) const {
   logging::info() << "endpoint list updated: version=" << update.version << " kind=" << kind_name(update.kind)
-                  << " endpoints=" << update.endpoints.size() << " ready=" << ready_nodes();
+                  << " endpoints=" << update.endpoints.size() << " ready=" << ready_node_count();
 }
 
 // Attempts that are in progress at a removed node have their own copy of the node's name.
@@ -98,7 +98,8 @@
     removed_node_names_.pop_front();
 }
 
-EndpointListUpdate NodeRegistry::renumber(std::vector<std::string> zones, std::vector<std::string> kinds) {
+EndpointListUpdate NodeRegistry::set_zones_and_kinds(std::vector<std::string> zones,
+                                                     std::vector<std::string> kinds) {
   zones_ = std::move(zones);
   kinds_ = std::move(kinds);
   EndpointListUpdate update{EndpointListKind::full, list_version_, {}};
@@ -144,9 +145,9 @@
 
 Role NodeRegistry::role_of(EndpointId id) const {
   const Node* node = find(id);
-  if (!node || node->endpoint.kind >= settings_.kind_role.size())
+  if (!node || node->endpoint.kind >= settings_.role_by_kind.size())
     return Role::mixed;
-  return settings_.kind_role[node->endpoint.kind];
+  return settings_.role_by_kind[node->endpoint.kind];
 }
 
 bool NodeRegistry::is_ready(EndpointId id) const {
@@ -154,7 +155,7 @@
   return node && node->ready();
 }
 
-std::size_t NodeRegistry::ready_nodes() const {
+std::size_t NodeRegistry::ready_node_count() const {
   const auto ready = [](const auto& known) { return known.second.ready(); };
   return static_cast<std::size_t>(std::count_if(known_nodes_.begin(), known_nodes_.end(), ready));
 }
@@ -177,7 +178,7 @@
     last_contact_[id].last_failure = clock_.now();
 }
 
-bool NodeRegistry::suspected(EndpointId id) const {
+bool NodeRegistry::failed_at_last_contact(EndpointId id) const {
   const auto found = last_contact_.find(id);
   if (found == last_contact_.end())
     return false;
@@ -187,7 +188,7 @@
 
 bool NodeRegistry::has_answered_since(EndpointId id, Micros since) const {
   const auto found = last_contact_.find(id);
-  return found != last_contact_.end() && found->second.last_answer >= since && !suspected(id);
+  return found != last_contact_.end() && found->second.last_answer >= since && !failed_at_last_contact(id);
 }
 
 std::optional<Micros> NodeRegistry::last_answer(EndpointId id) const {
--- a/src/core/router/node_registry.h
+++ b/src/core/router/node_registry.h
@@ -59,7 +59,8 @@
   [[nodiscard]] EndpointListUpdate update(EndpointListKind kind, std::uint32_t version,
                                           const std::vector<ListedNode>& listed);
   /// Replaces the lists of zones and machine kinds, and returns all endpoints with their new indexes.
-  [[nodiscard]] EndpointListUpdate renumber(std::vector<std::string> zones, std::vector<std::string> kinds);
+  [[nodiscard]] EndpointListUpdate set_zones_and_kinds(std::vector<std::string> zones,
+                                                       std::vector<std::string> kinds);
 
   /// Returns all listed nodes.
   [[nodiscard]] const std::map<EndpointId, Node>& all() const { return known_nodes_; }
@@ -76,7 +77,7 @@
   /// Returns whether the node is listed and neither draining nor removed.
   [[nodiscard]] bool is_ready(EndpointId id) const;
   /// Returns the number of nodes that may receive new attempts.
-  [[nodiscard]] std::size_t ready_nodes() const;
+  [[nodiscard]] std::size_t ready_node_count() const;
   /// Stores the node's latest load report, as the node sent it. Does nothing for an unlisted node.
   void record_load_report(EndpointId id, std::string load_report, Micros reported_at);
 
@@ -117,7 +118,7 @@
   /// Records that a call to the node has failed now. Does nothing for an unlisted node.
   void record_failure(EndpointId id);
   /// Returns whether the last contact with the node was a failure.
-  [[nodiscard]] bool suspected(EndpointId id) const;
+  [[nodiscard]] bool failed_at_last_contact(EndpointId id) const;
   /// Returns whether the node has answered at `since` or later and has not failed after that answer.
   [[nodiscard]] bool has_answered_since(EndpointId id, Micros since) const;
   /// Returns the time of the last answer (0: none), or nothing if there was no contact at all.
--- a/src/core/router/release_targets.cpp
+++ b/src/core/router/release_targets.cpp
@@ -37,10 +37,10 @@
 // called.
 const Node* ReleaseTargets::next_target(const PendingRelease& pending) const {
   const Node* holder = holder_target(pending);
-  const bool holder_only = pending.tries % 2 == 0 || !schedule_.notifies_other_nodes(pending);
-  if (pending.arrived && holder && holder_only)
+  const bool holder_only = pending.calls_made % 2 == 0 || !schedule_.notifies_other_nodes(pending);
+  if (pending.acknowledged && holder && holder_only)
     return holder;
-  if (!pending.arrived && holder && pending.tries % holder_call_period == 0)
+  if (!pending.acknowledged && holder && pending.calls_made % holder_call_period == 0)
     return holder;
   const Node* other = other_target(pending);
   return other ? other : holder;
@@ -63,7 +63,7 @@
 }
 
 int ReleaseTargets::contact_rank(EndpointId endpoint) const {
-  if (nodes_.suspected(endpoint))
+  if (nodes_.failed_at_last_contact(endpoint))
     return 2;
   const auto last_answer = nodes_.last_answer(endpoint);
   return last_answer && context_.now() - *last_answer <= max_recent_answer_age ? 0 : 1;
@@ -73,7 +73,7 @@
 // of one role may become unreachable together.
 const Node* ReleaseTargets::other_target(const PendingRelease& pending) const {
   const Role holder_role = nodes_.role_of(pending.holders.front().endpoint);
-  const bool prefers_holder_role = pending.tries % 2 == 0;
+  const bool prefers_holder_role = pending.calls_made % 2 == 0;
   const Node* best = nullptr;
   TargetRank lowest;
   for (const auto& [id, node] : nodes_.all()) {
--- a/src/core/router/request_table.cpp
+++ b/src/core/router/request_table.cpp
@@ -67,8 +67,8 @@
   requests_.erase(found);
 }
 
-std::vector<RequestId> RequestTable::take_touched() {
-  return std::exchange(touched_, {});
+std::vector<RequestId> RequestTable::take_cleanup_candidates() {
+  return std::exchange(cleanup_candidates_, {});
 }
 
 }  // namespace lemonroute
--- a/src/core/router/router.cpp
+++ b/src/core/router/router.cpp
@@ -51,7 +51,7 @@
   impl_->settings = std::move(settings);
   impl_->metrics.set_classes(impl_->settings.classes);
   impl_->scheduler.update_settings(impl_->nodes.effective_settings());
-  impl_->events.enqueue(impl_->nodes.renumber(std::move(zones), std::move(kinds)));
+  impl_->events.enqueue(impl_->nodes.set_zones_and_kinds(std::move(zones), std::move(kinds)));
   impl_->reporter.report_endpoints();
 }
 
@@ -84,7 +84,7 @@
   RouterMetrics metrics;
   metrics.classes = impl_->metrics.all();
   metrics.sent_attempts = impl_->attempts.sent_attempts();
-  metrics.open_requests = open_requests();
+  metrics.open_requests = open_request_count();
   metrics.listed_nodes = nodes.all().size();
   const std::vector<EndpointId> ejected = impl_->scheduler.ejected_endpoints(impl_->context.now());
   for (const auto& [id, node] : nodes.all()) {
@@ -147,11 +147,11 @@
   impl_->context.notify_change();
 }
 
-std::size_t Router::open_requests() const {
+std::size_t Router::open_request_count() const {
   return impl_->requests.waiting_clients();
 }
 
-std::size_t Router::known_nodes() const {
+std::size_t Router::listed_node_count() const {
   return impl_->nodes.all().size();
 }
 
@@ -159,8 +159,8 @@
   return impl_->requests.empty() && impl_->releaser.idle();
 }
 
-std::size_t Router::ready_nodes() const {
-  return impl_->nodes.ready_nodes();
+std::size_t Router::ready_node_count() const {
+  return impl_->nodes.ready_node_count();
 }
 
 }  // namespace lemonroute
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -95,7 +95,7 @@
 };
 
 /// What one process of this router has learned about a node, for a process that has just started.
-struct NodeReport {
+struct NodeHandoverState {
   std::string node;         ///< the node's name
   std::string load_report;  ///< the node's last load report, as the node sent it; empty: none, or too old
   Micros age{};             ///< time since the load report arrived
@@ -104,8 +104,8 @@
 };
 /// What one process of this router has learned about all nodes, for a process that has just started.
 struct HandoverState {
-  std::vector<NodeReport> nodes;                       ///< the ready nodes about which anything is known
-  std::vector<std::pair<Role, double>> prefill_rates;  ///< as in LearnedRates
+  std::vector<NodeHandoverState> nodes;  ///< the ready nodes about which anything is known
+  std::vector<std::pair<Role, double>> prefill_times_per_token;  ///< as in LearnedRates
 };
 
 /// The client of one request. A front implements it and owns it. Exactly one of finish, reject, fail and
@@ -181,7 +181,7 @@
  public:
   virtual ~Call() = default;
   /// Pauses or resumes reading the answer, for flow control of a slow client.
-  virtual void pause_reading(bool /*paused*/) {}
+  virtual void set_reading_paused(bool /*paused*/) {}
   /// Returns whether it is certain that no part of the request was sent, and that none will be sent once the
   /// call is destroyed.
   virtual bool not_sent() const { return false; }
--- a/src/guide/fleet.cpp
+++ b/src/guide/fleet_bridge.cpp
@@ -1,4 +1,4 @@
-#include "guide/fleet.h"
+#include "guide/fleet_bridge.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -14,7 +14,7 @@
 // the number of members.
 constexpr milliseconds poll_interval{100}, status_interval_per_member{1};
 
-std::vector<peers::Extension*> extensions_of(const std::vector<Binding>& bindings) {
+std::vector<peers::Extension*> extensions_of(const std::vector<ExtensionBinding>& bindings) {
   std::vector<peers::Extension*> extensions;
   extensions.reserve(bindings.size());
   for (const auto& binding : bindings)
@@ -24,42 +24,42 @@
 
 }  // namespace
 
-Fleet::Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
-             ViewCallback on_view)
+FleetBridge::FleetBridge(net::Loop& loop, const Clock& clock, Options options,
+                         std::vector<ExtensionBinding> bindings, ViewCallback on_view)
     : on_view_(std::move(on_view)),
       bindings_(std::move(bindings)),
       node_events_([this] { service_->wake(); }),
       updates_(update_ring_capacity),
       updates_wake_(loop, [this] { take_updates(); }),
-      router_count_estimator_(options.siblings),
+      router_count_estimator_(options.router_count),
       service_(std::make_unique<peers::Service>(std::move(options.service), clock, extensions_of(bindings_),
-                                                static_cast<peers::Service::Desk&>(*this))) {
+                                                static_cast<peers::Service::Delegate&>(*this))) {
   for (const auto& binding : bindings_)
     if (binding.observer)
       observers_.push_back(binding.observer.get());
   service_->start();
 }
 
-Fleet::~Fleet() {
+FleetBridge::~FleetBridge() {
   service_.reset();
 }
 
-std::shared_ptr<const std::string> Fleet::text() const {
+std::shared_ptr<const std::string> FleetBridge::status_json() const {
   if (!service_->failed())
     return status_;
   return std::make_shared<const std::string>("{\"failed\":true}\n");
 }
 
-void Fleet::woken(Micros) {
+void FleetBridge::on_wake(Micros) {
   node_events_.deliver(observers_);
 }
 
-void Fleet::round(Micros now, const peers::Service& service) {
+void FleetBridge::on_update(Micros now, const peers::Service& service) {
   node_events_.deliver(observers_);
   const bool view_changed = refresh_view(now, service), status_changed = refresh_status(now, service);
   if (view_changed || status_changed || unsent_) {
     unsent_ = !updates_.push(latest_);
-    updates_wake_.ring();
+    updates_wake_.wake();
   }
   std::erase_if(published_, [](const auto& object) { return object.use_count() == 1; });
   next_round_at_ = std::min(next_status_at_, now + poll_interval);
@@ -67,7 +67,7 @@
     next_round_at_ = std::min(next_round_at_, next_view_at_);
 }
 
-bool Fleet::refresh_view(Micros now, const peers::Service& service) {
+bool FleetBridge::refresh_view(Micros now, const peers::Service& service) {
   const auto router_count = router_count_estimator_.update(now, service.view());
   CombinedFleetView::Views views;
   for (const auto& binding : bindings_)
@@ -86,7 +86,7 @@
   return true;
 }
 
-bool Fleet::refresh_status(Micros now, const peers::Service& service) {
+bool FleetBridge::refresh_status(Micros now, const peers::Service& service) {
   if (latest_.status && now < next_status_at_)
     return false;
   next_status_at_ =
@@ -100,7 +100,7 @@
   return true;
 }
 
-void Fleet::take_updates() {
+void FleetBridge::take_updates() {
   Update update;
   bool received = false;
   while (updates_.pop(update))
--- a/src/guide/fleet.h
+++ b/src/guide/fleet_bridge.h
@@ -11,30 +11,30 @@
 #include <string>
 #include <vector>
 
-#include "guide/binding.h"
 #include "guide/combined_fleet_view.h"
+#include "guide/extension_binding.h"
 #include "guide/node_event_queue.h"
 #include "guide/router_count_estimator.h"
+#include "peers/loop_waker.h"
 #include "peers/service.h"
-#include "peers/wake.h"
 
 namespace lemonroute::guide {
 
 /// Runs the peers' service. Constructed, used and destroyed on the serving loop's thread.
-class Fleet final : peers::Service::Desk {
+class FleetBridge final : peers::Service::Delegate {
  public:
   struct Options {
     peers::Service::Options service;
-    RouterCountEstimator::Limits siblings;  ///< limits of the number of routers
+    RouterCountEstimator::Limits router_count;  ///< limits of the number of routers
   };
   /// Called on the serving loop with each newer view.
   using ViewCallback = std::function<void(std::shared_ptr<const FleetView>)>;
   /// Starts the service's thread. `loop` and `clock` must outlive this object. Throws if the service's
   /// address is taken.
-  Fleet(net::Loop& loop, const Clock& clock, Options options, std::vector<Binding> bindings,
-        ViewCallback on_view);
+  FleetBridge(net::Loop& loop, const Clock& clock, Options options, std::vector<ExtensionBinding> bindings,
+              ViewCallback on_view);
   /// Tells the other routers that this one leaves, and ends the service's thread.
-  ~Fleet() override;
+  ~FleetBridge() override;
 
   /// Shortest time between two new views.
   static constexpr std::chrono::milliseconds min_view_interval{10};
@@ -43,7 +43,7 @@
   NodeObserver& observer() { return node_events_; }
   /// Returns the status of peers and extensions as JSON, which may be a moment old: null until the peers'
   /// thread has made the first, and {"failed":true} once that thread has failed.
-  std::shared_ptr<const std::string> text() const;
+  std::shared_ptr<const std::string> status_json() const;
   /// Returns the address at which the service receives datagrams, as IP:PORT.
   const std::string& address() const { return service_->address(); }
 
@@ -54,8 +54,8 @@
   };
 
   // On the peers' thread.
-  void woken(Micros now) override;
-  void round(Micros now, const peers::Service& service) override;
+  void on_wake(Micros now) override;
+  void on_update(Micros now, const peers::Service& service) override;
   Micros next_due() const override { return next_round_at_; }
   // Both return whether latest_ has changed.
   bool refresh_view(Micros now, const peers::Service& service);
@@ -65,11 +65,11 @@
   void take_updates();
 
   ViewCallback on_view_;
-  std::vector<Binding> bindings_;
+  std::vector<ExtensionBinding> bindings_;
   std::vector<NodeObserver*> observers_;
   NodeEventQueue node_events_;
   boost::lockfree::spsc_queue<Update> updates_;
-  peers::Wake updates_wake_;
+  peers::LoopWaker updates_wake_;
   std::shared_ptr<const FleetView> view_;
   std::shared_ptr<const std::string> status_;
 
--- a/src/module/node_registry.cpp
+++ b/src/module/node_registry.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void NodeRegistry::handle(const EndpointListUpdate& update) {
-  const bool polls = context_.settings().discovery_on_request;
+  const bool polls = context_.settings().endpoint_list_is_polled;
   if (update.kind == EndpointListKind::fetch_failed) {
     if (polls)
       poll_again_later();
@@ -27,7 +27,7 @@
   if (update.kind != EndpointListKind::from_cache)
     failed_polls_in_a_row_ = 0;
   else if (polls)
-    context_.emit(Subscribe{true});
+    context_.emit(WatchEndpointList{true});
   if (update.kind != EndpointListKind::incremental)
     for (auto& [id, node] : nodes_)
       node.endpoint_.state = EndpointState::removed;
@@ -51,8 +51,8 @@
 }
 
 void NodeRegistry::handle_poll_timer() {
-  if (context_.settings().discovery_on_request)
-    context_.emit(Subscribe{true});
+  if (context_.settings().endpoint_list_is_polled)
+    context_.emit(WatchEndpointList{true});
 }
 
 void NodeRegistry::apply_endpoint(const Endpoint& endpoint) {
@@ -73,8 +73,9 @@
 void NodeRegistry::apply_machine_kind(Node& node) const {
   const auto& settings = context_.settings();
   const std::size_t kind = node.endpoint_.kind;
-  node.role_ = kind < settings.kind_role.size() ? settings.kind_role[kind] : Role::mixed;
-  node.kv_cache_tokens_ = kind < settings.kind_memory.size() ? settings.kind_memory[kind] : 0;
+  node.role_ = kind < settings.role_by_kind.size() ? settings.role_by_kind[kind] : Role::mixed;
+  node.kv_cache_tokens_ =
+      kind < settings.kv_cache_tokens_by_kind.size() ? settings.kv_cache_tokens_by_kind[kind] : 0;
 }
 
 void NodeRegistry::apply_machine_kinds() {
--- a/src/peers/agent.cpp
+++ b/src/peers/agent.cpp
@@ -8,7 +8,7 @@
 
 namespace lemonroute::peers {
 
-Agent::Impl::Impl(Options agent_options, std::uint64_t seed)
+Agent::Impl::Impl(AgentOptions agent_options, std::uint64_t seed)
     : options(agent_options), members(std::move(agent_options), seed) {}
 
 void Agent::Impl::send(Topic topic, std::string_view to, std::string bytes) {
@@ -21,7 +21,7 @@
   published_version = members.version();
   published_at = now;
   for (Extension* extension : extensions)
-    extension->viewed(now, members.view(now));
+    extension->on_view_change(now, members.view(now));
 }
 
 void Agent::Impl::log_notices() {
@@ -29,10 +29,11 @@
     logging::warn() << "peers: " << notice;
 }
 
-Agent::Agent(Options options, std::uint64_t seed) : impl_(std::make_unique<Impl>(std::move(options), seed)) {}
+Agent::Agent(AgentOptions options, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(options), seed)) {}
 Agent::~Agent() = default;
 
-void Agent::add(Extension& extension) {
+void Agent::add_extension(Extension& extension) {
   impl_->extensions.push_back(&extension);
 }
 
@@ -53,15 +54,15 @@
   ++counters.received;
   wire::Packet packet;
   switch (wire::decode(bytes, packet, counters.facts_left_out)) {
-    case wire::Fault::none:
+    case wire::DecodeError::none:
       break;
-    case wire::Fault::unreadable:
+    case wire::DecodeError::unreadable:
       ++counters.unreadable;
       return;
-    case wire::Fault::version:
+    case wire::DecodeError::unknown_version:
       ++counters.unknown_version;
       return;
-    case wire::Fault::bad_field:
+    case wire::DecodeError::bad_field:
       ++counters.bad_field;
       return;
   }
@@ -100,7 +101,7 @@
   impl_->publish_view(true);
 }
 
-std::vector<Datagram> Agent::take() {
+std::vector<Datagram> Agent::take_datagrams() {
   return impl_->members.take_datagrams();
 }
 
--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -23,7 +23,7 @@
 };
 
 /// Settings of an agent.
-struct Options {
+struct AgentOptions {
   /// Name and site of this router.
   std::string name, site;
   /// Address to which other routers send.
@@ -35,7 +35,7 @@
   /// Protocol period, in which one member is probed; 20 ms or more.
   Micros period = std::chrono::seconds(1);
   /// Maximum number of members; further ones are counted and left out.
-  std::size_t most_members = 4096;
+  std::size_t max_members = 4096;
 };
 
 /// The peer protocol of one router. Not thread-safe; times passed in must not go back.
@@ -45,13 +45,13 @@
   static constexpr std::size_t max_datagram_bytes = 1232;
 
   /// `seed` determines all random choices.
-  Agent(Options options, std::uint64_t seed);
+  Agent(AgentOptions options, std::uint64_t seed);
   ~Agent();
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
   /// Adds an extension, which must outlive the agent. To be called before start().
-  void add(Extension& extension);
+  void add_extension(Extension& extension);
   /// Starts the protocol.
   void start(Micros now);
   /// Handles the plaintext of an authentic datagram.
@@ -63,7 +63,7 @@
   /// Tells other routers that this one leaves, and ends the protocol.
   void leave(Micros now);
   /// Removes and returns the datagrams to send, in their order.
-  std::vector<Datagram> take();
+  std::vector<Datagram> take_datagrams();
 
   /// What this router knows of the others; its contents change with the next call.
   const View& view() const;
--- a/src/peers/agent_describe.cpp
+++ b/src/peers/agent_describe.cpp
@@ -61,8 +61,8 @@
                 {"start", member.start},
                 {"incarnation", member.incarnation},
                 {"standing", name_of(member.standing)},
-                {"since_ms", ms_since(now, member.since)},
-                {"by", member.by},
+                {"since_ms", ms_since(now, member.standing_since)},
+                {"by", member.reported_by},
                 {"unreachable_from_here", member.unreachable_from_here}};
   document["heard_ms"] = member.last_heard ? json(ms_since(now, *member.last_heard)) : json(nullptr);
   return document;
@@ -72,11 +72,11 @@
 
 json Agent::Impl::describe(Micros now) const {
   const View& view = members.view(now);
-  json document{{"me", view.me},
+  json document{{"me", view.own_name},
                 {"version", view.version},
                 {"period_ms", view.period.count() / 1000},
-                {"known", view.known},
-                {"there", view.there()},
+                {"known", view.known_count},
+                {"there", view.live_count()},
                 {"local_health", members.health_score()},
                 {"superseded", members.superseded()},
                 {"counters", counters_json(members.counters())}};
--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -20,7 +20,7 @@
  public:
   virtual ~Outbox() = default;
   /// Maximum size of a payload in bytes; a longer one is dropped and counted.
-  static constexpr std::size_t most = 1000;
+  static constexpr std::size_t max_payload_bytes = 1000;
   /// Sends a payload to a member by its name. Dropped if the view does not have that member; arrival is not
   /// reported.
   virtual void send(Topic topic, std::string_view to, std::string bytes) = 0;
@@ -33,7 +33,7 @@
   /// The topic of its payloads.
   virtual Topic topic() const = 0;
   /// The view has changed. The first of these calls precedes all other calls.
-  virtual void viewed(Micros now, const View& view) = 0;
+  virtual void on_view_change(Micros now, const View& view) = 0;
   /// Handles a payload. The sender holds the fleet's key, but the contents may be false. An unreadable
   /// payload must be counted and dropped.
   virtual void receive(Micros now, std::string_view from, std::string_view bytes, Outbox& out) = 0;
--- a/src/peers/membership/fact.cpp
+++ b/src/peers/membership/fact.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 bool valid_name(std::string_view name) {
-  return !name.empty() && name.size() <= limits::name_bytes && printable(name);
+  return !name.empty() && name.size() <= limits::max_name_bytes && printable(name);
 }
 
 bool valid_address(std::string_view address) {
@@ -31,8 +31,9 @@
 
 bool valid(const Fact& fact) {
   return valid_name(fact.name) && fact.site.size() <= limits::max_site_bytes && printable(fact.site) &&
-         valid_address(fact.address) && fact.start <= limits::start &&
-         fact.incarnation <= limits::incarnation && (fact.by.empty() || valid_name(fact.by));
+         valid_address(fact.address) && fact.start <= limits::max_start_us &&
+         fact.incarnation <= limits::max_incarnation &&
+         (fact.reported_by.empty() || valid_name(fact.reported_by));
 }
 
 }  // namespace lemonroute::peers::membership
--- a/src/peers/membership/facts.cpp
+++ b/src/peers/membership/facts.cpp
@@ -8,37 +8,37 @@
 
 void Membership::merge(const Fact& claim, const Fact& sender, bool alive_claims_only) {
   Entry* entry = table_.find(claim.name);
-  if (claim.name == self_.own().name) {
-    if (process_id(claim) < process_id(self_.own()))
+  if (claim.name == self_.fact().name) {
+    if (process_id(claim) < process_id(self_.fact()))
       return handle_older_process(*entry, claim, claim.name == sender.name);
     // Gone senders are heard too: two routers that hold each other gone must recover.
     return merge_claim_about_self(claim);
   }
   if (alive_claims_only && claim.standing != Standing::alive)
     return;
-  apply_verdict(judge(entry, claim, unix_now()), entry, claim, sender);
+  apply_verdict(judge_claim(entry, claim, unix_now()), entry, claim, sender);
 }
 
 void Membership::apply_verdict(Verdict verdict, Entry* entry, const Fact& claim, const Fact& sender) {
   switch (verdict) {
-    case Verdict::nothing:
+    case Verdict::ignore:
       return;
     case Verdict::implausible:
       ++counters_.implausible;
       return;
-    case Verdict::older:
+    case Verdict::older_process:
       return handle_older_process(*entry, claim, claim.name == sender.name);
-    case Verdict::hearsay:
+    case Verdict::gone_claim:
       return handle_gone_claim(*entry, claim, sender);
     case Verdict::confirm:
-      return confirm_suspicion(*entry, claim.by);
+      return confirm_suspicion(*entry, claim.reported_by);
     case Verdict::suspect:
       return begin_suspicion(*entry, claim, sender);
-    case Verdict::unknown:
+    case Verdict::add_member:
       if (Entry* added = add_member(claim); added && claim.standing == Standing::suspected)
         begin_suspicion(*added, claim, sender);
       return;
-    case Verdict::newer: {
+    case Verdict::newer_process: {
       const bool accused = claim.standing == Standing::suspected || claim.standing == Standing::gone;
       Fact fact = claim;
       if (accused)
@@ -67,31 +67,31 @@
 }
 
 void Membership::merge_claim_about_self(const Fact& claim) {
-  switch (self_.told(claim, now_, unix_now())) {
-    case OwnName::Then::nothing:
+  switch (self_.apply_claim(claim, now_, unix_now())) {
+    case OwnIdentity::Change::nothing:
       return;
-    case OwnName::Then::refuted:
+    case OwnIdentity::Change::refuted:
       ++counters_.refuted;
       health_.degrade();
       break;
-    case OwnName::Then::superseded:
+    case OwnIdentity::Change::superseded:
       ++counters_.superseded;
-      if (claim.address != self_.own().address)
+      if (claim.address != self_.fact().address)
         add_notice("a newer process holds this router's name: name=" + claim.name +
-                   " address=" + claim.address + " own_address=" + self_.own().address);
+                   " address=" + claim.address + " own_address=" + self_.fact().address);
       break;
-    case OwnName::Then::reclaimed:
+    case OwnIdentity::Change::reclaimed:
       ++counters_.reclaimed;
       break;
-    case OwnName::Then::updated:
+    case OwnIdentity::Change::updated:
       break;
   }
   update_self();
 }
 
 void Membership::update_self() {
-  Entry* self = table_.find(self_.own().name);
-  Fact fact = self_.superseded() ? *self_.successor() : self_.own();
+  Entry* self = table_.find(self_.fact().name);
+  Fact fact = self_.superseded() ? *self_.successor() : self_.fact();
   fact.standing = Standing::alive;
   table_.update(*self, fact, now_);
   if (!self_.superseded())
@@ -105,7 +105,7 @@
     Entry* evicted_entry = table_.find(evicted);
     probe_order_.remove(*evicted_entry);
     broadcasts_.drop(*evicted_entry);
-    table_.forget(evicted);
+    table_.remove(evicted);
     entry = table_.add(fact, now_, &evicted);
   }
   if (!entry) {
@@ -113,7 +113,7 @@
     return nullptr;
   }
   if (fact.standing == Standing::suspected)
-    table_.mark(*entry, Standing::alive, fact.by, now_);
+    table_.set_standing(*entry, Standing::alive, fact.reported_by, now_);
   probe_order_.add(*entry, random_);
   broadcasts_.add(*entry);
   return entry;
@@ -123,14 +123,14 @@
   ++counters_.suspected;
   Fact fact = claim;
   fact.standing = Standing::suspected;
-  if (fact.by.empty())
-    fact.by = sender.name;
+  if (fact.reported_by.empty())
+    fact.reported_by = sender.name;
   table_.update(entry, fact, now_);
   entry.confirmed_by.clear();
-  const auto members = table_.there();
+  const auto members = table_.live_count();
   table_.suspect(entry, from_gone_claims
-                            ? Suspicion::from_gone_claims(now_, members, options_.period, fact.by)
-                            : Suspicion(now_, members, options_.period, fact.by));
+                            ? Suspicion::from_gone_claims(now_, members, options_.period, fact.reported_by)
+                            : Suspicion(now_, members, options_.period, fact.reported_by));
   broadcasts_.add(entry);
 }
 
@@ -149,12 +149,13 @@
   const auto by = hash_of(sender.name);
   const bool second_claim = entry.gone_claim_by && entry.gone_claim_by != by &&
                             now_ - entry.gone_claim_at >= options_.period &&
-                            now_ - entry.gone_claim_at < options_.period * limits::twice;
+                            now_ - entry.gone_claim_at < options_.period * limits::duplicate_name_periods;
   if (second_claim) {
     entry.gone_claim_by = 0;
     return begin_suspicion(entry, claim, sender, true);
   }
-  if (!entry.gone_claim_by || now_ - entry.gone_claim_at >= options_.period * limits::twice) {
+  if (!entry.gone_claim_by ||
+      now_ - entry.gone_claim_at >= options_.period * limits::duplicate_name_periods) {
     entry.gone_claim_by = by;
     entry.gone_claim_at = now_;
   }
@@ -168,7 +169,8 @@
     return;
   if (!entry.older_process_since)
     entry.older_process_since = now_;
-  if (entry.older_process_reported || now_ - *entry.older_process_since < options_.period * limits::twice)
+  if (entry.older_process_reported ||
+      now_ - *entry.older_process_since < options_.period * limits::duplicate_name_periods)
     return;
   entry.older_process_reported = true;
   ++counters_.names_twice;
@@ -193,7 +195,7 @@
 void Membership::declare_gone(Micros now) {
   while (Entry* entry = table_.expired(now)) {
     ++counters_.gone;
-    table_.mark(*entry, Standing::gone, entry->fact.by, now);
+    table_.set_standing(*entry, Standing::gone, entry->fact.reported_by, now);
     entry->gone_claim_by = 0;
     broadcasts_.add(*entry);
   }
--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -7,21 +7,21 @@
 namespace lemonroute::peers::membership::limits {
 
 /// Maximum size of a datagram before sealing.
-inline constexpr std::size_t plain_bytes = 1150;
+inline constexpr std::size_t max_plain_bytes = 1150;
 /// Maximum lengths of the text fields of a fact.
-inline constexpr std::size_t name_bytes = 64, max_site_bytes = 64, max_address_bytes = 64;
+inline constexpr std::size_t max_name_bytes = 64, max_site_bytes = 64, max_address_bytes = 64;
 /// Facts accepted from one datagram; a valid datagram has no room for more.
 inline constexpr std::size_t max_facts = 40;
 /// Facts offered for one datagram; this many of usual length fill it.
-inline constexpr std::size_t offered = 24;
+inline constexpr std::size_t facts_per_offer = 24;
 /// Buckets of the member table's digest.
-inline constexpr std::size_t buckets = 64;
+inline constexpr std::size_t digest_buckets = 64;
 /// Seed addresses that are used.
 inline constexpr std::size_t max_seeds = 32;
 /// Greatest incarnation that is accepted. A router that would exceed it takes a newer start instead.
-inline constexpr std::uint64_t incarnation = 1ull << 32;
+inline constexpr std::uint64_t max_incarnation = 1ull << 32;
 /// Greatest start that is accepted: Unix time in microseconds, in the year 2112.
-inline constexpr std::uint64_t start = 1ull << 52;
+inline constexpr std::uint64_t max_start_us = 1ull << 52;
 /// A start that is this far in the future is not believed: one day.
 inline constexpr std::uint64_t max_start_ahead_us = 86'400'000'000ull;
 
@@ -48,7 +48,7 @@
 /// Minimum suspicion timeout in periods, times log10(n) but at least 1.
 inline constexpr int suspicion_multiplier = 4;
 /// Maximum suspicion timeout, which holds without confirmations, as a multiple of the minimum.
-inline constexpr int suspicion_most = 6;
+inline constexpr int max_suspicion_factor = 6;
 /// Confirmations that bring the suspicion timeout down to its minimum.
 inline constexpr std::size_t max_confirmations = 3;
 /// Periods before the suspicion deadline at which the member is told of the suspicion once more.
@@ -76,9 +76,9 @@
 /// Consecutive probes that only helpers got answered, after which a member counts as unreachable from here.
 inline constexpr int unreachable_after_probes = 4;
 /// Periods within which a newer process of this router's own name must be heard from.
-inline constexpr int claim = 8;
+inline constexpr int reclaim_name_periods = 8;
 /// Periods for which two processes of one name may both run, as they do in an upgrade.
-inline constexpr int twice = 30;
+inline constexpr int duplicate_name_periods = 30;
 /// Notices for the operator that are kept until they are taken.
 inline constexpr std::size_t max_notices = 16;
 
--- a/src/peers/membership/membership.h
+++ b/src/peers/membership/membership.h
@@ -13,9 +13,9 @@
 #include "peers/membership/detector/local_health.h"
 #include "peers/membership/detector/probe.h"
 #include "peers/membership/detector/probe_order.h"
-#include "peers/membership/dissemination/news.h"
-#include "peers/membership/merge/judge.h"
-#include "peers/membership/merge/own_name.h"
+#include "peers/membership/dissemination/broadcast_queue.h"
+#include "peers/membership/merge/judge_claim.h"
+#include "peers/membership/merge/own_identity.h"
 #include "peers/membership/table.h"
 #include "peers/membership/view/view_builder.h"
 #include "peers/wire/packet.h"
@@ -26,7 +26,7 @@
 class Membership {
  public:
   /// `seed` determines all random choices.
-  Membership(Options options, std::uint64_t seed);
+  Membership(AgentOptions options, std::uint64_t seed);
 
   /// Adds this router to its table and schedules the first tick.
   void start(Micros now);
@@ -75,7 +75,7 @@
   // receiving.cpp
   void merge_sender(const Fact& sender);
   void handle(const Fact& sender, const wire::Ping& ping);
-  void handle(const Fact& sender, const wire::Ask& ask);
+  void handle(const Fact& sender, const wire::PingRequest& ask);
   void handle(const Fact& sender, const wire::Ack& ack);
   void handle(const Fact& sender, const wire::Nack& nack);
   void handle(const Fact& sender, const wire::Sync& sync);
@@ -106,19 +106,19 @@
     return options_.start + static_cast<std::uint64_t>((now_ - started_).count());
   }
 
-  Options options_;
+  AgentOptions options_;
   Random random_;
   Micros now_{}, started_{}, next_tick_ = Micros::max();
   std::uint64_t tick_ = 0, period_ends_ = 0, periods_ = 0;
   bool left_ = false;
 
   Table table_;
-  OwnName self_;
+  OwnIdentity self_;
   ProbeOrder probe_order_;
   LocalHealth health_;
   std::optional<Probe> probe_;
   IndirectPings indirect_pings_;
-  News broadcasts_;
+  BroadcastQueue broadcasts_;
   ViewBuilder view_builder_;
   std::deque<std::string> priority_probes_;  // members to probe before the regular order
   std::uint32_t sequence_;
--- a/src/peers/membership/merge/own_name.h
+++ b/src/peers/membership/merge/own_identity.h
@@ -11,31 +11,31 @@
 namespace lemonroute::peers::membership {
 
 /// This router's own fact, and the newer process of its name if there is one.
-class OwnName {
+class OwnIdentity {
  public:
   /// What a claim, a packet or a check has led to.
-  enum class Then { nothing, refuted, superseded, updated, reclaimed };
+  enum class Change { nothing, refuted, superseded, updated, reclaimed };
 
-  OwnName(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
+  OwnIdentity(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
 
   /// The fact that this process announces about itself.
-  const Fact& own() const { return own_; }
+  const Fact& fact() const { return own_; }
   /// The newer process that superseded this one, as last claimed; nothing if there is none.
   const std::optional<Fact>& successor() const { return successor_; }
   /// Whether a newer process holds this router's name.
   bool superseded() const { return successor_.has_value(); }
 
   /// Handles a claim about this router's name; `unix_now` is in microseconds.
-  Then told(const Fact& claim, Micros now, std::uint64_t unix_now);
+  Change apply_claim(const Fact& claim, Micros now, std::uint64_t unix_now);
   /// Handles a packet whose sender has this router's name but is another process.
-  void heard(const Fact& sender, Micros now);
+  void record_packet(const Fact& sender, Micros now);
   /// Takes the name back if the newer process was not heard from in time; to be called once a period.
-  Then check(Micros now);
+  Change check_reclaim(Micros now);
   /// Marks this router as left.
   void mark_left() { own_.standing = Standing::left; }
 
  private:
-  Then reclaim();
+  Change reclaim();
 
   Fact own_;
   Micros period_;
--- a/src/peers/membership/probing.cpp
+++ b/src/peers/membership/probing.cpp
@@ -38,7 +38,8 @@
   for (Entry* helper : probe_order_.random_across_sites(random_, target, limits::helpers_per_probe)) {
     ++probe_->helpers_asked;
     ++counters_.indirect;
-    send(helper->fact.address, wire::Ask{probe_->sequence, probe_->name, target->fact.address}, target);
+    send(helper->fact.address, wire::PingRequest{probe_->sequence, probe_->name, target->fact.address},
+         target);
   }
   probe_->indirect_at = ~0ull;
 }
@@ -68,8 +69,8 @@
     health_.degrade();
   Fact suspected = target->fact;
   suspected.standing = Standing::suspected;
-  suspected.by = self_.own().name;
-  merge(suspected, self_.own(), false);
+  suspected.reported_by = self_.fact().name;
+  merge(suspected, self_.fact(), false);
 }
 
 // Pings a member without awaiting an ack: the ping carries the claim against it, so that it can refute.
--- a/src/peers/membership/sending.cpp
+++ b/src/peers/membership/sending.cpp
@@ -12,27 +12,27 @@
 Fact fact_to_send(const Entry& entry) {
   Fact fact = entry.fact;
   if (fact.standing == Standing::suspected && !entry.confirmed_by.empty())
-    fact.by = entry.confirmed_by;
+    fact.reported_by = entry.confirmed_by;
   return fact;
 }
 
 }  // namespace
 
 void Membership::send(const std::string& address, wire::Body body, const Entry* about, bool with_broadcasts) {
-  Packet packet{self_.own(), std::move(body), {}};
+  Packet packet{self_.fact(), std::move(body), {}};
   if (std::holds_alternative<wire::Payload>(packet.body))
     packet.sender.site.clear(), packet.sender.address.clear();
   const std::size_t about_facts = about && about->fact.standing != Standing::alive ? 1 : 0;
   if (about_facts)
     packet.facts.push_back(fact_to_send(*about));  // the claim against the recipient
   if (with_broadcasts && !broadcasts_.empty()) {
-    for (const Entry* entry : broadcasts_.next(table_.there()))
+    for (const Entry* entry : broadcasts_.offer(table_.live_count()))
       packet.facts.push_back(fact_to_send(*entry));
   }
   std::size_t count = 0;
   std::string bytes = wire::encode(packet, &count);
   if (with_broadcasts && !broadcasts_.empty())
-    broadcasts_.told(count - std::min(count, about_facts));
+    broadcasts_.mark_transmitted(count - std::min(count, about_facts));
   ++counters_.sent;
   counters_.sent_bytes += bytes.size();
   out_.push_back({address, std::move(bytes)});
@@ -50,11 +50,11 @@
 // Sends the members of the buckets that differ, gone ones too, since the other router may hold them alive. It
 // begins at a random bucket, so that members that do not fit are sent in another exchange.
 void Membership::send_bucket_facts(const std::string& address, const std::vector<std::size_t>& buckets) {
-  Packet packet{self_.own(), wire::Facts{}, {}};
+  Packet packet{self_.fact(), wire::Facts{}, {}};
   const std::size_t from = random_.below(buckets.size());
   int datagrams_left = limits::max_exchange_datagrams;
   std::size_t used = 0;
-  const std::size_t room = limits::plain_bytes - wire::max_encoded_bytes(packet.sender) - 8;
+  const std::size_t room = limits::max_plain_bytes - wire::max_encoded_bytes(packet.sender) - 8;
   const auto flush = [&] {
     if (packet.facts.empty() || datagrams_left == 0)
       return;
@@ -91,7 +91,7 @@
 
 void Membership::send_payload(Topic topic, std::string_view to, std::string bytes) {
   const Entry* entry = table_.find(to);
-  if (left_ || !entry || entry->fact.name == self_.own().name || bytes.size() > Outbox::most ||
+  if (left_ || !entry || entry->fact.name == self_.fact().name || bytes.size() > Outbox::max_payload_bytes ||
       payloads_sent_ >= limits::max_payloads) {
     ++counters_.payloads_dropped;
     return;
--- a/src/peers/membership/table.cpp
+++ b/src/peers/membership/table.cpp
@@ -20,7 +20,7 @@
 }
 
 std::size_t Table::bucket_of(std::string_view name) {
-  return membership::hash_of(name) % limits::buckets;
+  return membership::hash_of(name) % limits::digest_buckets;
 }
 
 void Table::update_totals(const Entry& entry, int sign) {
@@ -69,10 +69,10 @@
   ++version_;
 }
 
-void Table::mark(Entry& entry, Standing standing, std::string by, Micros now) {
+void Table::set_standing(Entry& entry, Standing standing, std::string by, Micros now) {
   Fact fact = entry.fact;
   fact.standing = standing;
-  fact.by = std::move(by);
+  fact.reported_by = std::move(by);
   update(entry, fact, now);
 }
 
@@ -82,7 +82,7 @@
   entry.unreachable = unreachable;
 }
 
-void Table::forget(std::string_view name) {
+void Table::remove(std::string_view name) {
   const auto at = entries_.find(name);
   if (at == entries_.end())
     return;
@@ -98,8 +98,8 @@
   return digest ? digest : 1;  // 0 stands for no digest on the wire
 }
 
-std::array<std::uint32_t, limits::buckets> Table::buckets() const {
-  std::array<std::uint32_t, limits::buckets> truncated{};
+std::array<std::uint32_t, limits::digest_buckets> Table::buckets() const {
+  std::array<std::uint32_t, limits::digest_buckets> truncated{};
   for (std::size_t at = 0; at < hashes_.size(); ++at)
     truncated[at] = static_cast<std::uint32_t>(hashes_[at]);
   return truncated;
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -29,23 +29,23 @@
   /// Replaces the entry's fact; `standing_since` moves if the standing or the process changes.
   void update(Entry& entry, const Fact& fact, Micros now);
   /// Changes the entry's standing, as reported by the router `by`.
-  void mark(Entry& entry, Standing standing, std::string by, Micros now);
+  void set_standing(Entry& entry, Standing standing, std::string by, Micros now);
   /// Changes whether the member counts as unreachable from here.
   void set_unreachable(Entry& entry, bool unreachable);
   /// Removes a member.
-  void forget(std::string_view name);
+  void remove(std::string_view name);
 
   /// Number of members that are alive or suspected.
-  std::size_t there() const { return live_; }
+  std::size_t live_count() const { return live_; }
   /// Number of members that were declared gone, without those that left.
-  std::size_t gone() const { return gone_; }
+  std::size_t gone_count() const { return gone_; }
   /// Changes with each change that is visible in the view.
   std::uint64_t version() const { return version_; }
 
   /// Digest of the live members, never 0.
   std::uint64_t digest() const;
   /// Digest of the live members of each bucket.
-  std::array<std::uint32_t, limits::buckets> buckets() const;
+  std::array<std::uint32_t, limits::digest_buckets> buckets() const;
   /// The bucket of a name.
   static std::size_t bucket_of(std::string_view name);
   /// Calls `visit` for each entry of a bucket, live or not.
@@ -72,8 +72,8 @@
 
   std::size_t max_members_;
   Entries entries_;
-  std::array<std::uint64_t, limits::buckets> hashes_{};
-  std::array<std::vector<Entry*>, limits::buckets> in_bucket_;
+  std::array<std::uint64_t, limits::digest_buckets> hashes_{};
+  std::array<std::vector<Entry*>, limits::digest_buckets> in_bucket_;
   std::set<std::pair<Micros, std::string>> deadlines_;
   std::size_t live_ = 0, gone_ = 0;
   std::uint64_t version_ = 1;
--- a/src/peers/membership/ticks.cpp
+++ b/src/peers/membership/ticks.cpp
@@ -9,10 +9,10 @@
 
 }  // namespace
 
-Membership::Membership(Options options, std::uint64_t seed)
+Membership::Membership(AgentOptions options, std::uint64_t seed)
     : options_(std::move(options)),
       random_(seed),
-      table_(std::max<std::size_t>(options_.most_members, 2)),
+      table_(std::max<std::size_t>(options_.max_members, 2)),
       self_(
           {options_.name, options_.site, options_.address, options_.start, 0, Standing::alive, options_.name},
           options_.period),
@@ -25,7 +25,7 @@
 void Membership::start(Micros now) {
   now_ = started_ = now;
   std::string evicted;
-  table_.add(self_.own(), now, &evicted);
+  table_.add(self_.fact(), now, &evicted);
   // A random offset, so that routers that start together do not all probe at the same moment.
   next_tick_ =
       now +
@@ -79,18 +79,18 @@
   sync_sent_ = false;
   syncs_answered_ = unawaited_pings_ = final_pings_ = 0;
   payloads_sent_ = 0;
-  if (self_.check(now_) == OwnName::Then::reclaimed) {
+  if (self_.check_reclaim(now_) == OwnIdentity::Change::reclaimed) {
     ++counters_.reclaimed;
     update_self();
   }
-  if (self_.superseded() && self_.successor()->address != self_.own().address)
-    send(self_.successor()->address, wire::Ping{0, self_.own().name, table_.digest()});
+  if (self_.superseded() && self_.successor()->address != self_.fact().address)
+    send(self_.successor()->address, wire::Ping{0, self_.fact().name, table_.digest()});
   if (periods_ % forget_every_periods == 0)
     forget_expired_members();
   if (periods_ % limits::gone_ping_periods == 0 || view_builder_.minority_since())
     if (Entry* gone = probe_order_.random_member(random_, Standing::gone))
       send(gone->fact.address, wire::Ping{0, gone->fact.name, table_.digest()}, gone);
-  if (table_.there() <= 1 || periods_ % limits::seed_ping_periods == 0)
+  if (table_.live_count() <= 1 || periods_ % limits::seed_ping_periods == 0)
     ping_seed();
   view_builder_.update_minority(table_, now_);
 }
@@ -105,7 +105,7 @@
     Entry* entry = table_.find(name);
     probe_order_.remove(*entry);
     broadcasts_.drop(*entry);
-    table_.forget(name);
+    table_.remove(name);
   }
 }
 
@@ -118,8 +118,8 @@
   left_ = true;
   if (silent)
     return;
-  Entry* self = table_.find(self_.own().name);
-  table_.update(*self, self_.own(), now_);
+  Entry* self = table_.find(self_.fact().name);
+  table_.update(*self, self_.fact(), now_);
   // Sent to many members, which pass it on to any that missed it.
   for (Entry* to : probe_order_.random_across_sites(random_, nullptr, leave_fanout))
     send(to->fact.address, wire::Facts{}, self);
--- a/src/peers/membership/view/view_builder.cpp
+++ b/src/peers/membership/view/view_builder.cpp
@@ -6,19 +6,19 @@
 Member member_of(const Entry& entry) {
   const Fact& fact = entry.fact;
   return {fact.name,        fact.site,        fact.address,         fact.start,
-          fact.incarnation, fact.standing,    entry.standing_since, fact.by,
+          fact.incarnation, fact.standing,    entry.standing_since, fact.reported_by,
           entry.last_heard, entry.unreachable};
 }
 
 }  // namespace
 
 ViewBuilder::ViewBuilder(std::string me, Micros period) {
-  view_.me = std::move(me);
+  view_.own_name = std::move(me);
   view_.period = period;
 }
 
 void ViewBuilder::update_minority(const Table& table, Micros now) {
-  const bool minority = table.there() * 2 < table.there() + table.gone();
+  const bool minority = table.live_count() * 2 < table.live_count() + table.gone_count();
   if (!minority)
     minority_since_.reset();
   else if (!minority_since_)
@@ -30,7 +30,7 @@
   view_.minority_since = minority_since_;
   if (table_version_ != table.version()) {
     table_version_ = view_.version = table.version();
-    view_.known = static_cast<std::uint32_t>(table.there() + table.gone());
+    view_.known_count = static_cast<std::uint32_t>(table.live_count() + table.gone_count());
     view_.members.clear();
     view_.members.reserve(table.entries().size());
     for (const auto& [name, entry] : table.entries())
--- a/src/peers/seal/flood.h
+++ b/src/peers/seal/rate_limiter.h
@@ -1,9 +1,9 @@
 // Rate limiting of received datagrams, applied before any of them is authenticated. Free of I/O; bounded
 // memory.
 //
-// Limits per second, whatever is sent by whom: at most `taken` datagrams are read from the socket. Of those,
-// at most `authenticated` are opened from addresses that sent an authentic datagram within `remembered`, and
-// at most `strangers` from all other addresses together.
+// Limits per second, whatever is sent by whom: at most `reads` datagrams are read from the socket. Of those,
+// at most `authenticated` are opened from addresses that sent an authentic datagram within
+// `authenticated_ttl`, and at most `unknown` from all other addresses together.
 #pragma once
 
 #include <array>
@@ -29,30 +29,30 @@
 };
 
 /// Rate limiter of the datagrams that are read and authenticated, per address and in total.
-class Flood {
+class RateLimiter {
  public:
   /// Limits in datagrams per second; `per_address` bounds a single address.
   struct Rates {
-    double taken = 20000, authenticated = 8000, strangers = 500, per_address = 500;
+    double reads = 20000, authenticated = 8000, unknown = 500, per_address = 500;
   };
   /// Authenticated addresses that are kept at once.
-  static constexpr std::size_t most_addresses = 8192;
+  static constexpr std::size_t max_addresses = 8192;
   /// For how long an address counts as authenticated after its last authentic datagram.
-  static constexpr Micros remembered = std::chrono::seconds(60);
+  static constexpr Micros authenticated_ttl = std::chrono::seconds(60);
 
   /// Random key of the address hash, so that an attacker cannot pick addresses that share a bucket with
   /// another sender.
   using Secret = std::array<unsigned char, 16>;
-  Flood(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
+  RateLimiter(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
 
   /// False: the limit of reads is reached, so pause reading.
-  bool take(Micros now) { return read_bucket_.take(now, rates_.taken); }
+  bool allow_read(Micros now) { return read_bucket_.take(now, rates_.reads); }
   /// False: drop the datagram without authenticating it.
-  bool look(Micros now, std::string_view address);
+  bool allow_open(Micros now, std::string_view address);
   /// Records that an authentic datagram came from the address.
-  void prove(Micros now, std::string_view address);
+  void record_authentic(Micros now, std::string_view address);
   /// Number of authenticated addresses that are kept.
-  std::size_t addresses() const { return authenticated_.size(); }
+  std::size_t authenticated_addresses() const { return authenticated_.size(); }
 
  private:
   struct AuthenticatedAddress {
--- a/src/peers/seal/refusals.cpp
+++ b/src/peers/seal/refusal_counters.cpp
@@ -1,4 +1,4 @@
-#include "peers/seal/refusals.h"
+#include "peers/seal/refusal_counters.h"
 
 namespace lemonroute::peers::seal {
 namespace {
@@ -7,12 +7,12 @@
 
 }  // namespace
 
-void Refusals::count(Kind kind, const std::string& from) {
+void RefusalCounters::count(Kind kind, const std::string& from) {
   ++totals_[kind];
   last_from_ = from;
 }
 
-std::optional<std::string> Refusals::line(Micros now) {
+std::optional<std::string> RefusalCounters::take_log_line(Micros now) {
   if (totals_ == logged_ || (logged_at_ && now - *logged_at_ < log_interval))
     return std::nullopt;
   std::string text;
--- a/src/peers/seal/refusals.h
+++ b/src/peers/seal/refusal_counters.h
@@ -11,10 +11,10 @@
 namespace lemonroute::peers::seal {
 
 /// Counts refused datagrams by reason and makes a rate-limited log line of them.
-class Refusals {
+class RefusalCounters {
  public:
   /// Why a datagram was refused; `flood` is a datagram over a rate limit.
-  enum Kind : std::uint8_t { oversize, unknown_version, unknown_key, replay, forged, flood, kind_count };
+  enum Kind : std::uint8_t { oversize, unknown_version, unknown_key, replayed, forged, flood, kind_count };
   /// The name of each kind in the log line and in the management JSON.
   static constexpr std::array<const char*, kind_count> names{"oversize", "unknown_version", "unknown_key",
                                                              "replayed", "forged",          "flood"};
@@ -24,7 +24,7 @@
   const std::array<std::uint64_t, kind_count>& totals() const { return totals_; }
   /// A log line of the datagrams refused since the last line. Nothing if there are none, or if the last line
   /// is less than a minute old.
-  std::optional<std::string> line(Micros now);
+  std::optional<std::string> take_log_line(Micros now);
 
  private:
   std::array<std::uint64_t, kind_count> totals_{}, logged_{};
--- a/src/peers/seal/window.cpp
+++ b/src/peers/seal/replay_window.cpp
@@ -1,4 +1,4 @@
-#include "peers/seal/window.h"
+#include "peers/seal/replay_window.h"
 
 namespace lemonroute::peers::seal {
 namespace {
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-bool Window::fresh(std::uint64_t sequence) const {
+bool ReplayWindow::is_new(std::uint64_t sequence) const {
   if (sequence > newest_)
     return true;
   if (sequence == 0 || newest_ - sequence >= width)
@@ -15,7 +15,7 @@
   return !(received_[sequence / bits_per_word % received_.size()] >> (sequence % bits_per_word) & 1);
 }
 
-void Window::mark(std::uint64_t sequence) {
+void ReplayWindow::record(std::uint64_t sequence) {
   if (sequence > newest_) {
     // Clears the bits of the numbers that enter the window, which numbers that leave it still hold.
     if (sequence - newest_ >= width)
@@ -28,12 +28,12 @@
   received_[sequence / bits_per_word % received_.size()] |= std::uint64_t{1} << (sequence % bits_per_word);
 }
 
-bool Windows::fresh(const Sender& sender, std::uint64_t sequence) const {
+bool ReplayWindows::is_new(const SenderId& sender, std::uint64_t sequence) const {
   const auto found = senders_.find(sender);
-  return found == senders_.end() ? sequence > 0 : found->second->window.fresh(sequence);
+  return found == senders_.end() ? sequence > 0 : found->second->window.is_new(sequence);
 }
 
-void Windows::mark(const Sender& sender, std::uint64_t sequence) {
+void ReplayWindows::record(const SenderId& sender, std::uint64_t sequence) {
   const auto found = senders_.find(sender);
   if (found == senders_.end()) {
     if (senders_.size() >= max_senders_) {
@@ -45,7 +45,7 @@
   } else {
     by_recency_.splice(by_recency_.begin(), by_recency_, found->second);
   }
-  by_recency_.front().window.mark(sequence);
+  by_recency_.front().window.record(sequence);
 }
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -14,35 +14,36 @@
 #include <vector>
 
 #include "peers/seal/key.h"
-#include "peers/seal/window.h"
+#include "peers/seal/replay_window.h"
 
 namespace lemonroute::peers::seal {
 
 /// Format version, the first byte of each datagram.
 constexpr std::uint8_t version = 1;
 /// Bytes before the ciphertext, and all bytes that sealing adds.
-constexpr std::size_t header_bytes = 1 + 4 + 24, overhead = header_bytes + 16;
+constexpr std::size_t header_bytes = 1 + 4 + 24, overhead_bytes = header_bytes + 16;
 /// Longest sealed datagram in bytes: fits into the minimum MTU of IPv6.
-constexpr std::size_t most_sealed = 1232;
+constexpr std::size_t max_sealed_bytes = 1232;
 /// Longest plaintext in bytes.
-constexpr std::size_t most_plain = most_sealed - overhead;
+constexpr std::size_t max_plain_bytes = max_sealed_bytes - overhead_bytes;
 
 /// Encrypts the datagrams of this process.
 class Sealer {
  public:
   /// `self` must be unique among all processes that use the key.
-  Sealer(const Key& key, Sender self) : key_(key), self_(self) {}
-  /// Seals a plaintext of at most most_plain bytes; throws std::length_error for a longer one.
+  Sealer(const Key& key, SenderId self) : key_(key), self_(self) {}
+  /// Seals a plaintext of at most max_plain_bytes bytes; throws std::length_error for a longer one.
   std::string seal(std::string_view plain);
 
  private:
   Key key_;
-  Sender self_;
+  SenderId self_;
   std::uint64_t sequence_ = 0;
 };
 
-/// Why a datagram was not opened; `key` is an unknown key id, `version` an unknown format version.
-enum class Refusal : std::uint8_t { none, oversize, version, key, replay, forged };
+/// Why a datagram was not opened; `unknown_key` is an unknown key id, `unknown_version` an unknown format
+/// version.
+enum class Refusal : std::uint8_t { none, oversize, unknown_version, unknown_key, replayed, forged };
 
 /// Authenticates and decrypts received datagrams, and refuses replayed ones.
 class Opener {
@@ -58,7 +59,7 @@
 
  private:
   std::vector<Key> keys_;
-  Windows replay_windows_;
+  ReplayWindows replay_windows_;
 };
 
 }  // namespace lemonroute::peers::seal
--- a/src/peers/service.cpp
+++ b/src/peers/service.cpp
@@ -10,11 +10,11 @@
 #include <unordered_map>
 
 #include "base/log.h"
-#include "peers/seal/flood.h"
-#include "peers/seal/refusals.h"
+#include "peers/loop_waker.h"
+#include "peers/seal/rate_limiter.h"
+#include "peers/seal/refusal_counters.h"
 #include "peers/seal/seal.h"
-#include "peers/udp.h"
-#include "peers/wake.h"
+#include "peers/udp_socket.h"
 
 namespace lemonroute::peers {
 namespace {
@@ -43,11 +43,11 @@
 
 struct Service::Impl {
   Impl(Service& service, Options options, const Clock& clock, const std::vector<Extension*>& extensions,
-       Desk& desk)
+       Delegate& delegate)
       : service_(service),
         options_(std::move(options)),
         clock_(clock),
-        desk_(desk),
+        delegate_(delegate),
         socket_(bind_socket()),
         sealer_(options_.keys.at(0), {random_u64(), options_.agent.start}),
         opener_(options_.keys, max_senders),
@@ -58,23 +58,24 @@
         read_pause_(loop_, [this] { resume(); }),
         bind_retry_(loop_, [this] { bind_configured_address(); }) {
     for (Extension* extension : extensions)
-      agent_.add(*extension);
+      agent_.add_extension(*extension);
   }
 
-  std::unique_ptr<Udp> open(const std::string& address) {
-    return std::make_unique<Udp>(loop_, address, seal::most_sealed, [this](auto& from, auto bytes) {
-      bool more = true;
-      end_on_exception([&] { more = handle_datagram(from, bytes); });
-      return more;
-    });
+  std::unique_ptr<UdpSocket> open(const std::string& address) {
+    return std::make_unique<UdpSocket>(loop_, address, seal::max_sealed_bytes,
+                                       [this](auto& from, auto bytes) {
+                                         bool more = true;
+                                         end_on_exception([&] { more = handle_datagram(from, bytes); });
+                                         return more;
+                                       });
   }
-  std::unique_ptr<Udp> bind_socket() {
+  std::unique_ptr<UdpSocket> bind_socket() {
     if (sodium_init() < 0)
       throw std::runtime_error("peers: libsodium could not be initialized");
     try {
       return open(options_.listen);
     } catch (const std::runtime_error&) {
-      if (!options_.beside_another)
+      if (!options_.previous_process_listening)
         throw;
     }
     auto socket = open(with_port(options_.listen, "0"));
@@ -84,13 +85,13 @@
     on_temporary_port_ = true;
     return socket;
   }
-  static seal::Flood::Secret secret() {
-    seal::Flood::Secret secret;
+  static seal::RateLimiter::Secret secret() {
+    seal::RateLimiter::Secret secret;
     randombytes_buf(secret.data(), secret.size());
     return secret;
   }
   // The agent's options, with the address that is known once the socket is bound.
-  const peers::Options& agent_options() {
+  const peers::AgentOptions& agent_options() {
     auto& address = options_.agent.address;
     if (address.empty())
       address = with_port(options_.listen, port_of(socket_->address()));
@@ -128,54 +129,54 @@
       agent_.start(clock_.now());
       if (on_temporary_port_)
         bind_retry_.start(bind_retry_interval);
-      round();
+      update();
     });
     if (!service_.failed_)
       loop_.run();
   }
   void handle_wake() {
     const Micros now = clock_.now();
-    desk_.woken(now);
+    delegate_.on_wake(now);
     if (service_.ending_) {
       agent_.leave(now);
       send();
       loop_.stop();
       return;
     }
-    round();
+    update();
   }
   void run_due() {
     const Micros now = clock_.now();
     if (agent_.next_due() <= now)
       agent_.run_due(now);
-    round();
+    update();
   }
 
   bool handle_datagram(const std::string& from, std::string_view bytes) {
-    using seal::Refusals;
+    using seal::RefusalCounters;
     const Micros now = clock_.now();
-    const bool more = rate_limiter_.take(now);
+    const bool more = rate_limiter_.allow_read(now);
     if (!more)
       read_pause_.start(read_pause);
-    if (!more || !rate_limiter_.look(now, from)) {
-      refusals_.count(Refusals::flood, from);
+    if (!more || !rate_limiter_.allow_open(now, from)) {
+      refusals_.count(RefusalCounters::flood, from);
       return more;
     }
     auto refusal = seal::Refusal::none;
     const auto plain = opener_.open(bytes, refusal);
     if (plain) {
-      rate_limiter_.prove(now, from);
+      rate_limiter_.record_authentic(now, from);
       ++opened_;
       agent_.receive(now, from, *plain);
-      // A timer merges the rounds of all datagrams read together. A deferred job of the loop would not do: it
-      // would run once more when the loop is destroyed.
-      if (!std::exchange(round_due_, true))
+      // A timer merges the updates of all datagrams read together. A deferred job of the loop would not do:
+      // it would run once more when the loop is destroyed.
+      if (!std::exchange(update_due_, true))
         due_.start(Micros(0));
       return true;
     }
-    constexpr Refusals::Kind kind_of[] = {Refusals::forged,          Refusals::oversize,
-                                          Refusals::unknown_version, Refusals::unknown_key,
-                                          Refusals::replay,          Refusals::forged};
+    constexpr RefusalCounters::Kind kind_of[] = {
+        RefusalCounters::forged,      RefusalCounters::oversize, RefusalCounters::unknown_version,
+        RefusalCounters::unknown_key, RefusalCounters::replayed, RefusalCounters::forged};
     refusals_.count(kind_of[static_cast<std::size_t>(refusal)], from);
     return true;
   }
@@ -186,8 +187,8 @@
   }
 
   void send() {
-    for (const auto& datagram : agent_.take()) {
-      if (datagram.bytes.size() > seal::most_plain) {
+    for (const auto& datagram : agent_.take_datagrams()) {
+      if (datagram.bytes.size() > seal::max_plain_bytes) {
         ++too_long_;
         continue;
       }
@@ -201,46 +202,47 @@
   }
   const std::unordered_map<std::string, std::string>& address_overrides() {
     const View& view = agent_.view();
-    if (options_.via.empty() || std::exchange(overrides_version_, view.version) == view.version)
+    if (options_.address_overrides.empty() || std::exchange(overrides_version_, view.version) == view.version)
       return address_overrides_;
     address_overrides_.clear();
-    for (const auto& [name, address] : options_.via)
+    for (const auto& [name, address] : options_.address_overrides)
       if (const auto* member = view.find(name))
         address_overrides_[member->address] = address;
     return address_overrides_;
   }
-  void round() {
-    round_due_ = false;
+  void update() {
+    update_due_ = false;
     send();
     const Micros now = clock_.now();
-    if (const auto line = refusals_.line(now))
+    if (const auto line = refusals_.take_log_line(now))
       logging::warn() << *line;
-    desk_.round(now, service_);
-    due_.start(std::min(agent_.next_due(), desk_.next_due()) - now);
+    delegate_.on_update(now, service_);
+    due_.start(std::min(agent_.next_due(), delegate_.next_due()) - now);
   }
 
   Service& service_;
   Options options_;
   const Clock& clock_;
-  Desk& desk_;
+  Delegate& delegate_;
   net::Loop loop_;
   bool on_temporary_port_ = false;
-  std::unique_ptr<Udp> socket_, configured_socket_;
+  std::unique_ptr<UdpSocket> socket_, configured_socket_;
   seal::Sealer sealer_;
   seal::Opener opener_;
-  seal::Flood rate_limiter_;
-  seal::Refusals refusals_;
+  seal::RateLimiter rate_limiter_;
+  seal::RefusalCounters refusals_;
   Agent agent_;
-  Wake wake_;
+  LoopWaker wake_;
   net::Timer due_, read_pause_, bind_retry_;
   std::uint64_t opened_ = 0, sent_ = 0, unsent_ = 0, too_long_ = 0;
-  bool round_due_ = false;
+  bool update_due_ = false;
   std::uint64_t overrides_version_ = ~std::uint64_t{0};
   std::unordered_map<std::string, std::string> address_overrides_;  // by the member's own address
 };
 
-Service::Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk)
-    : impl_(std::make_unique<Impl>(*this, std::move(options), clock, extensions, desk)) {}
+Service::Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions,
+                 Delegate& delegate)
+    : impl_(std::make_unique<Impl>(*this, std::move(options), clock, extensions, delegate)) {}
 
 Service::~Service() {
   ending_ = true;
@@ -259,7 +261,7 @@
 }
 
 void Service::wake() {
-  impl_->wake_.ring();
+  impl_->wake_.wake();
 }
 const View& Service::view() const {
   return impl_->agent_.view();
@@ -271,8 +273,8 @@
                            {"sent", impl_->sent_},
                            {"unsent", impl_->unsent_},
                            {"too_long", impl_->too_long_}};
-  for (std::size_t i = 0; i < seal::Refusals::kind_count; ++i)
-    datagrams["refused"][seal::Refusals::names[i]] = impl_->refusals_.totals()[i];
+  for (std::size_t i = 0; i < seal::RefusalCounters::kind_count; ++i)
+    datagrams["refused"][seal::RefusalCounters::names[i]] = impl_->refusals_.totals()[i];
   document["datagrams"] = std::move(datagrams);
   return document;
 }
--- a/src/peers/service.h
+++ b/src/peers/service.h
@@ -23,32 +23,32 @@
   /// Settings of a service.
   struct Options {
     /// Settings of the agent. An empty address stands for the listening address.
-    peers::Options agent;
+    peers::AgentOptions agent;
     /// Address to listen on.
     std::string listen;
     /// The previous process still listens on `listen`, in an upgrade. Then this process advertises a free
     /// port of that address and also receives on `listen` once the previous process has closed it.
-    bool beside_another = false;
+    bool previous_process_listening = false;
     /// Keys of the fleet: the first one seals, any of them opens.
     std::vector<seal::Key> keys;
     /// By a peer's name: the address to which its datagrams are sent instead of its own.
-    std::map<std::string, std::string> via;
+    std::map<std::string, std::string> address_overrides;
   };
   /// Further work on the service's thread.
-  class Desk {
+  class Delegate {
    public:
-    virtual ~Desk() = default;
+    virtual ~Delegate() = default;
     /// Called after wake(). Calls to wake() may be merged, and the call may come early.
-    virtual void woken(Micros now) = 0;
+    virtual void on_wake(Micros now) = 0;
     /// Called after each event that may have changed something.
-    virtual void round(Micros now, const Service& service) = 0;
-    /// When to call round() if no event comes first.
+    virtual void on_update(Micros now, const Service& service) = 0;
+    /// When to call on_update() if no event comes first.
     virtual Micros next_due() const = 0;
   };
 
-  /// All references must outlive the service. Once it is started, it uses the extensions and the desk only on
-  /// its own thread. Throws std::runtime_error if the address is in use.
-  Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Desk& desk);
+  /// All references must outlive the service. Once it is started, it uses the extensions and the delegate
+  /// only on its own thread. Throws std::runtime_error if the address is in use.
+  Service(Options options, const Clock& clock, const std::vector<Extension*>& extensions, Delegate& delegate);
   /// Tells other routers that this one leaves, and ends the thread.
   ~Service();
   Service(const Service&) = delete;
@@ -56,7 +56,7 @@
 
   /// Starts the thread.
   void start();
-  /// Causes a call of Desk::woken(). May be called from any thread; never waits.
+  /// Causes a call of Delegate::on_wake(). May be called from any thread; never waits.
   void wake();
   /// Whether the thread has ended because of an exception.
   bool failed() const { return failed_; }
--- a/src/peers/view.h
+++ b/src/peers/view.h
@@ -36,15 +36,15 @@
   /// Its state.
   Standing standing = Standing::alive;
   /// Since when it has that standing, on this router's clock.
-  Micros since{};
+  Micros standing_since{};
   /// Router that first reported the standing, as far as is known.
-  std::string by;
+  std::string reported_by;
   /// When this router last heard from it directly.
   std::optional<Micros> last_heard;
   /// Whether other routers reach it and this one does not.
   bool unreachable_from_here = false;
   /// Whether it is alive or suspected.
-  bool there() const { return standing == Standing::alive || standing == Standing::suspected; }
+  bool is_live() const { return standing == Standing::alive || standing == Standing::suspected; }
 };
 
 /// The members that a router knows, itself included.
@@ -56,20 +56,20 @@
   /// The protocol period, the unit of the protocol's timeouts.
   Micros period{};
   /// Name of this router.
-  std::string me;
+  std::string own_name;
   /// All members by name, this router included; gone ones stay for a bounded time.
   std::vector<Member> members;
   /// Number of remembered members without those that left.
-  std::uint32_t known = 1;
+  std::uint32_t known_count = 1;
   /// Since when this router has seen less than half of the known members live; nothing otherwise.
   std::optional<Micros> minority_since;
 
   /// The member of a name, or null.
   const Member* find(std::string_view name) const;
   /// This router's own entry, or null.
-  const Member* self() const { return find(me); }
+  const Member* self() const { return find(own_name); }
   /// Number of members that are alive or suspected, this router included.
-  std::uint32_t there() const;
+  std::uint32_t live_count() const;
 };
 
 }  // namespace lemonroute::peers
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -13,37 +13,37 @@
 
 using membership::Fact;
 
-/// Asks the member `to` for an ack; with sequence 0 no ack is awaited, with an empty name anyone answers.
+/// Asks the member `target` for an ack; with sequence 0 no ack is awaited, with an empty name anyone answers.
 struct Ping {
   std::uint32_t sequence = 0;
-  std::string to;
+  std::string target;
   /// Digest of the sender's member table.
   std::uint64_t digest = 0;
 };
-/// Asks the recipient to ping the member `to` at `address` on the sender's behalf (ping-req in SWIM).
-struct Ask {
+/// Asks the recipient to ping the member `target` at `address` on the sender's behalf (ping-req in SWIM).
+struct PingRequest {
   std::uint32_t sequence = 0;
-  std::string to, address;
+  std::string target, address;
 };
-/// Acknowledges a ping, either directly or on behalf of the member `of`.
+/// Acknowledges a ping, either directly or on behalf of the member `target`.
 struct Ack {
   std::uint32_t sequence = 0;
-  std::string of;
+  std::string target;
   /// Digest of the sender's member table; 0 in an ack that is passed on.
   std::uint64_t digest = 0;
   /// Start of the process that answered, Unix time in microseconds.
   std::uint64_t start = 0;
 };
-/// Reports that the member `of` did not answer the recipient's request in time.
+/// Reports that the member `target` did not answer the recipient's request in time.
 struct Nack {
   std::uint32_t sequence = 0;
-  std::string of;
+  std::string target;
 };
 /// An anti-entropy exchange: the recipient sends the facts of each bucket whose hash differs from its own.
 struct Sync {
   std::vector<std::uint32_t> buckets;
   /// Whether this is the reply to a Sync and expects none.
-  bool answer = false;
+  bool is_reply = false;
 };
 /// No body, facts only.
 struct Facts {};
@@ -53,7 +53,7 @@
   std::string content;
 };
 /// What a packet is about.
-using Body = std::variant<Facts, Ping, Ask, Ack, Nack, Sync, Payload>;
+using Body = std::variant<Facts, Ping, PingRequest, Ack, Nack, Sync, Payload>;
 
 /// A decoded datagram.
 struct Packet {
@@ -65,13 +65,13 @@
 };
 
 /// Why a datagram was not decoded: not parsable or too long, an unknown version, or a field out of bounds.
-enum class Fault { none, unreadable, version, bad_field };
+enum class DecodeError { none, unreadable, unknown_version, bad_field };
 
-/// Encodes a packet with as many facts, from the front, as fit into limits::plain_bytes; `facts_encoded`
+/// Encodes a packet with as many facts, from the front, as fit into limits::max_plain_bytes; `facts_encoded`
 /// receives their number.
 std::string encode(const Packet& packet, std::size_t* facts_encoded = nullptr);
 /// Decodes a packet. Invalid facts are left out and counted in `facts_left_out`.
-Fault decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out);
+DecodeError decode(std::string_view bytes, Packet& packet, std::uint64_t& facts_left_out);
 /// Upper bound of a fact's size in a packet, in bytes.
 std::size_t max_encoded_bytes(const Fact& fact);
 
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -44,7 +44,7 @@
 std::size_t PoolsExtension::count_routers(RegionId region) const {
   return static_cast<std::size_t>(
       std::count_if(view_.members.begin(), view_.members.end(), [&](auto& member) {
-        return member.there() && !member.unreachable_from_here && region_of(member.site) == region;
+        return member.is_live() && !member.unreachable_from_here && region_of(member.site) == region;
       }));
 }
 
@@ -59,7 +59,7 @@
   grantor_enabled_ = enabled;
 }
 
-void PoolsExtension::viewed(Micros now, const peers::View& view) {
+void PoolsExtension::on_view_change(Micros now, const peers::View& view) {
   view_ = view;
   if (!started_) {
     started_ = true;
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -55,8 +55,8 @@
   return true;
 }
 
-// Splits entries into payloads of at most peers::Outbox::most bytes. `begin` writes the other fields of a
-// payload and returns the field that its entries are added to.
+// Splits entries into payloads of at most peers::Outbox::max_payload_bytes bytes. `begin` writes the other
+// fields of a payload and returns the field that its entries are added to.
 template <class Begin>
 std::vector<std::string> split(const std::vector<Entry>& entries, std::uint64_t fingerprint, Micros now,
                                Begin begin) {
@@ -74,7 +74,7 @@
     to_proto(entry, now, known);
     const std::size_t entry_bytes = known.ByteSizeLong() + 3;  // with its tag and length
     // The length prefix of the enclosing message takes one more byte once the message is long.
-    if (to && payload_bytes + entry_bytes + 2 > peers::Outbox::most)
+    if (to && payload_bytes + entry_bytes + 2 > peers::Outbox::max_payload_bytes)
       finish_payload();
     if (!to) {
       payload.Clear();
@@ -94,7 +94,7 @@
 
 Read read(std::string_view bytes, std::uint64_t fingerprint, std::size_t regions, Micros now) {
   v1::Payload payload;
-  if (bytes.size() > peers::Outbox::most ||
+  if (bytes.size() > peers::Outbox::max_payload_bytes ||
       !payload.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return {std::nullopt, Fault::unreadable};
   if (payload.version() != format_version)
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -57,7 +57,7 @@
 Read read(std::string_view bytes, std::uint64_t fingerprint, std::size_t regions, Micros now);
 
 /// Writes a message as one payload, or as several if its entries need them. Each payload has at most
-/// peers::Outbox::most bytes.
+/// peers::Outbox::max_payload_bytes bytes.
 std::vector<std::string> write(const Message& message, std::uint64_t fingerprint, Micros now);
 
 }  // namespace lemonroute::pools::wire
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -121,10 +121,10 @@
   hints_changed_ = true;
 }
 
-void TiersExtension::viewed(Micros, const peers::View& view) {
+void TiersExtension::on_view_change(Micros, const peers::View& view) {
   members_.clear();
   for (const auto& member : view.members)
-    if (member.there())
+    if (member.is_live())
       members_.push_back(member.name);
   const auto changed_shards = site_.update_view(view);
   const auto in_changed_shard = [&](KeyId key) {
--- a/src/tiers/sharding/shard_collectors.cpp
+++ b/src/tiers/sharding/shard_collectors.cpp
@@ -10,7 +10,7 @@
   std::vector<NameId> ids;
   std::vector<std::uint64_t> starts;
   for (const auto& member : view.members) {
-    if (!member.there() || !in_tier(member))
+    if (!member.is_live() || !in_tier(member))
       continue;
     members_.push_back(member.name);
     ids.push_back(hasher_.name(member.name));
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -29,7 +29,7 @@
     return std::nullopt;
   };
   v1::Payload message;
-  if (bytes.size() > peers::Outbox::most)
+  if (bytes.size() > peers::Outbox::max_payload_bytes)
     return reject("oversize");
   if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return reject("unreadable");
@@ -105,7 +105,7 @@
   if (devices.count(device))
     return true;
   const auto cost = 2 + 9 + 1 + varint_size(epoch.start) + (epoch.lanes ? 1 + varint_size(epoch.lanes) : 0);
-  if (bytes + cost > peers::Outbox::most || payload.devices_size() == max_devices)
+  if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() == max_devices)
     return false;
   bytes += cost;
   devices[device] = static_cast<std::uint32_t>(payload.devices_size());
@@ -126,7 +126,7 @@
     cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.generation.start) +
             (holder.generation.lanes ? 1 + varint_size(holder.generation.lanes) : 0);
   const auto room = static_cast<int>(cache_entry.holders.size());
-  if (bytes + cost > peers::Outbox::most || payload.devices_size() + room > max_devices ||
+  if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() + room > max_devices ||
       payload.contributors_size() + room > max_devices)
     return false;
   auto* row = payload.add_rows();
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -139,16 +139,16 @@
   }
   table.text("extra.kind-role");  // no role can be guessed
   for (const auto role : table.list("extra.kind-role"))
-    s.kind_role.push_back(table.choose<Role>(
+    s.role_by_kind.push_back(table.choose<Role>(
         "extra.kind-role", role, {{"read", Role::prefill}, {"write", Role::decode}, {"both", Role::mixed}}));
-  s.kind_memory = table.numbers("extra.tokens-by-kind");
+  s.kv_cache_tokens_by_kind = table.numbers("extra.tokens-by-kind");
   for (const auto column : table.list("report.columns"))
     s.report_columns.emplace_back(column);
   s.report_x0_is_memory = table.text("extra.report-x0", "").find("memory") != std::string_view::npos;
   s.report_x1_is_queued_tokens =
       table.text("extra.report-x1", "").find("prompt_tokens") != std::string_view::npos;
   s.report_by_probe = table.text("report.how", "") == "pull";
-  s.discovery_on_request =
+  s.endpoint_list_is_polled =
       table.has("discovery") && table.pick<bool>("discovery", {{"pushed", false}, {"on_request", true}});
   s.decode_nodes_prefill = table.flag("extra.read-in-place", false);
   s.stream_resume_allowed = table.flag("extra.resume", false);
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -252,11 +252,11 @@
   io(ShortText{v.line});
 }
 template <class IO>
-void fields(IO& io, Subscribe& v) {
-  io(v.on);
+void fields(IO& io, WatchEndpointList& v) {
+  io(v.open);
 }
 template <class IO>
-void fields(IO&, Snapshot&) {}
+void fields(IO&, FetchEndpointList&) {}
 template <class IO>
 void fields(IO& io, EvictReservation& v) {
   io(v.id);
--- a/tests/acceptance/soak_test.cpp
+++ b/tests/acceptance/soak_test.cpp
@@ -95,8 +95,8 @@
   std::size_t rest() {
     pass(1min);
     EXPECT_TRUE(core_.idle());
-    EXPECT_EQ(core_.open_requests(), 0u);
-    EXPECT_EQ(core_.known_nodes(), 8u);
+    EXPECT_EQ(core_.open_request_count(), 0u);
+    EXPECT_EQ(core_.listed_node_count(), 8u);
     EXPECT_EQ(core_.next_timer(), std::nullopt) << "no timer is left";
     return live;
   }
@@ -110,8 +110,8 @@
     c.latency_objective = 1500ms;
     c.deadline = 6s;
     s.classes = {c};
-    s.kind_role = {Role::prefill, Role::decode};
-    s.kind_memory = {200000, 150000};
+    s.role_by_kind = {Role::prefill, Role::decode};
+    s.kv_cache_tokens_by_kind = {200000, 150000};
     s.report_columns = {"x0"};
     s.report_x0_is_memory = true;
     s.max_attempts = 6;
--- a/tests/core/node_registry_test.cpp
+++ b/tests/core/node_registry_test.cpp
@@ -32,7 +32,7 @@
   (void)list_nodes({"r1"});
   const auto update = nodes.update(EndpointListKind::incremental, 2, {listed_node("w1")});
   EXPECT_EQ(update.endpoints.size(), 1u);
-  EXPECT_EQ(nodes.ready_nodes(), 2u);
+  EXPECT_EQ(nodes.ready_node_count(), 2u);
 }
 
 TEST_F(NodeRegistryTest, KeepsTheAddressWhenTheListHasNone) {
@@ -53,7 +53,7 @@
 
 TEST_F(NodeRegistryTest, RenumberAssignsKindsByTheNewNames) {
   (void)list_nodes({"r1", "w1"});
-  const auto update = nodes.renumber({"a"}, {"w", "r"});
+  const auto update = nodes.set_zones_and_kinds({"a"}, {"w", "r"});
   EXPECT_EQ(update.kind, EndpointListKind::full);
   EXPECT_EQ(update.endpoints.size(), 2u);
   EXPECT_EQ(nodes.role_of(id("w1")), Role::prefill);
@@ -138,11 +138,11 @@
   EXPECT_TRUE(nodes.has_answered_since(id("r1"), clock.time));
   clock.time += 1ms;
   nodes.record_failure(id("r1"));
-  EXPECT_TRUE(nodes.suspected(id("r1")));
+  EXPECT_TRUE(nodes.failed_at_last_contact(id("r1")));
   EXPECT_FALSE(nodes.has_answered_since(id("r1"), clock.time - 1ms));
   clock.time += 1ms;
   nodes.record_answer(id("r1"));
-  EXPECT_FALSE(nodes.suspected(id("r1")));
+  EXPECT_FALSE(nodes.failed_at_last_contact(id("r1")));
 }
 
 TEST_F(NodeRegistryTest, RemovedNodeLosesItsLastContact) {
@@ -151,7 +151,7 @@
   (void)list_nodes({});
   nodes.record_failure(id("r1"));
   (void)list_nodes({"r1"});
-  EXPECT_FALSE(nodes.suspected(id("r1")));
+  EXPECT_FALSE(nodes.failed_at_last_contact(id("r1")));
   EXPECT_EQ(nodes.last_answer(id("r1")), std::nullopt);
 }
 
--- a/tests/formats/formats_test.cpp
+++ b/tests/formats/formats_test.cpp
@@ -259,13 +259,13 @@
 
   ASSERT_EQ(successor.states.size(), 1u);
   const std::vector<std::pair<Role, double>> read_rates{{Role::decode, 0.125}, {Role::mixed, 2.3}};
-  EXPECT_EQ(successor.states[0].prefill_rates, read_rates);
+  EXPECT_EQ(successor.states[0].prefill_times_per_token, read_rates);
 }
 
 TEST(Formats, WritesWhatIsToldOfNodesAsBefore) {
   TemporaryFolder folder;
   DatagramSocket socket(folder.file("streams"));
-  NodeReport first, second;
+  NodeHandoverState first, second;
   first.node = "lettura-1";
   first.load_report = "inflight=7,queue=2";
   first.age = Micros(1234567);
--- a/tests/formats/peers_test.cpp
+++ b/tests/formats/peers_test.cpp
@@ -22,7 +22,7 @@
   fact.start = sender_start;
   fact.incarnation = 300;
   fact.standing = Standing::suspected;
-  fact.by = "router-h";
+  fact.reported_by = "router-h";
   return fact;
 }
 
@@ -34,7 +34,7 @@
   fact.start = 1764683712345678;
   fact.incarnation = 70'000;
   fact.standing = standing;
-  fact.by = "by-" + name;
+  fact.reported_by = "by-" + name;
   return fact;
 }
 
@@ -50,7 +50,7 @@
 wire::Packet packet_of(const std::string& fixture) {
   wire::Packet packet;
   std::uint64_t left_out = 0;
-  EXPECT_EQ(wire::decode(binary_fixture(fixture), packet, left_out), wire::Fault::none);
+  EXPECT_EQ(wire::decode(binary_fixture(fixture), packet, left_out), wire::DecodeError::none);
   EXPECT_EQ(left_out, 0u);
   return packet;
 }
@@ -62,7 +62,7 @@
   EXPECT_EQ(fact.start, 1764683712345678u);
   EXPECT_EQ(fact.incarnation, 70'000u);
   EXPECT_EQ(fact.standing, standing);
-  EXPECT_EQ(fact.by, "by-" + name);
+  EXPECT_EQ(fact.reported_by, "by-" + name);
 }
 
 // Whoever sends is there, whatever is written of its standing.
@@ -73,7 +73,7 @@
   EXPECT_EQ(sender.start, 1764683700000001u);
   EXPECT_EQ(sender.incarnation, 300u);
   EXPECT_EQ(sender.standing, Standing::alive);
-  EXPECT_EQ(sender.by, "");
+  EXPECT_EQ(sender.reported_by, "");
 }
 
 // The body of a packet that has the sender and the facts of all fixtures, or one with no field set and a
@@ -102,31 +102,31 @@
   const auto ping = body_of<wire::Ping>("peers_ping.hex");
 
   EXPECT_EQ(ping.sequence, 71'001u);
-  EXPECT_EQ(ping.to, "router-d");
+  EXPECT_EQ(ping.target, "router-d");
   EXPECT_EQ(ping.digest, 0x1122334455667788u);
 }
 
 TEST(Formats, WritesAPingAsBefore) {
   wire::Ping ping;
   ping.sequence = 71'001;
-  ping.to = "router-d";
+  ping.target = "router-d";
   ping.digest = 0x1122334455667788;
 
   expect_written(packet_with(ping), "peers_ping.hex");
 }
 
 TEST(Formats, ReadsBackAPingRequest) {
-  const auto ask = body_of<wire::Ask>("peers_ask.hex");
+  const auto ask = body_of<wire::PingRequest>("peers_ask.hex");
 
   EXPECT_EQ(ask.sequence, 71'002u);
-  EXPECT_EQ(ask.to, "router-e");
+  EXPECT_EQ(ask.target, "router-e");
   EXPECT_EQ(ask.address, "10.9.8.7:7948");
 }
 
 TEST(Formats, WritesAPingRequestAsBefore) {
-  wire::Ask ask;
+  wire::PingRequest ask;
   ask.sequence = 71'002;
-  ask.to = "router-e";
+  ask.target = "router-e";
   ask.address = "10.9.8.7:7948";
 
   expect_written(packet_with(ask), "peers_ask.hex");
@@ -136,7 +136,7 @@
   const auto ack = body_of<wire::Ack>("peers_ack.hex");
 
   EXPECT_EQ(ack.sequence, 71'003u);
-  EXPECT_EQ(ack.of, "router-f");
+  EXPECT_EQ(ack.target, "router-f");
   EXPECT_EQ(ack.digest, 0x99aabbccddeeff01u);
   EXPECT_EQ(ack.start, 1764683799999999u);
 }
@@ -144,7 +144,7 @@
 TEST(Formats, WritesAnAckAsBefore) {
   wire::Ack ack;
   ack.sequence = 71'003;
-  ack.of = "router-f";
+  ack.target = "router-f";
   ack.digest = 0x99aabbccddeeff01;
   ack.start = 1764683799999999;
 
@@ -155,13 +155,13 @@
   const auto nack = body_of<wire::Nack>("peers_nack.hex");
 
   EXPECT_EQ(nack.sequence, 71'004u);
-  EXPECT_EQ(nack.of, "router-g");
+  EXPECT_EQ(nack.target, "router-g");
 }
 
 TEST(Formats, WritesANackAsBefore) {
   wire::Nack nack;
   nack.sequence = 71'004;
-  nack.of = "router-g";
+  nack.target = "router-g";
 
   expect_written(packet_with(nack), "peers_nack.hex");
 }
@@ -178,13 +178,13 @@
   const auto sync = body_of<wire::Sync>("peers_sync.hex");
 
   EXPECT_EQ(sync.buckets, buckets());
-  EXPECT_TRUE(sync.answer);
+  EXPECT_TRUE(sync.is_reply);
 }
 
 TEST(Formats, WritesASyncAsBefore) {
   wire::Sync sync;
   sync.buckets = buckets();
-  sync.answer = true;
+  sync.is_reply = true;
 
   expect_written(packet_with(sync), "peers_sync.hex");
 }
@@ -226,7 +226,7 @@
 // ---- sealed ----
 
 constexpr char plain[] = "what router-a says to router-b";
-const seal::Sender sealing_process{.tag = 0x0102030405060708, .start = sender_start};
+const seal::SenderId sealing_process{.tag = 0x0102030405060708, .start = sender_start};
 
 // The bytes 1 to 32.
 seal::Key shared_key() {
--- a/tests/guide/fleet_test.cpp
+++ b/tests/guide/fleet_bridge_test.cpp
@@ -1,6 +1,6 @@
 // Fleets of routers with real sockets and peers' threads, all on one serving loop. The tests wait for
 // conditions, never for a fixed time.
-#include "guide/fleet.h"
+#include "guide/fleet_bridge.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "peers/seal/seal.h"
-#include "peers/udp.h"
+#include "peers/udp_socket.h"
 
 namespace lemonroute::guide {
 namespace {
@@ -24,27 +24,27 @@
 
 struct Router {
   Router(net::Loop& loop, const Clock& clock, const std::string& name, std::vector<std::string> seeds,
-         std::vector<peers::seal::Key> keys, std::vector<Binding> bindings = {},
+         std::vector<peers::seal::Key> keys, std::vector<ExtensionBinding> bindings = {},
          std::string listen = "127.0.0.1:0", bool predecessor_running = false)
       : fleet(loop, clock,
               options(clock, name, std::move(seeds), std::move(keys), std::move(listen), predecessor_running),
               std::move(bindings), [this](auto view) { counted_routers = view->router_count(); }) {}
-  static Fleet::Options options(const Clock& clock, const std::string& name, std::vector<std::string> seeds,
-                                std::vector<peers::seal::Key> keys, std::string listen,
-                                bool predecessor_running) {
-    Fleet::Options fleet_options;
+  static FleetBridge::Options options(const Clock& clock, const std::string& name,
+                                      std::vector<std::string> seeds, std::vector<peers::seal::Key> keys,
+                                      std::string listen, bool predecessor_running) {
+    FleetBridge::Options fleet_options;
     fleet_options.service.agent.name = name;
     fleet_options.service.agent.site.assign(1, 'a');
     fleet_options.service.agent.start = static_cast<std::uint64_t>(clock.now().count());
     fleet_options.service.agent.seeds = std::move(seeds);
     fleet_options.service.agent.period = milliseconds(40);
     fleet_options.service.listen = std::move(listen);
-    fleet_options.service.beside_another = predecessor_running;
+    fleet_options.service.previous_process_listening = predecessor_running;
     fleet_options.service.keys = std::move(keys);
     return fleet_options;
   }
   nlohmann::json status() const {
-    return fleet.text() ? nlohmann::json::parse(*fleet.text()) : nlohmann::json::object();
+    return fleet.status_json() ? nlohmann::json::parse(*fleet.status_json()) : nlohmann::json::object();
   }
   std::uint64_t refused_datagrams(const char* reason) const {
     const auto json = status();
@@ -52,7 +52,7 @@
   }
   int present_routers() const { return status().value("there", 0); }
   std::uint32_t counted_routers = 0;
-  Fleet fleet;
+  FleetBridge fleet;
 };
 
 struct FleetTest : testing::Test {
@@ -113,7 +113,7 @@
 TEST_F(FleetTest, invalid_and_replayed_datagrams_are_counted_and_change_nothing_else) {
   Router one(loop, clock, "one", {}, keys), two(loop, clock, "two", {one.fleet.address()}, keys);
   ASSERT_TRUE(eventually([&] { return one.present_routers() == 2; }));
-  peers::Udp stranger(loop, "127.0.0.1:0", 2000, [](auto&, auto) { return true; });
+  peers::UdpSocket stranger(loop, "127.0.0.1:0", 2000, [](auto&, auto) { return true; });
   peers::seal::Sealer sealer(test_key(1), {1, 1});
   const auto sealed = sealer.seal("no packet");
   auto forged = sealer.seal("forged");
@@ -138,9 +138,9 @@
     FleetView::NodeOverlay overlay(const Node&) const { return {true, Micros(0), Micros::max()}; }
   };
   peers::Topic topic() const override { return peers::Topic::tiers; }
-  void viewed(Micros, const peers::View& view) override {
+  void on_view_change(Micros, const peers::View& view) override {
     for (const auto& member : view.members)
-      if (member.name != view.me)
+      if (member.name != view.own_name)
         other_router = member.name;
   }
   void receive(Micros, std::string_view, std::string_view bytes, peers::Outbox&) override {
@@ -163,17 +163,17 @@
 
 TEST_F(FleetTest, a_cache_loss_at_one_router_reaches_the_view_of_another) {
   const auto make_bindings = [] {
-    std::vector<Binding> bindings;
+    std::vector<ExtensionBinding> bindings;
     bindings.push_back(
         bind_extension(std::make_unique<LossSharingExtension>(),
                        [](const LossSharingExtension& extension) { return extension.snapshot; }));
     return bindings;
   };
   std::shared_ptr<const FleetView> newest_view;
-  Fleet one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), make_bindings(),
-            [](auto) {});
-  Fleet two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false),
-            make_bindings(), [&](auto view) { newest_view = std::move(view); });
+  FleetBridge one(loop, clock, Router::options(clock, "one", {}, keys, "127.0.0.1:0", false), make_bindings(),
+                  [](auto) {});
+  FleetBridge two(loop, clock, Router::options(clock, "two", {one.address()}, keys, "127.0.0.1:0", false),
+                  make_bindings(), [&](auto view) { newest_view = std::move(view); });
   ASSERT_TRUE(eventually([&] { return newest_view && newest_view->router_count() == 2; }));
   Node node;
   node.id = 4;
@@ -188,7 +188,7 @@
 };
 
 TEST_F(FleetTest, an_exception_on_the_peers_thread_ends_the_peers_but_not_serving) {
-  std::vector<Binding> bindings;
+  std::vector<ExtensionBinding> bindings;
   bindings.push_back(bind_extension(std::make_unique<ThrowingExtension>(),
                                     [](const ThrowingExtension& extension) { return extension.snapshot; }));
   Router one(loop, clock, "one", {}, keys, std::move(bindings)),
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -154,21 +154,22 @@
   assert(adopted({Outcome::ok, 0, "active=4,x0=0.01", {}}) == usual);
   assert(adopted({Outcome::ok, 0, "nonsense", {}}) == usual);
   assert(adopted({Outcome::reset, 0, {}, {}}) != usual);
-  const auto told = [&](NodeReport heard) {
-    const NodeReport light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
+  const auto told = [&](NodeHandoverState heard) {
+    const NodeHandoverState light{usual == "w" ? "w2" : "w", "active=10,x0=0.2", 100ms, false};
     return first_writer([&](Bed& bed, TestClient&) { bed.core.apply_handover_state({{light, heard}, {}}); });
   };
   assert(told({usual, "active=40,x0=0.8", 400ms, false}) != usual);
   assert(told({usual, {}, 0ms, true}) != usual);
-  for (const NodeReport& useless : {NodeReport{usual, "active=40,x0=0.8", 4s, false},
-                                    NodeReport{usual, "active=40,x0=0.8", -400ms, false},
-                                    NodeReport{"unlisted", "active=40,x0=0.8", 0ms, true}})
+  for (const NodeHandoverState& useless : {NodeHandoverState{usual, "active=40,x0=0.8", 4s, false},
+                                           NodeHandoverState{usual, "active=40,x0=0.8", -400ms, false},
+                                           NodeHandoverState{"unlisted", "active=40,x0=0.8", 0ms, true}})
     assert(told(useless) == usual);
 }
 
 void tells_the_other_process() {
   Bed bed;
-  assert(bed.core.handover_state().nodes.empty() && bed.core.handover_state().prefill_rates.empty());
+  assert(bed.core.handover_state().nodes.empty() &&
+         bed.core.handover_state().prefill_times_per_token.empty());
   bed.take();
   bed.pass(20ms);
   bed.done(Outcome::prefill_done);
@@ -179,11 +180,11 @@
     for (const auto& one : bed.core.handover_state().nodes)
       if (one.node == name)
         return one;
-    return NodeReport{};
+    return NodeHandoverState{};
   };
   assert(of("w").load_report == "active=2,x0=0.3" && of("w").age == 1s && of("w").work_rate > 0);
   assert(of("r").load_report.empty() && of("r").work_rate > 0);
-  const auto rates = bed.core.handover_state().prefill_rates;
+  const auto rates = bed.core.handover_state().prefill_times_per_token;
   assert(rates.size() == 1 && rates[0].first == Role::prefill && rates[0].second > 0);
   // Neither an old report nor one of a node that is out, or has started anew since.
   bed.core.update_endpoints(EndpointListKind::incremental, 2, {Bed::node("w", EndpointState::draining)});
@@ -235,7 +236,7 @@
   Bed bed;
   bed.core.apply_handover_state(
       {{}, {{Role::prefill, 0}, {Role::prefill, -1}, {Role::prefill, std::nan("")}}});
-  assert(bed.core.handover_state().prefill_rates.empty());
+  assert(bed.core.handover_state().prefill_times_per_token.empty());
 }
 
 // Nodes that have gone are forgotten, though an attempt is still out at one of them.
@@ -251,7 +252,7 @@
                               {Bed::node(name, EndpointState::removed)});
   }
   bed.core.update_endpoints(EndpointListKind::full, 300, {Bed::node("r")});
-  assert(bed.core.known_nodes() == 1);
+  assert(bed.core.listed_node_count() == 1);
   bed.done(Outcome::ok);
   assert(bed.client.seen == "a|end" && bed.core.idle());
 }
@@ -289,7 +290,7 @@
   assert(bed.nodes.begun.empty() && bed.client.seen == "|refused");
   // A whole list that does not name a node any more tells that it is gone.
   bed.core.update_endpoints(EndpointListKind::full, 3, {Bed::node("w")});
-  assert(bed.core.ready_nodes() == 1);
+  assert(bed.core.ready_node_count() == 1);
 }
 
 // Two processes share the bans through a file: an order to either holds for both, is there after a restart,
@@ -313,7 +314,7 @@
     assert(new_one.core.undrain_node("w") == Ordered::applied &&
            new_one.core.drain_node("x") == Ordered::unknown_node);
     old_one.core.reload_overrides();
-    assert(old_one.unhealthy() == 2 && old_one.core.ready_nodes() == 1);
+    assert(old_one.unhealthy() == 2 && old_one.core.ready_node_count() == 1);
     // Not while the other writes; and without effect then.
     assert(old_lock.take(AdminOverrides::lock_byte));
     assert(new_one.core.undrain_node("r") == Ordered::not_stored && new_one.unhealthy() == 2);
@@ -331,7 +332,7 @@
   LockFile lock("core_test.lock"), none("no/such/folder/lock");
   Bed bed;
   bed.core.load_overrides("core_test.bans", none);
-  assert(bed.core.drain_node("w") == Ordered::not_stored && bed.core.ready_nodes() == 1);
+  assert(bed.core.drain_node("w") == Ordered::not_stored && bed.core.ready_node_count() == 1);
   std::remove(path.c_str());
   std::remove("core_test.lock");
 }
@@ -404,17 +405,17 @@
   assert(bed.core.submit(client_request, bed.client, id) == Router::SubmitResult::duplicate_id);
   client_request.request_class = "other";
   assert(bed.core.submit(client_request, bed.client, id) == Router::SubmitResult::unknown_class);
-  assert(bed.core.open_requests() == 1);
+  assert(bed.core.open_request_count() == 1);
 }
 
 void load_reports() {
   const std::vector<std::string> columns{"active", "waiting", "x0"};
-  const auto values = parse_load("inflight=7, queue=2,x0=0.5,other=1", columns);
+  const auto values = parse_load_report("inflight=7, queue=2,x0=0.5,other=1", columns);
   assert((values == std::vector<float>{7, 2, 0.5f}));
   for (const char* bad : {"", "x0", "x0=", "x0=nan", "x0=inf", "x0=1x", "=,=", "zz=1", ",,,", "x0=0.5,queue",
                           "x0=0.5,active=-1", "active=2,x0=1e30", "x0=0.5,active=1\x80"})
-    assert(parse_load(bad, columns).empty());
-  assert(std::isnan(parse_load("x0=1", columns)[0]));
+    assert(parse_load_report(bad, columns).empty());
+  assert(std::isnan(parse_load_report("x0=1", columns)[0]));
 }
 
 }  // namespace
--- a/tests/net/grpc_faults.cpp
+++ b/tests/net/grpc_faults.cpp
@@ -181,7 +181,7 @@
       end();
       to->on_done(std::move(result));
     }
-    void pause_reading(bool on) override { call->pause_reading(on); }
+    void set_reading_paused(bool on) override { call->set_reading_paused(on); }
   };
   std::unique_ptr<Call> start_attempt(const Node& node, const Prompt& prompt, Micros within,
                                       AttemptHandler& attempt) override {
@@ -216,8 +216,8 @@
   c.latency_objective = 4s;
   c.deadline = 5s;
   s.classes = {c};
-  s.kind_role = {Role::prefill, Role::decode};
-  s.kind_memory = {1e9, 1e9};
+  s.role_by_kind = {Role::prefill, Role::decode};
+  s.kv_cache_tokens_by_kind = {1e9, 1e9};
   s.max_attempts = 6;
   s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = 1s;
@@ -375,7 +375,7 @@
       node.leave();
     else
       node.die(std::chrono::milliseconds(50 + world.random() % 300));
-    most_open = std::max(most_open, core.open_requests());
+    most_open = std::max(most_open, core.open_request_count());
     most_descriptors = std::max(most_descriptors, descriptors());
     most_memory = std::max(most_memory, memory_kib());
     plan.start(std::chrono::milliseconds(150 + world.random() % 200));
@@ -411,7 +411,7 @@
             << " KiB, all parts in one process\nrules broken: " << world.monitor.breaches().size()
             << std::endl;
   assert(load.asked == calls && load.open.empty());
-  assert(core.idle() && core.open_requests() == 0 && world.held.empty());
+  assert(core.idle() && core.open_request_count() == 0 && world.held.empty());
   assert(descriptors() <=
          descriptors_before + 2 * 4 * nodes.size());  // both ends of the connections that a pool keeps
   core.on_change = nullptr;
--- a/tests/net/tools_test.cpp
+++ b/tests/net/tools_test.cpp
@@ -595,7 +595,7 @@
   NoNodes nodes;
   Router core{[] {
                 Settings s;
-                s.kind_role = {Role::prefill};
+                s.role_by_kind = {Role::prefill};
                 return s;
               }(),
               {"a"},
@@ -711,17 +711,17 @@
   const string path =
       (std::filesystem::temp_directory_path() / ("told-" + std::to_string(getpid()))).string();
   net::Loop loop;
-  std::vector<NodeReport> got;
+  std::vector<NodeHandoverState> got;
   std::size_t messages = 0, streams = 0;
   const std::vector<std::pair<Role, double>> rates{{Role::prefill, 51.25}, {Role::mixed, 80}};
   ops::Handover end(
       loop, path, [&](const TransferredStream&) { ++streams; },
       [&](const HandoverState& handover_state) {
         ++messages;
-        assert(handover_state.prefill_rates == rates);
+        assert(handover_state.prefill_times_per_token == rates);
         got.insert(got.end(), handover_state.nodes.begin(), handover_state.nodes.end());
       });
-  std::vector<NodeReport> sent;
+  std::vector<NodeHandoverState> sent;
   for (int i = 0; i < 120; ++i)
     sent.push_back({"s-" + std::to_string(i), "inflight=7,queue=2,x0=0.61,x1=" + string(i % 7, '1'),
                     Micros(i), i % 5 == 0, i / 4.0});
--- a/tests/peers/failure_cases_test.cpp
+++ b/tests/peers/failure_cases_test.cpp
@@ -54,10 +54,10 @@
   EXPECT_LE(*converged_after, 20);
   const Member& gone = seen(0, 1);
   EXPECT_EQ(gone.standing, Standing::gone);
-  EXPECT_NE(gone.by, "");
-  EXPECT_NE(gone.by, simulation.name(1));
-  EXPECT_LT(gone.since, simulation.local_time(0));
-  EXPECT_EQ(simulation.agent(0).view().known, members.size());
+  EXPECT_NE(gone.reported_by, "");
+  EXPECT_NE(gone.reported_by, simulation.name(1));
+  EXPECT_LT(gone.standing_since, simulation.local_time(0));
+  EXPECT_EQ(simulation.agent(0).view().known_count, members.size());
 }
 
 TEST_P(FailureCase, frozen_member_is_given_up_and_holds_nobody_gone_after_it_resumes) {
@@ -91,7 +91,7 @@
   for (const auto member : site) {
     ASSERT_TRUE(simulation.agent(member).view().minority_since);
     EXPECT_LT(*simulation.agent(member).view().minority_since, simulation.local_time(member));
-    EXPECT_EQ(simulation.agent(member).view().there(), site.size());
+    EXPECT_EQ(simulation.agent(member).view().live_count(), site.size());
   }
   for (const auto member : rest)
     EXPECT_FALSE(simulation.agent(member).view().minority_since);
@@ -148,7 +148,7 @@
   simulation.leave(1);
   simulation.run_periods(3);
   EXPECT_EQ(seen(0, 1).standing, Standing::left);
-  EXPECT_EQ(simulation.agent(0).view().known, members.size() - 1);
+  EXPECT_EQ(simulation.agent(0).view().known_count, members.size() - 1);
   expect_convergence();
 }
 
@@ -171,7 +171,8 @@
   simulation.run_periods(10);
   EXPECT_EQ(counter(0, "names_twice"), 0u) << "an upgrade is not a duplicate name";
   EXPECT_EQ(counter(1, "superseded"), 1u);
-  simulation.run_periods(membership::limits::twice + 3.0 * static_cast<double>(members.size()));
+  simulation.run_periods(membership::limits::duplicate_name_periods +
+                         3.0 * static_cast<double>(members.size()));
   EXPECT_EQ(counter(newer, "names_twice"), 1u) << "a duplicate name is counted once";
   EXPECT_TRUE(all_see_process(newer));
   simulation.leave(newer);
@@ -184,7 +185,7 @@
   simulation.partition({0}, {1}, true);
   const auto marked_unreachable = simulation.run_until([&] { return seen(0, 1).unreachable_from_here; }, 200);
   EXPECT_TRUE(marked_unreachable);
-  EXPECT_TRUE(seen(0, 1).there());
+  EXPECT_TRUE(seen(0, 1).is_live());
   EXPECT_FALSE(seen(2, 1).unreachable_from_here);
   simulation.heal_all();
   EXPECT_TRUE(simulation.run_until([&] { return !seen(0, 1).unreachable_from_here; }, 100));
@@ -217,7 +218,7 @@
   };
   for (const auto standing : {Standing::suspected, Standing::gone})
     for (const std::uint64_t incarnation :
-         {std::uint64_t{0}, std::uint64_t{100}, std::uint64_t{membership::limits::incarnation}})
+         {std::uint64_t{0}, std::uint64_t{100}, std::uint64_t{membership::limits::max_incarnation}})
       for (int period = 0; period < 5; ++period) {
         send_false_facts(standing, incarnation, 0);
         simulation.run_periods(1);
@@ -245,7 +246,7 @@
 TEST_P(FailureCase, extension_payloads_arrive_by_member_name_after_the_first_view) {
   struct QuestionExtension : Extension {
     Topic topic() const override { return Topic::pools; }
-    void viewed(Micros, const View& view) override { members_seen = view.there(); }
+    void on_view_change(Micros, const View& view) override { members_seen = view.live_count(); }
     void receive(Micros, std::string_view from, std::string_view bytes, Outbox& out) override {
       EXPECT_GT(members_seen, 0u);
       ++received;
@@ -256,7 +257,7 @@
       due_at = now + 1s;
       out.send(Topic::pools, "c0", "question");
       out.send(Topic::pools, "nobody", "question");
-      out.send(Topic::pools, "c0", std::string(Outbox::most + 1, 'x'));
+      out.send(Topic::pools, "c0", std::string(Outbox::max_payload_bytes + 1, 'x'));
     }
     Micros next_due() const override { return due_at; }
     nlohmann::json describe(Micros) const override { return {{"received", received}}; }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -6,9 +6,9 @@
 
 #include "peers/extension.h"
 #include "peers/membership/detector/probe_order.h"
-#include "peers/membership/dissemination/news.h"
-#include "peers/membership/merge/judge.h"
-#include "peers/membership/merge/own_name.h"
+#include "peers/membership/dissemination/broadcast_queue.h"
+#include "peers/membership/merge/judge_claim.h"
+#include "peers/membership/merge/own_identity.h"
 #include "peers/membership/table.h"
 #include "peers/wire/packet.h"
 
@@ -26,9 +26,10 @@
 
 TEST(Judge, orders_facts_by_process_then_incarnation_then_standing) {
   using enum Standing;
-  constexpr auto nothing = Verdict::nothing, refuted = Verdict::refuted, suspect = Verdict::suspect,
-                 confirm = Verdict::confirm, hearsay = Verdict::hearsay, newer = Verdict::newer,
-                 older = Verdict::older, implausible = Verdict::implausible, unknown = Verdict::unknown;
+  constexpr auto nothing = Verdict::ignore, refuted = Verdict::refuted, suspect = Verdict::suspect,
+                 confirm = Verdict::confirm, hearsay = Verdict::gone_claim, newer = Verdict::newer_process,
+                 older = Verdict::older_process, implausible = Verdict::implausible,
+                 unknown = Verdict::add_member;
   const struct {
     Standing held;
     int incarnation_step;  // received incarnation minus the held one
@@ -47,32 +48,33 @@
     Entry held;
     held.fact = fact("a", 5, row.held);
     const auto received = fact("a", 5 + static_cast<std::uint64_t>(row.incarnation_step), row.received);
-    EXPECT_EQ(judge(&held, received, start_us), row.verdict)
+    EXPECT_EQ(judge_claim(&held, received, start_us), row.verdict)
         << int(row.held) << " held, " << int(row.received) << " received, incarnation "
         << row.incarnation_step << " later";
   }
   Entry held;
   held.fact = fact("a", 5);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 1), start_us), newer);
-  EXPECT_EQ(judge(&held, fact("a", 9, left, start_us - 1), start_us), older);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us, "10.0.0.2:1"), start_us), newer)
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us + 1), start_us), newer);
+  EXPECT_EQ(judge_claim(&held, fact("a", 9, left, start_us - 1), start_us), older);
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us, "10.0.0.2:1"), start_us), newer)
       << "equal start times are ordered by address";
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 2 * day_us), start_us), implausible);
-  EXPECT_EQ(judge(&held, fact("a", 0, alive, start_us + 2 * day_us), 0), newer) << "the local clock is wrong";
-  EXPECT_EQ(judge(nullptr, fact("a"), start_us), unknown);
-  EXPECT_EQ(judge(nullptr, fact("a", 0, gone), start_us), nothing)
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us + 2 * day_us), start_us), implausible);
+  EXPECT_EQ(judge_claim(&held, fact("a", 0, alive, start_us + 2 * day_us), 0), newer)
+      << "the local clock is wrong";
+  EXPECT_EQ(judge_claim(nullptr, fact("a"), start_us), unknown);
+  EXPECT_EQ(judge_claim(nullptr, fact("a", 0, gone), start_us), nothing)
       << "a gone member that was never present is not added";
 }
 
 TEST(Suspicion, grows_with_members_and_shortens_with_each_confirmation_down_to_the_minimum) {
   Micros previous{};
   for (const std::size_t members : {2u, 10u, 100u, 1000u}) {
-    const Micros min_duration = least_suspicion(members, period);
+    const Micros min_duration = min_suspicion_timeout(members, period);
     EXPECT_GE(min_duration, previous);
     previous = min_duration;
     Suspicion suspicion(10s, members, period, "first");
     Micros deadline = suspicion.deadline();
-    EXPECT_EQ(deadline, 10s + min_duration * (members > 2 ? limits::suspicion_most : 1));
+    EXPECT_EQ(deadline, 10s + min_duration * (members > 2 ? limits::max_suspicion_factor : 1));
     EXPECT_FALSE(suspicion.confirm("first"));
     for (int other = 0; other < 10; ++other) {
       suspicion.confirm(std::to_string(other));
@@ -99,14 +101,14 @@
     rounds.insert(names);
   }
   EXPECT_EQ(rounds.size(), 5u);
-  table.mark(*table.find("c3"), Standing::gone, "x", 0s);
+  table.set_standing(*table.find("c3"), Standing::gone, "x", 0s);
   for (int at = 0; at < 60; ++at)
     EXPECT_NE(order.next(random)->fact.name, "c3");
 }
 
-TEST(News, sends_each_fact_a_bounded_number_of_times_and_replaces_it_by_a_later_one) {
+TEST(BroadcastQueue, sends_each_fact_a_bounded_number_of_times_and_replaces_it_by_a_later_one) {
   Table table(1000);
-  News news;
+  BroadcastQueue news;
   std::string evicted;
   std::map<std::string, std::size_t> sent;
   for (int at = 0; at < 200; ++at)
@@ -114,16 +116,16 @@
   news.add(*table.find("c7"));
   for (int datagrams = 0; !news.empty(); ++datagrams) {
     ASSERT_LT(datagrams, 10'000);
-    const auto& offer = news.next(100);
-    ASSERT_LE(offer.size(), limits::offered);
+    const auto& offer = news.offer(100);
+    ASSERT_LE(offer.size(), limits::facts_per_offer);
     const std::size_t room = 5;
     for (std::size_t at = 0; at < std::min(room, offer.size()); ++at)
       ++sent[offer[at]->fact.name];
-    news.told(std::min(room, offer.size()));
+    news.mark_transmitted(std::min(room, offer.size()));
   }
   EXPECT_EQ(sent.size(), 200u);
   for (const auto& [name, times] : sent)
-    EXPECT_EQ(times, News::times(100)) << name;
+    EXPECT_EQ(times, BroadcastQueue::transmit_limit(100)) << name;
 }
 
 TEST(Table, is_bounded_and_its_digest_depends_on_present_members_in_any_order) {
@@ -136,46 +138,49 @@
   EXPECT_EQ(table.digest(), reversed.digest());
   EXPECT_EQ(table.add(fact("more"), 0s, &evicted), nullptr);
   EXPECT_EQ(evicted, "") << "a present member is never evicted";
-  table.mark(*table.find("c1"), Standing::suspected, "x", 0s);
+  table.set_standing(*table.find("c1"), Standing::suspected, "x", 0s);
   EXPECT_EQ(table.digest(), reversed.digest());
-  table.mark(*table.find("c1"), Standing::gone, "x", 0s);
+  table.set_standing(*table.find("c1"), Standing::gone, "x", 0s);
   EXPECT_NE(table.digest(), reversed.digest());
   EXPECT_EQ(table.add(fact("more"), 0s, &evicted), nullptr);
   EXPECT_EQ(evicted, "c1");
-  table.forget("c1");
-  EXPECT_EQ(table.there(), 49u);
-  EXPECT_EQ(table.gone(), 0u);
+  table.remove("c1");
+  EXPECT_EQ(table.live_count(), 49u);
+  EXPECT_EQ(table.gone_count(), 0u);
 }
 
-TEST(OwnName, refutes_yields_to_a_newer_process_that_is_heard_and_reclaims_an_unheld_name) {
-  using Then = OwnName::Then;
-  OwnName own(fact("a"), period);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::suspected), 0s, start_us), Then::refuted);
-  EXPECT_EQ(own.own().incarnation, 1u);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::gone), 0s, start_us), Then::nothing) << "already refuted";
-  EXPECT_EQ(own.told(fact("a", limits::incarnation - 1, Standing::gone), 0s, start_us), Then::refuted);
-  EXPECT_EQ(own.own().start, start_us + 1) << "a later start time invalidates an incarnation near the limit";
-  EXPECT_EQ(own.own().incarnation, 0u);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us - 5), 0s, start_us), Then::nothing);
-  EXPECT_EQ(own.told(fact("a", 0, Standing::alive, start_us + 2 * day_us, "10.0.0.9:1"), 0s, start_us),
-            Then::nothing)
+TEST(OwnIdentity, refutes_yields_to_a_newer_process_that_is_heard_and_reclaims_an_unheld_name) {
+  using Change = OwnIdentity::Change;
+  OwnIdentity own(fact("a"), period);
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::suspected), 0s, start_us), Change::refuted);
+  EXPECT_EQ(own.fact().incarnation, 1u);
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::gone), 0s, start_us), Change::nothing)
+      << "already refuted";
+  EXPECT_EQ(own.apply_claim(fact("a", limits::max_incarnation - 1, Standing::gone), 0s, start_us),
+            Change::refuted);
+  EXPECT_EQ(own.fact().start, start_us + 1) << "a later start time invalidates an incarnation near the limit";
+  EXPECT_EQ(own.fact().incarnation, 0u);
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::alive, start_us - 5), 0s, start_us), Change::nothing);
+  EXPECT_EQ(own.apply_claim(fact("a", 0, Standing::alive, start_us + 2 * day_us, "10.0.0.9:1"), 0s, start_us),
+            Change::nothing)
       << "an implausible start time is ignored";
 
   const auto newer = fact("a", 0, Standing::alive, start_us + 9, "10.0.0.2:1");
-  EXPECT_EQ(own.told(newer, 0s, start_us), Then::superseded);
-  EXPECT_EQ(own.check(period * (limits::claim - 1)), Then::nothing);
-  EXPECT_EQ(own.check(period * limits::claim), Then::reclaimed) << "the newer process was never heard";
-  EXPECT_EQ(own.own().start, start_us + 10);
+  EXPECT_EQ(own.apply_claim(newer, 0s, start_us), Change::superseded);
+  EXPECT_EQ(own.check_reclaim(period * (limits::reclaim_name_periods - 1)), Change::nothing);
+  EXPECT_EQ(own.check_reclaim(period * limits::reclaim_name_periods), Change::reclaimed)
+      << "the newer process was never heard";
+  EXPECT_EQ(own.fact().start, start_us + 10);
 
   const auto heard = fact("a", 0, Standing::alive, start_us + 20, "10.0.0.2:1");
-  EXPECT_EQ(own.told(heard, 0s, start_us), Then::superseded);
-  own.heard(heard, 1s);
-  EXPECT_EQ(own.check(1000s), Then::nothing);
-  EXPECT_EQ(own.told(fact("a", 5, Standing::suspected), 0s, start_us), Then::nothing)
+  EXPECT_EQ(own.apply_claim(heard, 0s, start_us), Change::superseded);
+  own.record_packet(heard, 1s);
+  EXPECT_EQ(own.check_reclaim(1000s), Change::nothing);
+  EXPECT_EQ(own.apply_claim(fact("a", 5, Standing::suspected), 0s, start_us), Change::nothing)
       << "a superseded process doesn't refute";
   auto left = heard;
   left.standing = Standing::left;
-  EXPECT_EQ(own.told(left, 0s, start_us), Then::reclaimed);
+  EXPECT_EQ(own.apply_claim(left, 0s, start_us), Change::reclaimed);
 }
 
 wire::Packet packet_with(wire::Body body, std::size_t facts) {
@@ -188,33 +193,33 @@
 std::vector<wire::Body> bodies() {
   return {wire::Facts{},
           wire::Ping{7, "to", 99},
-          wire::Ask{8, "to", "10.0.0.9:5"},
+          wire::PingRequest{8, "to", "10.0.0.9:5"},
           wire::Ack{9, "of", 98},
           wire::Nack{10, "of"},
-          wire::Sync{std::vector<std::uint32_t>(limits::buckets, ~0u), true},
-          wire::Payload{1, std::string(Outbox::most, '\xff')}};
+          wire::Sync{std::vector<std::uint32_t>(limits::digest_buckets, ~0u), true},
+          wire::Payload{1, std::string(Outbox::max_payload_bytes, '\xff')}};
 }
 
 TEST(Wire, decodes_what_was_encoded_within_the_datagram_size) {
   for (const auto& body : bodies()) {
     std::size_t encoded_facts = 0;
     const auto bytes = wire::encode(packet_with(body, 100), &encoded_facts);
-    EXPECT_LE(bytes.size(), limits::plain_bytes);
+    EXPECT_LE(bytes.size(), limits::max_plain_bytes);
     wire::Packet decoded;
     std::uint64_t left_out = 0;
-    ASSERT_EQ(wire::decode(bytes, decoded, left_out), wire::Fault::none);
+    ASSERT_EQ(wire::decode(bytes, decoded, left_out), wire::DecodeError::none);
     EXPECT_EQ(decoded.body.index(), body.index());
     EXPECT_EQ(decoded.facts.size(), encoded_facts);
     EXPECT_EQ(left_out, 0u);
   }
   // The longest name leaves room for the longest payload.
-  wire::Packet longest{
-      fact(std::string(limits::name_bytes, 'n'), limits::incarnation, Standing::alive, limits::start),
-      wire::Payload{~0u, std::string(Outbox::most, 'x')},
-      {}};
+  wire::Packet longest{fact(std::string(limits::max_name_bytes, 'n'), limits::max_incarnation,
+                            Standing::alive, limits::max_start_us),
+                       wire::Payload{~0u, std::string(Outbox::max_payload_bytes, 'x')},
+                       {}};
   longest.sender.site.clear();
   longest.sender.address.clear();
-  EXPECT_LE(wire::encode(longest).size(), limits::plain_bytes);
+  EXPECT_LE(wire::encode(longest).size(), limits::max_plain_bytes);
 }
 
 TEST(Wire, corrupted_packets_decode_within_bounds_or_are_refused) {
@@ -229,7 +234,7 @@
     if (random.below(4) == 0)
       bytes.resize(random.below(bytes.size()));
     wire::Packet decoded;
-    if (wire::decode(bytes, decoded, left_out) != wire::Fault::none) {
+    if (wire::decode(bytes, decoded, left_out) != wire::DecodeError::none) {
       ++refused;
       continue;
     }
@@ -240,7 +245,7 @@
   EXPECT_GT(refused, 0u);
   const auto good = wire::encode(packet_with(wire::Facts{}, 0));
   wire::Packet decoded;
-  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), decoded, left_out), wire::Fault::version);
+  EXPECT_EQ(wire::decode("\x08\x02" + good.substr(2), decoded, left_out), wire::DecodeError::unknown_version);
   for (const auto& bad :
        {fact(""), fact("with blank"), fact(std::string(65, 'x')), fact("\xff\xfe"), fact("a", ~0ull),
         fact("a", 0, Standing::alive, ~0ull), fact("a", 0, Standing::alive, start_us, "nowhere"),
@@ -248,7 +253,7 @@
     wire::Packet packet = packet_with(wire::Facts{}, 1);
     packet.facts.push_back(bad);
     left_out = 0;
-    EXPECT_EQ(wire::decode(wire::encode(packet), decoded, left_out), wire::Fault::none);
+    EXPECT_EQ(wire::decode(wire::encode(packet), decoded, left_out), wire::DecodeError::none);
     EXPECT_EQ(decoded.facts.size(), 1u);
     EXPECT_EQ(left_out, 1u) << bad.name << " " << bad.address;
   }
--- a/tests/peers/simulation.cpp
+++ b/tests/peers/simulation.cpp
@@ -92,21 +92,21 @@
   node.frozen = false;
   node.buffered.clear();
   node.wake_at = Micros::max();
-  Options options;
+  AgentOptions options;
   options.name = node.name;
   options.site = node.site;
   options.address = node.address;
   options.start =
       start_unix_us + static_cast<std::uint64_t>((local_time(member) + Micros(node.process)).count());
   options.period = settings_.period;
-  options.most_members = settings_.max_members;
+  options.max_members = settings_.max_members;
   for (std::size_t at = 0; at < std::min(settings_.seed_members, nodes_.size()); ++at)
     options.seeds.push_back(nodes_[at]->address);
   node.agent = std::make_unique<Agent>(options, settings_.seed * 1'000'003 + member * 1009 + node.process);
   if (extension_factory_)
     node.extensions = extension_factory_(member);
   for (auto& extension : node.extensions)
-    node.agent->add(*extension);
+    node.agent->add_extension(*extension);
   node.agent->start(local_time(member));
   send_outgoing(member);
 }
@@ -249,7 +249,7 @@
 
 void Simulation::send_outgoing(std::size_t member) {
   Node& node = *nodes_[member];
-  for (auto& datagram : node.agent->take())
+  for (auto& datagram : node.agent->take_datagrams())
     transmit(member, std::move(datagram));
   schedule_wake(member);
 }
@@ -393,16 +393,17 @@
       first = &view;
     for (const auto& other : nodes_) {
       const Member* seen = view.find(other->name);
-      if (other->agent && !(seen && seen->there() && seen->address == other->address))
+      if (other->agent && !(seen && seen->is_live() && seen->address == other->address))
         return differs(node->name + " does not see " + other->name);
-      if (!other->agent && seen && seen->there())
+      if (!other->agent && seen && seen->is_live())
         return differs(node->name + " still sees " + other->name);
       const Member* reference = first->find(other->name);
       if (other->agent && (reference->start != seen->start || reference->incarnation != seen->incarnation))
-        return differs(node->name + " has other facts of " + other->name + " than " + first->me);
+        return differs(node->name + " has other facts of " + other->name + " than " + first->own_name);
     }
-    if (view.there() != running)
-      return differs(node->name + " sees " + std::to_string(view.there()) + " of " + std::to_string(running));
+    if (view.live_count() != running)
+      return differs(node->name + " sees " + std::to_string(view.live_count()) + " of " +
+                     std::to_string(running));
   }
   return true;
 }
@@ -414,7 +415,7 @@
       continue;
     for (const Member& member : node->agent->view().members) {
       const auto other = find(member.name);
-      if (!member.there() && other < nodes_.size() && nodes_[other]->agent)
+      if (!member.is_live() && other < nodes_.size() && nodes_[other]->agent)
         ++count;
     }
   }
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -249,11 +249,11 @@
   one.extension->enable_grantor(true, one.local());
   EXPECT_EQ(one.extension->describe(one.local())["keeper"]["abstains"], true);
   peers::View view;
-  view.me = one.name;
+  view.own_name = one.name;
   view.members.emplace_back();
   view.members[0].name = one.name;
   view.members[0].start = one.start + 1;
-  one.extension->viewed(one.local(), view);
+  one.extension->on_view_change(one.local(), view);
   EXPECT_EQ(one.extension->describe(one.local())["keeper"]["on"], false);
 }
 
--- a/tests/pools/extension_world.h
+++ b/tests/pools/extension_world.h
@@ -191,7 +191,7 @@
     ++payloads_sent;
     digest.add(now, from.name, to, payload);
     bytes_sent += payload.size();
-    if (payload.size() > peers::Outbox::most)
+    if (payload.size() > peers::Outbox::max_payload_bytes)
       failure = "a payload of " + std::to_string(payload.size()) + " bytes";
     for (auto& one : processes) {
       if (one->name != to || !linked(from, *one) || static_cast<double>(rng() % 1000) < loss * 1000)
@@ -206,7 +206,7 @@
   void update_view(Process& one) {
     peers::View view;
     view.version = ++versions;
-    view.me = one.name;
+    view.own_name = one.name;
     std::vector<std::string> alive;
     for (auto& other : processes) {
       peers::Member member;
@@ -225,7 +225,7 @@
     if (alive == one.last_alive)
       return;
     one.last_alive = alive;
-    one.extension->viewed(one.local(), view);
+    one.extension->on_view_change(one.local(), view);
   }
   void update_views() {
     for (auto& one : processes)
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -157,7 +157,7 @@
       lines.push_back(line);
     }
     const auto bytes = packer.bytes(random());
-    ASSERT_LE(bytes.size(), peers::Outbox::most);
+    ASSERT_LE(bytes.size(), peers::Outbox::max_payload_bytes);
     EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the size estimate leaves little room unused
     const char* why = "";
     const auto payload = read(bytes, std::chrono::seconds(1000), why);
--- a/tests/tiers/simulated_network.cpp
+++ b/tests/tiers/simulated_network.cpp
@@ -46,7 +46,7 @@
     if (stopped_[i])
       continue;
     peers::View view;
-    view.me = name(i);
+    view.own_name = name(i);
     for (const auto j : by_name) {
       peers::Member member;
       member.name = name(j);
@@ -56,7 +56,7 @@
           partitions_[i] == partitions_[j] && !stopped_[j] ? peers::Standing::alive : peers::Standing::gone;
       view.members.push_back(member);
     }
-    extensions_[i]->viewed(now_, view);
+    extensions_[i]->on_view_change(now_, view);
   }
 }
 
@@ -65,7 +65,7 @@
   bytes_out_[from] += bytes.size();
   digest_.add(now_, from, j, bytes);
   const auto random_fraction = [&] { return static_cast<double>(random_() >> 11) * 0x1p-53; };
-  if (j >= size() || partitions_[from] != partitions_[j] || bytes.size() > peers::Outbox::most)
+  if (j >= size() || partitions_[from] != partitions_[j] || bytes.size() > peers::Outbox::max_payload_bytes)
     return;
   const auto shared = std::make_shared<const std::string>(std::move(bytes));
   for (int copies = random_fraction() < options_.duplicate_rate ? 2 : 1; copies > 0; --copies) {
