--- a/src/peers/agent.h
+++ b/src/peers/agent.h
@@ -24,8 +24,8 @@
 
 /// Settings of an agent.
 struct AgentOptions {
-  /// Name and site of this router.
-  std::string name, site;
+  std::string name,  ///< name of this router
+      site;          ///< site of this router
   /// Address to which other routers send.
   std::string address;
   /// Start of this process, Unix time in microseconds.
--- a/src/peers/agent_impl.h
+++ b/src/peers/agent_impl.h
@@ -8,6 +8,7 @@
 
 /// State of an agent; the outbox of its extensions.
 struct Agent::Impl : Outbox {
+  /// Takes the settings of the agent and the seed of its random choices.
   Impl(AgentOptions options, std::uint64_t seed);
 
   void send(Topic topic, std::string_view to, std::string bytes) override;
@@ -18,12 +19,13 @@
   /// The JSON document of Agent::describe().
   nlohmann::json describe(Micros now) const;
 
-  AgentOptions options;
-  mutable membership::Membership members;
-  std::vector<Extension*> extensions;
-  Micros now{}, published_at{};
-  std::uint64_t published_version = 0;
-  bool started = false;
+  AgentOptions options;                    ///< settings of the agent
+  mutable membership::Membership members;  ///< the members and what is known of them
+  std::vector<Extension*> extensions;      ///< not owned
+  Micros now{},                            ///< latest time passed in
+      published_at{};                      ///< when the extensions last got a view
+  std::uint64_t published_version = 0;     ///< version of the members in that view
+  bool started = false;                    ///< whether the agent was started
 };
 
 }  // namespace lemonroute::peers
--- a/src/peers/membership/detector/indirect_pings.h
+++ b/src/peers/membership/detector/indirect_pings.h
@@ -12,10 +12,11 @@
 
 /// One ping on behalf of another router.
 struct IndirectPing {
-  /// Sequence number of this router's ping, and the one of the request, to which the answer refers.
-  std::uint32_t own_sequence = 0, request_sequence = 0;
-  /// Name and address of the requesting router, and name of the pinged member.
-  std::string requester, requester_address, target;
+  std::uint32_t own_sequence = 0,  ///< sequence number of this router's ping
+      request_sequence = 0;        ///< sequence number of the request, to which the answer refers
+  std::string requester,           ///< name of the requesting router
+      requester_address,           ///< address of the requesting router
+      target;                      ///< name of the pinged member
   /// Tick at which a nack is sent if no ack came.
   std::uint64_t expires_at = 0;
 };
--- a/src/peers/membership/detector/probe.h
+++ b/src/peers/membership/detector/probe.h
@@ -16,12 +16,12 @@
   std::uint64_t start = 0;
   /// Sequence number of the ping and of the requests to helpers.
   std::uint32_t sequence = 0;
-  /// Ticks at which helpers are asked and at which the probe ends.
-  std::uint64_t indirect_at = 0, ends_at = 0;
-  /// Helpers asked, and those of them that sent an ack or a nack.
-  std::uint32_t helpers_asked = 0, helpers_answered = 0;
-  /// Whether the member acknowledged the ping itself, or through a helper.
-  bool direct_ack = false, indirect_ack = false;
+  std::uint64_t indirect_at = 0,    ///< tick at which helpers are asked
+      ends_at = 0;                  ///< tick at which the probe ends
+  std::uint32_t helpers_asked = 0,  ///< helpers asked
+      helpers_answered = 0;         ///< those of them that sent an ack or a nack
+  bool direct_ack = false,          ///< whether the member acknowledged the ping itself
+      indirect_ack = false;         ///< whether it acknowledged a ping through a helper
 
   /// Result of a probe.
   enum class Outcome { acked, acked_indirectly, failed };
--- a/src/peers/membership/fact.h
+++ b/src/peers/membership/fact.h
@@ -12,10 +12,11 @@
 
 /// What a router claims about a member.
 struct Fact {
-  /// The member's name, its site, and the address at which it receives datagrams ("127.0.0.1:7946").
-  std::string name, site, address;
-  /// Start of the member's process as Unix time in microseconds, and the member's incarnation.
-  std::uint64_t start = 0, incarnation = 0;
+  std::string name,         ///< the member's name
+      site,                 ///< its site
+      address;              ///< the address at which it receives datagrams ("127.0.0.1:7946")
+  std::uint64_t start = 0,  ///< start of the member's process, Unix time in microseconds
+      incarnation = 0;      ///< the member's incarnation
   /// The claimed standing.
   Standing standing = Standing::alive;
   /// Name of the router that first reported this standing; may be empty.
--- a/src/peers/membership/limits.h
+++ b/src/peers/membership/limits.h
@@ -8,8 +8,9 @@
 
 /// Maximum size of a datagram before sealing.
 inline constexpr std::size_t max_plain_bytes = 1150;
-/// Maximum lengths of the text fields of a fact.
-inline constexpr std::size_t max_name_bytes = 64, max_site_bytes = 64, max_address_bytes = 64;
+inline constexpr std::size_t max_name_bytes = 64,  ///< maximum length of the name in a fact
+    max_site_bytes = 64,                           ///< maximum length of the site in a fact
+    max_address_bytes = 64;                        ///< maximum length of the address in a fact
 /// Facts accepted from one datagram; a valid datagram has no room for more.
 inline constexpr std::size_t max_facts = 40;
 /// Facts offered for one datagram; this many of usual length fill it.
--- a/src/peers/membership/merge/own_identity.h
+++ b/src/peers/membership/merge/own_identity.h
@@ -16,6 +16,7 @@
   /// What a claim, a packet or a check has led to.
   enum class Change { nothing, refuted, superseded, updated, reclaimed };
 
+  /// Takes the fact to announce and the protocol period.
   OwnIdentity(Fact own, Micros period) : own_(std::move(own)), period_(period) {}
 
   /// The fact that this process announces about itself.
--- a/src/peers/membership/random.h
+++ b/src/peers/membership/random.h
@@ -12,6 +12,7 @@
 /// A seeded pseudorandom generator; not for cryptography.
 class Random {
  public:
+  /// Generators of one seed give the same numbers.
   explicit Random(std::uint64_t seed) : engine_(seed) {}
   /// A uniform number in [0, bound); 0 if `bound` is 0.
   std::uint32_t below(std::size_t bound) { return bound ? engine_(static_cast<std::uint32_t>(bound)) : 0; }
--- a/src/peers/membership/table.h
+++ b/src/peers/membership/table.h
@@ -13,6 +13,7 @@
 /// Owns the entries; pointers to an entry are valid until it is forgotten.
 class Table {
  public:
+  /// Entries by member name.
   using Entries = std::map<std::string, Entry, std::less<>>;
 
   /// Holds at most `most` members.
--- a/src/peers/membership/view/view_builder.h
+++ b/src/peers/membership/view/view_builder.h
@@ -9,6 +9,7 @@
 /// Caches the view of a table.
 class ViewBuilder {
  public:
+  /// Takes the name of this router and the protocol period.
   ViewBuilder(std::string me, Micros period);
   /// Records whether this router is in a minority now, and since when.
   void update_minority(const Table& table, Micros now);
--- a/src/peers/seal/rate_limiter.h
+++ b/src/peers/seal/rate_limiter.h
@@ -31,9 +31,12 @@
 /// Rate limiter of the datagrams that are read and authenticated, per address and in total.
 class RateLimiter {
  public:
-  /// Limits in datagrams per second; `per_address` bounds a single address.
+  /// Limits in datagrams per second.
   struct Rates {
-    double reads = 20000, authenticated = 8000, unknown = 500, per_address = 500;
+    double reads = 20000,      ///< datagrams read, from all addresses
+        authenticated = 8000,  ///< datagrams opened from all authenticated addresses
+        unknown = 500,         ///< datagrams opened from all other addresses
+        per_address = 500;     ///< datagrams opened from a single address
   };
   /// Authenticated addresses that are kept at once.
   static constexpr std::size_t max_addresses = 8192;
@@ -43,6 +46,7 @@
   /// Random key of the address hash, so that an attacker cannot pick addresses that share a bucket with
   /// another sender.
   using Secret = std::array<unsigned char, 16>;
+  /// Takes the limits and the key of the address hash.
   RateLimiter(Rates rates, const Secret& secret) : rates_(rates), secret_(secret), unknown_buckets_(1024) {}
 
   /// False: the limit of reads is reached, so pause reading.
--- a/src/peers/seal/replay_window.h
+++ b/src/peers/seal/replay_window.h
@@ -11,8 +11,9 @@
 
 /// Identifies a sending process. The tag is random for each process, so that no two processes share one.
 struct SenderId {
-  /// Random tag, and the process' start as Unix time in microseconds.
-  std::uint64_t tag = 0, start = 0;
+  std::uint64_t tag = 0,  ///< random tag
+      start = 0;          ///< start of the process, Unix time in microseconds
+  /// Compares tag and start.
   bool operator==(const SenderId&) const = default;
 };
 
--- a/src/peers/seal/seal.h
+++ b/src/peers/seal/seal.h
@@ -20,8 +20,8 @@
 
 /// Format version, the first byte of each datagram.
 constexpr std::uint8_t version = 1;
-/// Bytes before the ciphertext, and all bytes that sealing adds.
-constexpr std::size_t header_bytes = 1 + 4 + 24, overhead_bytes = header_bytes + 16;
+constexpr std::size_t header_bytes = 1 + 4 + 24,  ///< bytes before the ciphertext
+    overhead_bytes = header_bytes + 16;           ///< all bytes that sealing adds
 /// Longest sealed datagram in bytes: fits into the minimum MTU of IPv6.
 constexpr std::size_t max_sealed_bytes = 1232;
 /// Longest plaintext in bytes.
--- a/src/peers/wire/packet.h
+++ b/src/peers/wire/packet.h
@@ -15,20 +15,21 @@
 
 /// Asks the member `target` for an ack; with sequence 0 no ack is awaited, with an empty name anyone answers.
 struct Ping {
-  std::uint32_t sequence = 0;
-  std::string target;
+  std::uint32_t sequence = 0;  ///< the ack repeats it
+  std::string target;          ///< name of the pinged member
   /// Digest of the sender's member table.
   std::uint64_t digest = 0;
 };
 /// Asks the recipient to ping the member `target` at `address` on the sender's behalf (ping-req in SWIM).
 struct PingRequest {
-  std::uint32_t sequence = 0;
-  std::string target, address;
+  std::uint32_t sequence = 0;  ///< the answer repeats it
+  std::string target,          ///< name of the member to ping
+      address;                 ///< address of the member to ping
 };
 /// Acknowledges a ping, either directly or on behalf of the member `target`.
 struct Ack {
-  std::uint32_t sequence = 0;
-  std::string target;
+  std::uint32_t sequence = 0;  ///< of the ping or of the request
+  std::string target;          ///< name of the member that was pinged
   /// Digest of the sender's member table; 0 in an ack that is passed on.
   std::uint64_t digest = 0;
   /// Start of the process that answered, Unix time in microseconds.
@@ -36,12 +37,12 @@
 };
 /// Reports that the member `target` did not answer the recipient's request in time.
 struct Nack {
-  std::uint32_t sequence = 0;
-  std::string target;
+  std::uint32_t sequence = 0;  ///< of the request
+  std::string target;          ///< name of the member that did not answer
 };
 /// An anti-entropy exchange: the recipient sends the facts of each bucket whose hash differs from its own.
 struct Sync {
-  std::vector<std::uint32_t> buckets;
+  std::vector<std::uint32_t> buckets;  ///< hash of each bucket of the sender's member table
   /// Whether this is the reply to a Sync and expects none.
   bool is_reply = false;
 };
@@ -49,8 +50,8 @@
 struct Facts {};
 /// Data of an extension.
 struct Payload {
-  std::uint32_t topic = 0;
-  std::string content;
+  std::uint32_t topic = 0;  ///< topic of the extension
+  std::string content;      ///< bytes that only the extension reads
 };
 /// What a packet is about.
 using Body = std::variant<Facts, Ping, PingRequest, Ack, Nack, Sync, Payload>;
@@ -59,7 +60,7 @@
 struct Packet {
   /// The sender; its standing and reporter carry no information.
   Fact sender;
-  Body body;
+  Body body;  ///< what the packet is about
   /// Piggybacked facts.
   std::vector<Fact> facts;
 };
