--- a/src/guide/combined_fleet_view.h
+++ b/src/guide/combined_fleet_view.h
@@ -12,11 +12,13 @@
 /// Combines the views of all extensions. Never changes after construction.
 class CombinedFleetView final : public FleetView {
  public:
+  /// Views of the extensions.
   using Views = std::vector<std::shared_ptr<const FleetView>>;
   /// None of the pointers may be null.
   CombinedFleetView(std::uint32_t router_count, Views views)
       : router_count_(router_count), views_(std::move(views)) {}
 
+  /// Returns the number of routers passed to the constructor.
   std::uint32_t router_count() const override { return router_count_; }
   /// The node is drained if any view says so. Of the start times the latest holds, of the expiry times the
   /// earliest.
--- a/src/guide/extension_binding.h
+++ b/src/guide/extension_binding.h
@@ -16,6 +16,7 @@
 
 /// An extension with its connections to the serving loop. Its functions are called on the peers' thread.
 struct ExtensionBinding {
+  /// The extension, which the binding owns.
   std::unique_ptr<peers::Extension> extension;
   /// Passes node events to the extension, which must outlive it; null: the extension gets no node events.
   std::unique_ptr<NodeObserver> observer;
@@ -29,19 +30,23 @@
 template <class Snapshot>
 class SnapshotFleetView final : public FleetView {
  public:
+  /// Shares ownership of the snapshot, which must not be null.
   explicit SnapshotFleetView(std::shared_ptr<const Snapshot> snapshot) : snapshot_(std::move(snapshot)) {}
+  /// Returns the overlay that the snapshot has for the node; an empty one if the function is missing.
   NodeOverlay overlay(const Node& node) const override {
     if constexpr (requires(const Snapshot& s) { s.overlay(node); })
       return snapshot_->overlay(node);
     else
       return {};
   }
+  /// Returns the locations that the snapshot has for the keys; none if the function is missing.
   std::vector<CacheLocation> cache_locations(Key session_key, Key shared_prefix_key) const override {
     if constexpr (requires(const Snapshot& s) { s.cache_locations(session_key, shared_prefix_key); })
       return snapshot_->cache_locations(session_key, shared_prefix_key);
     else
       return {};
   }
+  /// Returns the time of the node's last cache loss in the snapshot; 0 if the function is missing.
   Micros cache_lost_at(const Node& node) const override {
     if constexpr (requires(const Snapshot& s) { s.cache_lost_at(node); })
       return snapshot_->cache_lost_at(node);
@@ -59,6 +64,7 @@
  public:
   /// Keeps the reference; the extension must outlive the observer.
   explicit ExtensionObserver(Extension& extension) : extension_(extension) {}
+  /// Passes the caching of a prompt's prefix to the extension.
   void on_prefix_cached(const Node& node, Key session_key, Key shared_prefix_key, double tokens,
                         double shared_tokens, Micros now) override {
     if constexpr (requires(Extension & e) {
@@ -66,6 +72,7 @@
                   })
       extension_.on_prefix_cached(node, session_key, shared_prefix_key, tokens, shared_tokens, now);
   }
+  /// Passes the cached tokens that a node has counted to the extension.
   void on_cache_hit(const Node& node, Key session_key, Key shared_prefix_key, double tokens,
                     Micros now) override {
     if constexpr (requires(Extension & e) {
@@ -73,14 +80,17 @@
                   })
       extension_.on_cache_hit(node, session_key, shared_prefix_key, tokens, now);
   }
+  /// Passes the loss of a node's cache to the extension.
   void on_cache_lost(const Node& node, Micros now) override {
     if constexpr (requires(Extension & e) { e.on_cache_lost(node, now); })
       extension_.on_cache_lost(node, now);
   }
+  /// Passes a new endpoint list to the extension.
   void on_endpoints(const std::vector<Node>& nodes, Micros now) override {
     if constexpr (requires(Extension & e) { e.on_endpoints(nodes, now); })
       extension_.on_endpoints(nodes, now);
   }
+  /// Passes a report of demand to the extension.
   void on_demand(const Demand& demand, Micros now) override {
     if constexpr (requires(Extension & e) { e.on_demand(demand, now); })
       extension_.on_demand(demand, now);
--- a/src/guide/fleet_bridge.h
+++ b/src/guide/fleet_bridge.h
@@ -23,8 +23,9 @@
 /// Runs the peers' service. Constructed, used and destroyed on the serving loop's thread.
 class FleetBridge final : peers::Service::Delegate {
  public:
+  /// Settings of the bridge.
   struct Options {
-    peers::Service::Options service;
+    peers::Service::Options service;            ///< settings of the peers' service
     RouterCountEstimator::Limits router_count;  ///< limits of the number of routers
   };
   /// Called on the serving loop with each newer view.
--- a/src/guide/node_event_queue.h
+++ b/src/guide/node_event_queue.h
@@ -16,11 +16,19 @@
 
 /// One call of a NodeObserver function, with its arguments.
 struct NodeEvent {
-  /// The function that was called.
-  enum Kind : std::uint8_t { prefix_cached, cache_hit, cache_lost, endpoints, demand } kind = prefix_cached;
+  /// The functions of NodeObserver.
+  enum Kind : std::uint8_t {
+    prefix_cached,
+    cache_hit,
+    cache_lost,
+    endpoints,
+    demand
+  } kind = prefix_cached;                          ///< the function that was called
   EndpointId node_id = 0;                          ///< of prefix_cached, cache_hit and cache_lost
-  Key session_key = 0, shared_prefix_key = 0;      ///< of prefix_cached and cache_hit
-  double tokens = 0, shared_tokens = 0;            ///< of prefix_cached; of cache_hit without shared_tokens
+  Key session_key = 0,                             ///< of prefix_cached and cache_hit
+      shared_prefix_key = 0;                       ///< of prefix_cached and cache_hit
+  double tokens = 0,                               ///< of prefix_cached and cache_hit
+      shared_tokens = 0;                           ///< of prefix_cached
   Micros now{};                                    ///< time of the call
   std::shared_ptr<const std::vector<Node>> nodes;  ///< of endpoints
   NodeObserver::Demand demand_report;              ///< of demand
@@ -32,21 +40,26 @@
 /// are dropped and counted; endpoint lists and cache losses wait outside of the ring.
 class NodeEventQueue final : public NodeObserver {
  public:
-  /// Events in the ring; endpoint lists and cache losses that may wait for it, of which further ones are
-  /// dropped and counted.
-  static constexpr std::size_t capacity = 4096, max_pending = 1024;
+  static constexpr std::size_t capacity = 4096,  ///< events in the ring
+      max_pending = 1024;  ///< endpoint lists and cache losses that may wait for the ring; further ones are
+                           ///< dropped and counted
 
   /// \param wake called on the serving thread after each endpoint list and each cache loss, which the peers'
   /// thread should handle at once. It must not block. Other events wait for the next poll.
   explicit NodeEventQueue(std::function<void()> wake) : wake_(std::move(wake)), ring_(capacity) {}
 
   // ---- on the serving thread ----
+  /// Queues the event, or drops it while the ring is full.
   void on_prefix_cached(const Node& node, Key session_key, Key shared_prefix_key, double tokens,
                         double shared_tokens, Micros now) override;
+  /// Queues the event, or drops it while the ring is full.
   void on_cache_hit(const Node& node, Key session_key, Key shared_prefix_key, double tokens,
                     Micros now) override;
+  /// Queues the event and wakes the consumer.
   void on_cache_lost(const Node& node, Micros now) override;
+  /// Queues a copy of the list and wakes the consumer.
   void on_endpoints(const std::vector<Node>& nodes, Micros now) override;
+  /// Queues the report, or drops it while the ring is full.
   void on_demand(const Demand& demand, Micros now) override;
 
   // ---- on the peers' thread ----
--- a/src/guide/router_count_estimator.h
+++ b/src/guide/router_count_estimator.h
@@ -21,11 +21,14 @@
 /// Estimates the number of routers from views of the peers. Used on one thread.
 class RouterCountEstimator {
  public:
+  /// Settings of the estimate.
   struct Limits {
     std::uint32_t configured = 1;  ///< router count of the settings; it holds until views have replaced it
-    std::uint32_t min = 1, max = 100'000;  ///< bounds of the estimate
-    std::uint32_t periods = 30;            ///< periods without a larger view before the estimate falls
+    std::uint32_t min = 1,         ///< lower bound of the estimate
+        max = 100'000;             ///< upper bound of the estimate
+    std::uint32_t periods = 30;    ///< periods without a larger view before the estimate falls
   };
+  /// Starts with the configured number of routers.
   explicit RouterCountEstimator(Limits limits) : limits_(limits) {}
 
   /// Takes the present view and returns the estimate. Must be called after each change of the view and once a
