--- a/src/tiers/epoch/cache_epoch.h
+++ b/src/tiers/epoch/cache_epoch.h
@@ -14,6 +14,7 @@
 struct Generation {
   std::uint64_t start = 0;  ///< start time of the device as listed, in Unix us; 0: earlier than any other
   std::uint64_t lanes = 0;  ///< four 16-bit loss counters
+  /// Compares the start and all counters.
   friend bool operator==(const Generation&, const Generation&) = default;
 };
 
--- a/src/tiers/epoch/epoch_gossip.h
+++ b/src/tiers/epoch/epoch_gossip.h
@@ -17,6 +17,7 @@
 /// second finds what is missing.
 class EpochGossip {
  public:
+  /// `seed`: of the choice of members.
   explicit EpochGossip(std::uint64_t seed) : random_(seed) {}
   /// Schedules all rounds for a device.
   void add(NameId device) { rounds_left_[device] = max_rounds; }
--- a/src/tiers/exchange/cache_tier.h
+++ b/src/tiers/exchange/cache_tier.h
@@ -16,6 +16,7 @@
 /// heads of other shards advertise.
 class CacheTier {
  public:
+  /// `state` must outlive this object; `max_keys` bounds the stored keys.
   CacheTier(SharedState& state, Tier tier, std::size_t max_keys);
 
   /// Applies a view; returns the shards whose collectors have changed.
--- a/src/tiers/exchange/shared_state.h
+++ b/src/tiers/exchange/shared_state.h
@@ -17,6 +17,7 @@
 /// balance falls below zero by at most one payload.
 class ByteBudget {
  public:
+  /// Starts with the bytes of one second.
   explicit ByteBudget(std::size_t bytes_per_second)
       : rate_(static_cast<double>(bytes_per_second)), remaining_(rate_) {}
   /// Adds the bytes that have become available since the last call.
@@ -37,11 +38,15 @@
 
 /// Counters of one kind of payload.
 struct Traffic {
-  std::uint64_t payloads_out = 0, bytes_out = 0, payloads_in = 0, bytes_in = 0;
+  std::uint64_t payloads_out = 0,  ///< payloads sent
+      bytes_out = 0,               ///< bytes sent
+      payloads_in = 0,             ///< payloads received
+      bytes_in = 0;                ///< bytes received
 };
 
 /// State of the router that its site tier and region tier use.
 struct SharedState {
+  /// Takes the options of the extension and derives the identifiers from them.
   explicit SharedState(Options o)
       : options(std::move(o)),
         hasher(options.secret),
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -20,6 +20,7 @@
 /// and the measurements.
 class TiersExtension : public peers::Extension, public NodeObserver {
  public:
+  /// `seed`: of the random choices of this process.
   TiersExtension(Options options, std::uint64_t seed);
 
   /// Records a prefill that this router saw. Like the other observer functions, called on the peers' thread.
@@ -40,11 +41,17 @@
   /// decays.
   std::shared_ptr<const HintMap> map() const { return map_; }
 
+  /// The topic of its payloads.
   peers::Topic topic() const override { return peers::Topic::tiers; }
+  /// Applies a changed view of the members.
   void on_view_change(Micros now, const peers::View& view) override;
+  /// Handles a payload; an unreadable one is counted and dropped.
   void receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) override;
+  /// Runs the work that is due at `now`.
   void run_due(Micros now, peers::Outbox& out) override;
+  /// When run_due() must be called next.
   Micros next_due() const override { return due_; }
+  /// The state, for operators.
   nlohmann::json describe(Micros now) const override;
 
  private:
--- a/src/tiers/merge/vote_set.h
+++ b/src/tiers/merge/vote_set.h
@@ -23,6 +23,7 @@
 struct Stamp {
   std::uint64_t start = 0;   ///< start of the contributor's process, in Unix us
   std::uint64_t number = 0;  ///< sequence number of the payload
+  /// Compares the start, then the number.
   friend auto operator<=>(const Stamp&, const Stamp&) = default;
 };
 
--- a/src/tiers/sharding/id_hasher.h
+++ b/src/tiers/sharding/id_hasher.h
@@ -19,6 +19,7 @@
 /// target a shard nor construct collisions.
 class IdHasher {
  public:
+  /// `secret`: the seed, the same at all routers of the fleet.
   explicit IdHasher(std::uint64_t secret) : secret_(secret) {}
   /// Hashes a session key. It differs from the shared-prefix key of the same number.
   KeyId session(Key key) const;
--- a/src/tiers/sharding/shard_collectors.h
+++ b/src/tiers/sharding/shard_collectors.h
@@ -17,6 +17,7 @@
 /// payload and does no harm.
 class ShardCollectors {
  public:
+  /// Starts without members.
   ShardCollectors(const IdHasher& hasher, Tier tier) : hasher_(hasher), tier_(tier) {}
   /// Applies a view; `in_tier` tells whether a member belongs to the site or region. Returns the shards whose
   /// collectors have changed or have restarted without state.
--- a/src/tiers/snapshot/hint_map.h
+++ b/src/tiers/snapshot/hint_map.h
@@ -22,6 +22,7 @@
     float tokens = 0;        ///< cached tokens, from the beginning of the prompt
     float confidence = 0;    ///< 0 to 1
   };
+  /// Creates a map without hints; keeps a copy of the hasher.
   explicit HintMap(const IdHasher& hasher) : hasher_(hasher) {}
 
   /// Increases with each map.
--- a/src/tiers/store/advertised_entries.h
+++ b/src/tiers/store/advertised_entries.h
@@ -15,6 +15,7 @@
 /// withdrawal is repeated likewise and then removed.
 class AdvertisedEntries {
  public:
+  /// `max_keys`: of the tier; a quarter of it bounds the entries being withdrawn.
   explicit AdvertisedEntries(std::size_t max_keys) : max_withdrawn_(max_keys / 4) {}
   /// Returns the advertised holders; empty if there are none.
   const std::vector<Shown>& holders(KeyId key) const;
--- a/src/tiers/store/device_tier.h
+++ b/src/tiers/store/device_tier.h
@@ -15,6 +15,7 @@
 /// This router's own sightings of its heaviest keys, and the queue of keys to report to their collectors.
 class DeviceTier {
  public:
+  /// Starts without sightings.
   explicit DeviceTier(const Limits& limits) : limits_(limits), heavy_hitters_(limits.device_keys) {}
 
   /// Records a successful prefill: the device now caches this many tokens of the key.
--- a/src/tiers/store/heavy_hitters.h
+++ b/src/tiers/store/heavy_hitters.h
@@ -14,6 +14,7 @@
 /// displaces another starts with its count, so a heavy key is never missed and the error is bounded.
 class HeavyHitters {
  public:
+  /// `capacity`: number of keys that are counted at once.
   explicit HeavyHitters(std::size_t capacity) : capacity_(capacity) {}
   /// Adds to the count of a key; `amount` must be positive. Returns the key that was displaced, if any.
   std::optional<KeyId> add(KeyId key, double amount);
--- a/src/tiers/store/received_entries.h
+++ b/src/tiers/store/received_entries.h
@@ -20,6 +20,7 @@
     NameId sender = 0;           ///< the router that advertised it
     Micros received_at{};        ///< when it last arrived
   };
+  /// `max_keys`: of all shards together; each shard has room for at least 4.
   explicit ReceivedEntries(std::size_t max_keys)
       : max_keys_per_shard_(std::max<std::size_t>(4, max_keys / shard_count)) {}
   /// Stores an entry; the stored one stays if its sender is trusted more. Returns whether hints have changed.
--- a/src/tiers/store/vote_table.h
+++ b/src/tiers/store/vote_table.h
@@ -16,6 +16,7 @@
 /// per contributor. It is soft state: votes that are not repeated expire.
 class VoteTable {
  public:
+  /// `max_keys`: of all shards together; each shard has room for at least 4.
   VoteTable(const IdHasher& hasher, std::size_t max_keys)
       : hasher_(hasher), max_keys_per_shard_(std::max<std::size_t>(4, max_keys / shard_count)) {}
 
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -41,9 +41,12 @@
 /// Fills one payload with entries or cache epochs until it is full.
 class Packer {
  public:
+  /// Starts an empty payload; `stamp` orders votes.
   Packer(Kind kind, Tier tier, Stamp stamp);
   ~Packer();
+  /// Takes over the payload of the other.
   Packer(Packer&&) noexcept;
+  /// Replaces this payload by that of the other.
   Packer& operator=(Packer&&) noexcept;
   /// Adds an entry with the devices it refers to; returns false if there is no room.
   bool add(const Line& cache_entry, Micros now);
