--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -13,6 +13,7 @@
 
 /// A time range of a day. Times are minutes of the day, 0 to 1440.
 struct Stretch {
+  /// Begin and end of the range.
   std::chrono::minutes from{}, until{};  ///< `until` is not included
   double expected = 0;                   ///< in the calendar's unit
 };
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -31,7 +31,8 @@
   /// What does not change while the process runs.
   struct Options {
     Settings settings;                   ///< must be enabled
-    std::string name, site;              ///< of this router
+    std::string name,                    ///< name of this router
+        site;                            ///< site of this router
     std::set<std::string> decode_kinds;  ///< kinds of nodes that decode and do not prefill
     Micros warmup{};                     ///< `cold_for` of the scheduler's settings
     std::uint64_t start = 0;             ///< start of this process, as the agent has it
@@ -52,11 +53,17 @@
   /// Grows with each new lease_snapshot().
   std::uint64_t version() const { return version_; }
 
+  /// The topic of its payloads.
   peers::Topic topic() const override { return peers::Topic::pools; }
+  /// Applies a changed view of the members.
   void on_view_change(Micros now, const peers::View& view) override;
+  /// Handles a payload; an unreadable one is counted and dropped.
   void receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) override;
+  /// Runs the work that is due at `now`.
   void run_due(Micros now, peers::Outbox& out) override;
+  /// When run_due() must be called next.
   Micros next_due() const override;
+  /// The state, for operators.
   nlohmann::json describe(Micros now) const override;
 
  private:
--- a/src/pools/extension/planning.h
+++ b/src/pools/extension/planning.h
@@ -37,6 +37,7 @@
   struct PoolState {
     std::string owner;         ///< region
     std::string fixed_reason;  ///< why it can't migrate; empty: it can
+    /// Whether the pool is migrating.
     bool migrating = false;
   };
   /// The planner's inputs. `wishes` and `accepts_pools` are in name order of the regions.
--- a/src/pools/leases/ballot.h
+++ b/src/pools/leases/ballot.h
@@ -15,6 +15,7 @@
   std::uint64_t counter = 0;  ///< 0: the pool has never migrated
   RegionId region = 0;        ///< region of the proposer
   std::uint64_t by = 0;       ///< identifies the proposing process
+  /// Compares the counter, then the region, then the process.
   auto operator<=>(const Ballot&) const = default;
 
   /// Largest accepted increase of a counter in one message. Without this limit, a damaged or hostile payload
--- a/src/pools/names.h
+++ b/src/pools/names.h
@@ -17,8 +17,11 @@
 
 /// Names the pool of decode nodes of one cell. Written as "SITE/CELL" in files and in output.
 struct PoolName {
+  /// Site of the cell.
   std::string site;
+  /// Number of the cell.
   std::uint32_t cell = 0;
+  /// Compares the site, then the cell.
   auto operator<=>(const PoolName&) const = default;
   /// Returns "SITE/CELL".
   std::string text() const { return site + "/" + std::to_string(cell); }
--- a/src/pools/planner/planner.h
+++ b/src/pools/planner/planner.h
@@ -21,6 +21,7 @@
 
 /// One region's demand.
 struct Region {
+  /// Name of the region.
   std::string name;
   double wanted = 0;          ///< decode nodes
   double reserve = 0;         ///< decode nodes that always stay with the region: it lends no pool below this
@@ -28,7 +29,9 @@
 };
 /// One pool of decode nodes.
 struct Pool {
+  /// Name of the pool.
   PoolName name;
+  /// Home and owner of the pool.
   std::string home, owner;   ///< regions; the owner of a migrating pool is the region it migrates to
   double decode_nodes = 0;   ///< ready decode nodes
   std::string fixed_reason;  ///< why it can't migrate, such as "reserve"; empty: it can
@@ -37,15 +40,20 @@
 /// Limits of a plan.
 struct Settings {
   double hysteresis = 1;  ///< decode nodes, above 0
+  /// Largest number of migrations at once.
   std::size_t max_concurrent_migrations = 1;
   double headroom = 0.5;  ///< share of what a region wants that a lender keeps after the loss of any one
                           ///< site, 0 to 1
 };
 /// What a plan is computed from.
 struct Inputs {
+  /// Limits of the plan.
   Settings settings;
+  /// Demand of all regions.
   std::vector<Region> regions;
+  /// All pools.
   std::vector<Pool> pools;
+  /// Names of the sites that are lost.
   std::set<std::string> lost_sites;
   std::map<std::pair<std::string, std::string>, double>
       distance;  ///< by region and site; where absent, 0 at the pool's home and 1 elsewhere
@@ -53,16 +61,21 @@
 
 /// A planned migration of a pool.
 struct PlannedMigration {
+  /// Name of the pool.
   PoolName pool;
+  /// Where it migrates from and to.
   std::string from, to;  ///< regions
   std::string why;       ///< the reason, for operators
 };
 /// Explains why a region stays short, with the constraint that is responsible.
 struct Shortage {
-  std::string region, constraint, text;
+  std::string region,  ///< name of the region
+      constraint,      ///< the constraint that is responsible
+      text;            ///< the explanation, for operators
 };
 /// The result of planning.
 struct Plan {
+  /// Planned migrations.
   std::vector<PlannedMigration> moves;
   std::vector<Shortage>
       shortages;  ///< one for each region that stays short by more than the hysteresis, and no others
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -15,6 +15,7 @@
 
 /// One region's sites, grantors and reserve.
 struct RegionSettings {
+  /// Names of its sites.
   std::vector<std::string> sites;
   std::vector<std::string> keepers;  ///< grantors: 3, 5 or 7 routers; none: its pools never migrate
   std::set<PoolName> reserve;        ///< pools of its sites that never migrate
@@ -22,10 +23,12 @@
 
 /// Settings of all regions.
 struct Settings {
+  /// The regions by name.
   std::map<std::string, RegionSettings> regions;
   std::map<std::string, RegionHours>
       hours;                ///< by region; a region without hours wants the decode nodes of its reserve
   Unit unit = Unit::share;  ///< unit of the hours
+  /// Terms of all leases.
   LeaseTerms terms;
   std::size_t moving_at_once = 1;  ///< concurrent migrations of one home region's pools
   double hysteresis = 0.05;        ///< share of all decode nodes
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -16,25 +16,30 @@
 
 /// State of one pool.
 struct Entry {
+  /// Name of the pool.
   PoolName pool;
   Ownership owned;  ///< its time is on this process's clock; the payload has it as an age
   /// Of an answer: `ok`: granted to the requesting region; `active`: the owner has a grant.
-  bool ok = false, active = false;
+  bool ok = false,     ///< granted to the requesting region
+      active = false;  ///< the owner has a grant
 };
 /// Request of a router for leases.
 struct Ask {
   std::uint64_t nonce = 0;  ///< the answer repeats it
   RegionId region = 0;      ///< region of the requesting router
+  /// The pools that the request is about.
   std::vector<Entry> pools;
 };
 /// Answer of a grantor.
 struct Grant {
   std::uint64_t nonce = 0;  ///< of the request
   bool abstains = false;    ///< the grantor has started and grants nothing yet
+  /// The answer for each pool.
   std::vector<Entry> pools;
 };
 /// Proposal of a pool's next owner.
 struct Propose {
+  /// The pool, with the proposed ownership.
   Entry pool;
 };
 /// The content of a payload.
@@ -49,6 +54,7 @@
 };
 /// Result of reading a payload.
 struct Read {
+  /// The message; nothing if the payload was rejected.
   std::optional<Message> message;
   Fault fault = Fault::unreadable;  ///< valid if there is no message
 };
