--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -96,8 +96,8 @@
       unit = mine;
   }
 
-  std::optional<pools::Stretch> stretch(Section& in) {
-    pools::Stretch one;
+  std::optional<pools::TimeRange> stretch(Section& in) {
+    pools::TimeRange one;
     const auto time = [&in](const char* key, minutes& to) {
       std::string text;
       if (!in.has(key))
@@ -121,7 +121,7 @@
     return std::nullopt;
   }
 
-  bool add(Section& in, pools::Day& day, std::vector<std::size_t>& lines, const pools::Stretch& one) {
+  bool add(Section& in, pools::Day& day, std::vector<std::size_t>& lines, const pools::TimeRange& one) {
     day.push_back(one);
     lines.push_back(in.line());
     if (day.size() > most_stretches)
--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -12,11 +12,11 @@
 namespace lemonroute::pools {
 
 /// A time range of a day. Times are minutes of the day, 0 to 1440.
-struct Stretch {
+struct TimeRange {
   std::chrono::minutes from{}, until{};  ///< `until` is not included
   double expected = 0;                   ///< in the calendar's unit
 };
-using Day = std::vector<Stretch>;  ///< time ranges that do not overlap
+using Day = std::vector<TimeRange>;  ///< time ranges that do not overlap
 
 /// One region's calendar.
 struct RegionHours {
--- a/tests/pools/calendar_test.cpp
+++ b/tests/pools/calendar_test.cpp
@@ -11,7 +11,7 @@
 Micros utc(const char* day, int hour, int minute = 0) {
   return hours(24 * day_of(day)) + hours(hour) + minutes(minute);
 }
-Stretch time_range(int begin, int end, double expected) {
+TimeRange time_range(int begin, int end, double expected) {
   return {minutes(begin), minutes(end), expected};
 }
 
