--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -51,7 +51,7 @@
         in.fault("zone", error.what());
         good = false;
       }
-    expected(in, "otherwise", hours.otherwise, false);
+    expected(in, "otherwise", hours.default_expected, false);
     std::array<std::vector<std::size_t>, 7> lines;
     for (auto& entry : in.list("hours"))
       week(entry, hours, lines);
--- a/src/pools/calendar/calendar.cpp
+++ b/src/pools/calendar/calendar.cpp
@@ -15,7 +15,7 @@
     const LocalTime local = zone.local_time(at);
     const auto holiday = hours.holidays.find(local.day);
     const Day& day = holiday == hours.holidays.end() ? hours.week[local.weekday] : holiday->second;
-    double expected = hours.otherwise;
+    double expected = hours.default_expected;
     for (const auto& range : day)
       if (local.minute >= range.from && local.minute < range.until)
         expected = range.expected;
--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -21,7 +21,7 @@
 /// One region's calendar.
 struct RegionHours {
   std::string zone;                      ///< IANA name of the time zone
-  double otherwise = 0;                  ///< expected outside of all time ranges
+  double default_expected = 0;           ///< expected outside of all time ranges
   std::array<Day, 7> week;               ///< from Monday on
   std::map<std::int32_t, Day> holidays;  ///< by days since 1970-01-01; each replaces the weekday's hours
 };
