--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -271,7 +271,7 @@
   to.unit = reader.unit.value_or(pools::Unit::share);
   if (in->faults().size() != before)
     return to;
-  if (const auto over = pools::Calendar(to.unit, to.hours).over_one(checked_from)) {
+  if (const auto over = pools::Calendar(to.unit, to.hours).find_sum_over_one(checked_from)) {
     std::ostringstream what;
     const auto day = std::chrono::duration_cast<hours>(over->first).count() / 24;
     const auto minute = std::chrono::duration_cast<minutes>(over->first).count() % 1440;
--- a/src/pools/calendar/calendar.cpp
+++ b/src/pools/calendar/calendar.cpp
@@ -34,7 +34,7 @@
   return all;
 }
 
-std::optional<std::pair<Micros, double>> Calendar::over_one(Micros from) const {
+std::optional<std::pair<Micros, double>> Calendar::find_sum_over_one(Micros from) const {
   if (unit_ != Unit::share)
     return std::nullopt;
   // Hours are written in minutes and the offsets of time zones are multiples of 15 minutes, so the shares can
--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -45,7 +45,7 @@
   /// A time at which the shares sum up to more than 1, and their sum. Checks the days around each holiday,
   /// then the two years from `from` (Unix time) on. Nothing if there is no such time, or if the unit is not
   /// `share`.
-  std::optional<std::pair<Micros, double>> over_one(Micros from) const;
+  std::optional<std::pair<Micros, double>> find_sum_over_one(Micros from) const;
 
  private:
   struct Region {
--- a/tests/pools/calendar_test.cpp
+++ b/tests/pools/calendar_test.cpp
@@ -116,13 +116,14 @@
   for (auto& day : york.week)
     day = {time_range(600, 1080, 0.7)};  // from 15:00 UTC in winter
   const Calendar calendar(Unit::share, {{"rome", rome}, {"york", york}});
-  const auto over = calendar.over_one(utc("2026-01-01", 0));
+  const auto over = calendar.find_sum_over_one(utc("2026-01-01", 0));
   ASSERT_TRUE(over);
   EXPECT_EQ(over->first, utc("2026-03-08", 14));
   EXPECT_NEAR(over->second, 1.4, 1e-9);
   for (auto& day : york.week)
     day = {time_range(660, 1080, 0.7)};
-  EXPECT_FALSE(Calendar(Unit::share, {{"rome", rome}, {"york", york}}).over_one(utc("2026-01-01", 0)));
+  EXPECT_FALSE(
+      Calendar(Unit::share, {{"rome", rome}, {"york", york}}).find_sum_over_one(utc("2026-01-01", 0)));
 }
 
 }  // namespace
