--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -126,7 +126,7 @@
     lines.push_back(in.line());
     if (day.size() > most_stretches)
       return in.fault_here("is one of too many"), false;
-    const auto clash = pools::overlap(day);
+    const auto clash = pools::find_overlap(day);
     if (!clash)
       return true;
     in.fault_here("overlaps the hours of line " + std::to_string(lines[clash->first]));
--- a/src/pools/calendar/calendar.cpp
+++ b/src/pools/calendar/calendar.cpp
@@ -76,7 +76,7 @@
   return std::nullopt;
 }
 
-std::optional<std::pair<std::size_t, std::size_t>> overlap(const Day& day) {
+std::optional<std::pair<std::size_t, std::size_t>> find_overlap(const Day& day) {
   for (std::size_t i = 0; i < day.size(); ++i)
     for (std::size_t j = i + 1; j < day.size(); ++j)
       if (day[i].from < day[j].until && day[j].from < day[i].until)
--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -57,6 +57,6 @@
 };
 
 /// Indexes of the first two time ranges of the day that overlap; nothing if none do.
-std::optional<std::pair<std::size_t, std::size_t>> overlap(const Day& day);
+std::optional<std::pair<std::size_t, std::size_t>> find_overlap(const Day& day);
 
 }  // namespace lemonroute::pools
