--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -37,7 +37,7 @@
 // The regions' hours are read one after the other; all of them are written in one unit.
 class Reader {
  public:
-  std::optional<pools::Unit> unit;
+  std::optional<pools::CalendarUnit> unit;
 
   void hours_of(const std::string& region, Section in, pools::Settings& to) {
     pools::RegionHours hours;
@@ -70,7 +70,7 @@
   void expected(Section& in, const std::string& key, double& field, bool needed) {
     if (key == "otherwise") {
       in.number(key, field, 0, 1e9);
-      if (unit == pools::Unit::share && field > 1)
+      if (unit == pools::CalendarUnit::share && field > 1)
         in.fault(key, "is a share over 1");
       return;
     }
@@ -89,7 +89,7 @@
       in.number("requests", field, 0, 1e9);
     if (!share && !requests)
       return;
-    const auto mine = share ? pools::Unit::share : pools::Unit::requests;
+    const auto mine = share ? pools::CalendarUnit::share : pools::CalendarUnit::requests;
     if (unit.value_or(mine) != mine)
       in.fault(share ? "share" : "requests", "is not the unit that the first hours are written in");
     if (!unit)
@@ -268,7 +268,7 @@
   }
   distances(*in, to);
   in->end();
-  to.unit = reader.unit.value_or(pools::Unit::share);
+  to.unit = reader.unit.value_or(pools::CalendarUnit::share);
   if (in->faults().size() != before)
     return to;
   if (const auto over = pools::Calendar(to.unit, to.hours).find_sum_over_one(checked_from)) {
--- a/src/pools/calendar/calendar.cpp
+++ b/src/pools/calendar/calendar.cpp
@@ -4,7 +4,7 @@
 
 namespace lemonroute::pools {
 
-Calendar::Calendar(Unit unit, const std::map<std::string, RegionHours>& regions) : unit_(unit) {
+Calendar::Calendar(CalendarUnit unit, const std::map<std::string, RegionHours>& regions) : unit_(unit) {
   for (const auto& [name, hours] : regions)
     regions_.push_back({hours, Zone(hours.zone)});
 }
@@ -26,7 +26,7 @@
 
 std::vector<double> Calendar::wanted_shares(Micros at) const {
   auto all = expected(at);
-  if (unit_ == Unit::share)
+  if (unit_ == CalendarUnit::share)
     return all;
   const double sum = std::accumulate(all.begin(), all.end(), 0.0);
   for (auto& one : all)
@@ -35,7 +35,7 @@
 }
 
 std::optional<std::pair<Micros, double>> Calendar::find_sum_over_one(Micros from) const {
-  if (unit_ != Unit::share)
+  if (unit_ != CalendarUnit::share)
     return std::nullopt;
   // Hours are written in minutes and the offsets of time zones are multiples of 15 minutes, so the shares can
   // change only at the written minutes modulo 15. Of each quarter of an hour, only those minutes and the
--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -27,7 +27,7 @@
 };
 
 /// Unit of the numbers in a calendar.
-enum class Unit : std::uint8_t {
+enum class CalendarUnit : std::uint8_t {
   share,     ///< share of all decode nodes, 0 to 1; the regions' shares sum up to at most 1 at every minute
   requests,  ///< requests per second; a region wants its share of the regions' sum
 };
@@ -36,7 +36,7 @@
 class Calendar {
  public:
   /// Regions are in name order. Throws std::invalid_argument if a time zone is unknown.
-  Calendar(Unit unit, const std::map<std::string, RegionHours>& regions);
+  Calendar(CalendarUnit unit, const std::map<std::string, RegionHours>& regions);
 
   /// Wanted share of all decode nodes for each region, in name order. `at`: Unix time.
   std::vector<double> wanted_shares(Micros at) const;
@@ -52,7 +52,7 @@
     RegionHours hours;
     Zone zone;
   };
-  Unit unit_;
+  CalendarUnit unit_;
   std::vector<Region> regions_;
 };
 
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -25,7 +25,7 @@
   std::map<std::string, RegionSettings> regions;
   std::map<std::string, RegionHours>
       hours;                ///< by region; a region without hours wants the decode nodes of its reserve
-  Unit unit = Unit::share;  ///< unit of the hours
+  CalendarUnit unit = CalendarUnit::share;  ///< unit of the hours
   LeaseTerms terms;
   std::size_t moving_at_once = 1;  ///< concurrent migrations of one home region's pools
   double hysteresis = 0.05;        ///< share of all decode nodes
--- a/tests/pools/calendar_test.cpp
+++ b/tests/pools/calendar_test.cpp
@@ -68,7 +68,7 @@
     for (int length : {10, 30, 60, 90}) {
       RegionHours region{change.zone, 0, {}, {}};
       region.week[6] = {time_range(begin, begin + length, 0.5)};
-      const Calendar calendar(Unit::share, {{"r", region}});
+      const Calendar calendar(CalendarUnit::share, {{"r", region}});
       int begins = 0, on = 0;
       double last = 0;
       for (int m = -400; m < 500; ++m) {
@@ -89,7 +89,7 @@
   RegionHours region{"Europe/Rome", 0.1, {}, {}};
   region.week[4] = {time_range(480, 1080, 0.6)};  // Fridays
   region.holidays[day_of("2026-12-25")] = {time_range(600, 720, 0.2)};
-  const Calendar calendar(Unit::share, {{"rome", region}});
+  const Calendar calendar(CalendarUnit::share, {{"rome", region}});
   EXPECT_EQ(calendar.wanted_shares(utc("2026-12-18", 9))[0], 0.6);
   EXPECT_EQ(calendar.wanted_shares(utc("2026-12-18", 6, 59))[0], 0.1);
   EXPECT_EQ(calendar.wanted_shares(utc("2026-12-18", 7))[0], 0.6);   // 8:00 in Rome
@@ -102,9 +102,9 @@
 
 TEST(Calendar, RequestsAreConvertedToShares) {
   RegionHours a{"Europe/Rome", 30, {}, {}}, b{"America/New_York", 10, {}, {}};
-  const Calendar calendar(Unit::requests, {{"a", a}, {"b", b}});
+  const Calendar calendar(CalendarUnit::requests, {{"a", a}, {"b", b}});
   EXPECT_EQ(calendar.wanted_shares(utc("2026-06-01", 0)), (std::vector<double>{0.75, 0.25}));
-  EXPECT_EQ(Calendar(Unit::requests, {{"a", {"UTC", 0, {}, {}}}}).wanted_shares(Micros(0))[0], 0);
+  EXPECT_EQ(Calendar(CalendarUnit::requests, {{"a", {"UTC", 0, {}, {}}}}).wanted_shares(Micros(0))[0], 0);
 }
 
 // Time ranges with shares of 0.7 that are adjacent in winter overlap by an hour in the weeks in which only
@@ -115,15 +115,15 @@
     day = {time_range(480, 960, 0.7)};  // until 15:00 UTC in winter
   for (auto& day : york.week)
     day = {time_range(600, 1080, 0.7)};  // from 15:00 UTC in winter
-  const Calendar calendar(Unit::share, {{"rome", rome}, {"york", york}});
+  const Calendar calendar(CalendarUnit::share, {{"rome", rome}, {"york", york}});
   const auto over = calendar.find_sum_over_one(utc("2026-01-01", 0));
   ASSERT_TRUE(over);
   EXPECT_EQ(over->first, utc("2026-03-08", 14));
   EXPECT_NEAR(over->second, 1.4, 1e-9);
   for (auto& day : york.week)
     day = {time_range(660, 1080, 0.7)};
-  EXPECT_FALSE(
-      Calendar(Unit::share, {{"rome", rome}, {"york", york}}).find_sum_over_one(utc("2026-01-01", 0)));
+  EXPECT_FALSE(Calendar(CalendarUnit::share, {{"rome", rome}, {"york", york}})
+                   .find_sum_over_one(utc("2026-01-01", 0)));
 }
 
 }  // namespace
