--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -46,7 +46,7 @@
       in.missing("zone");
     if (good)
       try {
-        pools::Zone{hours.zone};
+        pools::TimeZone{hours.zone};
       } catch (const std::invalid_argument& error) {
         in.fault("zone", error.what());
         good = false;
--- a/src/pools/calendar/calendar.cpp
+++ b/src/pools/calendar/calendar.cpp
@@ -6,7 +6,7 @@
 
 Calendar::Calendar(CalendarUnit unit, const std::map<std::string, RegionHours>& regions) : unit_(unit) {
   for (const auto& [name, hours] : regions)
-    regions_.push_back({hours, Zone(hours.zone)});
+    regions_.push_back({hours, TimeZone(hours.zone)});
 }
 
 std::vector<double> Calendar::expected(Micros at) const {
--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -50,7 +50,7 @@
  private:
   struct Region {
     RegionHours hours;
-    Zone zone;
+    TimeZone zone;
   };
   CalendarUnit unit_;
   std::vector<Region> regions_;
--- a/src/pools/calendar/zone.cpp
+++ b/src/pools/calendar/zone.cpp
@@ -30,9 +30,9 @@
   return date::format("%F", date::sys_days(date::days(day)));
 }
 
-Zone::Zone(const std::string& name) : zone_(find_zone(name)) {}
+TimeZone::TimeZone(const std::string& name) : zone_(find_zone(name)) {}
 
-LocalTime Zone::local_time(Micros at) const {
+LocalTime TimeZone::local_time(Micros at) const {
   const auto instant = date::sys_seconds(std::chrono::floor<std::chrono::seconds>(at));
   const auto info = zone_->get_info(instant);
   auto local = instant.time_since_epoch() + info.offset;
--- a/src/pools/calendar/zone.h
+++ b/src/pools/calendar/zone.h
@@ -25,10 +25,10 @@
 std::string day_text(std::int32_t day);
 
 /// A time zone of the system's tzdata.
-class Zone {
+class TimeZone {
  public:
   /// Throws std::invalid_argument if the system's tzdata does not have the zone.
-  explicit Zone(const std::string& name);
+  explicit TimeZone(const std::string& name);
   /// Converts a Unix time to the local time. When clocks go back, the repeated minutes occur once: during
   /// their second occurrence the local time stays at the last minute of the first one, so that no time range
   /// begins or ends again. Minutes that are skipped when clocks go forward do not occur.
--- a/tests/pools/calendar_test.cpp
+++ b/tests/pools/calendar_test.cpp
@@ -43,7 +43,7 @@
 // an hour in autumn. It never goes back.
 TEST_P(ClockChanges, LocalTimeAdvancesByMinutesAndNeverGoesBack) {
   const ClockChange change = GetParam();
-  const Zone zone(change.zone);
+  const TimeZone zone(change.zone);
   const Micros at = utc(change.day, change.hour);
   // The minute of the day at the change, by the offset before the change.
   const int unchanged_minute = change.forward || std::string(change.zone) == "America/New_York" ? 120 : 180;
