--- a/src/pools/calendar/calendar.h
+++ b/src/pools/calendar/calendar.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "pools/calendar/zone.h"
+#include "pools/calendar/time_zone.h"
 
 namespace lemonroute::pools {
 
--- a/src/pools/calendar/zone.cpp
+++ b/src/pools/calendar/time_zone.cpp
@@ -1,4 +1,4 @@
-#include "pools/calendar/zone.h"
+#include "pools/calendar/time_zone.h"
 
 #include <date/tz.h>
 
