--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -164,7 +164,7 @@
     }
     in.end();
     for (const auto& date : dates) {
-      const auto at = pools::day_of(date);
+      const auto at = pools::parse_day(date);
       if (at < 0)
         in.fault("dates", "'" + date + "' is no date like \"2026-12-25\"");
       else if (!to.holidays.emplace(at, day).second)
--- a/src/pools/calendar/time_zone.cpp
+++ b/src/pools/calendar/time_zone.cpp
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-std::int32_t day_of(const std::string& text) {
+std::int32_t parse_day(const std::string& text) {
   std::istringstream in(text);
   date::sys_days day;
   in >> date::parse("%F", day);
--- a/tests/pools/calendar_test.cpp
+++ b/tests/pools/calendar_test.cpp
@@ -9,7 +9,7 @@
 using std::chrono::minutes;
 
 Micros utc(const char* day, int hour, int minute = 0) {
-  return hours(24 * day_of(day)) + hours(hour) + minutes(minute);
+  return hours(24 * parse_day(day)) + hours(hour) + minutes(minute);
 }
 TimeRange time_range(int begin, int end, double expected) {
   return {minutes(begin), minutes(end), expected};
@@ -57,7 +57,7 @@
                                 : unchanged_minute + m - 60;
     EXPECT_EQ(wall, expected) << m;
     EXPECT_EQ(local.weekday, 6u);
-    EXPECT_EQ(local.day, day_of(change.day));
+    EXPECT_EQ(local.day, parse_day(change.day));
   }
 }
 
@@ -88,7 +88,7 @@
 TEST(Calendar, HolidaysReplaceTheWeekday) {
   RegionHours region{"Europe/Rome", 0.1, {}, {}};
   region.week[4] = {time_range(480, 1080, 0.6)};  // Fridays
-  region.holidays[day_of("2026-12-25")] = {time_range(600, 720, 0.2)};
+  region.holidays[parse_day("2026-12-25")] = {time_range(600, 720, 0.2)};
   const Calendar calendar(CalendarUnit::share, {{"rome", region}});
   EXPECT_EQ(calendar.wanted_shares(utc("2026-12-18", 9))[0], 0.6);
   EXPECT_EQ(calendar.wanted_shares(utc("2026-12-18", 6, 59))[0], 0.1);
