--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -276,7 +276,7 @@
     const auto day = std::chrono::duration_cast<hours>(over->first).count() / 24;
     const auto minute = std::chrono::duration_cast<minutes>(over->first).count() % 1440;
     what << "shares sum up to " << over->second << ", over 1, first on "
-         << pools::day_text(static_cast<std::int32_t>(day)) << " at " << minute / 60 << ':'
+         << pools::format_day(static_cast<std::int32_t>(day)) << " at " << minute / 60 << ':'
          << (minute % 60 < 10 ? "0" : "") << minute % 60 << " UTC";
     in->fault_at(in->line("calendar"), in->full("calendar"), what.str());
   }
--- a/src/pools/calendar/time_zone.cpp
+++ b/src/pools/calendar/time_zone.cpp
@@ -26,7 +26,7 @@
   return static_cast<std::int32_t>(day.time_since_epoch().count());
 }
 
-std::string day_text(std::int32_t day) {
+std::string format_day(std::int32_t day) {
   return date::format("%F", date::sys_days(date::days(day)));
 }
 
--- a/src/pools/calendar/time_zone.h
+++ b/src/pools/calendar/time_zone.h
@@ -22,7 +22,7 @@
 /// Parses a date such as "2026-12-25" to days since 1970-01-01; negative if it is not a date.
 std::int32_t parse_day(const std::string& text);
 /// Formats days since 1970-01-01 as a date such as "2026-12-25".
-std::string day_text(std::int32_t day);
+std::string format_day(std::int32_t day);
 
 /// A time zone of the system's tzdata.
 class TimeZone {
