--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -228,8 +228,8 @@
 void regions(Section& in, const Regions& from, pools::Settings& to) {
   if (from.empty())
     in.fault_here("needs regions, [regions.NAME]");
-  if (from.size() > pools::most_regions)
-    in.fault_here("can't serve more than " + std::to_string(pools::most_regions) + " regions");
+  if (from.size() > pools::max_regions)
+    in.fault_here("can't serve more than " + std::to_string(pools::max_regions) + " regions");
   std::map<std::string, std::string> seen;
   for (const auto& [name, region] : from) {
     const auto fault = [&, &region = region, &name = name](std::string what) {
--- a/src/pools/names.h
+++ b/src/pools/names.h
@@ -12,7 +12,7 @@
 namespace lemonroute::pools {
 
 inline constexpr std::size_t max_pools = 4096;     ///< of all regions together
-inline constexpr std::size_t most_regions = 16;    ///< maximum number of regions
+inline constexpr std::size_t max_regions = 16;     ///< maximum number of regions
 inline constexpr std::size_t max_name_bytes = 64;  ///< of a site's or router's name
 
 /// Names the pool of decode nodes of one cell. Written as "SITE/CELL" in files and in output.
