--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -84,7 +84,7 @@
                         {"pools", grantor_->size()}};
   for (RegionId r = 0; r < regions_.size(); ++r) {
     auto& region = result["regions"][regions_[r].name];
-    region["planner"] = select_planner(regions_[r].name, regions_[r].settings->keepers, view_);
+    region["planner"] = select_planner(regions_[r].name, regions_[r].settings->grantors, view_);
     if (r >= wishes_.size())
       continue;
     region["share"] = wishes_[r].share;
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -64,7 +64,7 @@
       continue;
     planner::Pool pool{name, *home, *home, static_cast<double>(decode_nodes), "", false};
     if (never_migrates(*settings_, *home, name)) {
-      pool.fixed_reason = settings_->regions.at(*home).keepers.empty() ? "no keepers" : "reserve";
+      pool.fixed_reason = settings_->regions.at(*home).grantors.empty() ? "no keepers" : "reserve";
     } else if (const auto found = states.find(name); found != states.end()) {
       pool.owner = found->second.owner;
       pool.fixed_reason = found->second.fixed_reason;
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -22,7 +22,7 @@
       std::make_shared<const LeaseSnapshot>(snapshot_common_, std::map<PoolName, LeaseSnapshot::Entry>());
   if (!own_region_)
     return;
-  const auto& grantors = regions_[*own_region_].settings->keepers;
+  const auto& grantors = regions_[*own_region_].settings->grantors;
   if (std::find(grantors.begin(), grantors.end(), options_.name) != grantors.end())
     grantor_.emplace(options_.settings.terms, *own_region_);
 }
@@ -87,7 +87,7 @@
     const auto& terms = options_.settings.terms;
     pools_.try_emplace(
         name, Pool{LeaseHolder(terms, own_region_.value_or(static_cast<RegionId>(regions_.size())), *home,
-                               regions_[*home].settings->keepers),
+                               regions_[*home].settings->grantors),
                    Migration(terms, *home, options_.warmup)});
   }
   update_snapshot(now);
@@ -99,7 +99,7 @@
 
 bool PoolsExtension::is_planner() const {
   return grantor_ && grantor_enabled_ && !replaced_ &&
-         select_planner(regions_[*own_region_].name, regions_[*own_region_].settings->keepers, view_) ==
+         select_planner(regions_[*own_region_].name, regions_[*own_region_].settings->grantors, view_) ==
              options_.name;
 }
 
@@ -113,7 +113,7 @@
         ask.pools.push_back({name, pool.holder.ownership(), false, false});
     if (ask.pools.empty())
       continue;
-    for (const auto& grantor : regions_[home].settings->keepers) {
+    for (const auto& grantor : regions_[home].settings->grantors) {
       if (grantor == options_.name) {
         for (auto& entry : ask.pools)
           if (is_grantor_of(entry.pool))
@@ -136,7 +136,7 @@
   if (own_region_)
     demand_sum_.on_report(*own_region_, options_.name, *report, now);
   for (const auto& region : regions_)
-    for (const auto& grantor : region.settings->keepers)
+    for (const auto& grantor : region.settings->grantors)
       if (grantor != options_.name)
         for (auto& payload : wire::write(*report, fingerprint_, now))
           out.send(topic(), grantor, std::move(payload));
@@ -156,7 +156,7 @@
     wishes_.push_back(
         wish_of(options_.settings, shares[r], demand_sum_.decode_nodes(r, routers, now), inventory_.total()));
     accepts_pools.push_back(routers > 0 && regions_[r].blocked_until <= now);
-    quorums.push_back(quorum_reachable(regions_[r].settings->keepers, view_));
+    quorums.push_back(quorum_reachable(regions_[r].settings->grantors, view_));
   }
   std::map<PoolName, Planning::PoolState> states;
   for (auto& [name, pool] : pools_) {
@@ -202,7 +202,7 @@
     const auto& last = pool.holder.ownership().ballot;
     const wire::Entry entry{
         name, {{last.counter + 1, *own_region_, process_id_}, *to, Micros(0)}, false, false};
-    for (const auto& grantor : regions_[*own_region_].settings->keepers) {
+    for (const auto& grantor : regions_[*own_region_].settings->grantors) {
       if (grantor == options_.name)
         grantor_->learn(name, entry.owned);
       else
--- a/src/pools/leases/lease_snapshot.cpp
+++ b/src/pools/leases/lease_snapshot.cpp
@@ -5,7 +5,7 @@
 bool never_migrates(const Settings& settings, const std::string& region, const PoolName& pool) {
   const auto found = settings.regions.find(region);
   return found != settings.regions.end() &&
-         (found->second.keepers.empty() || found->second.reserve.contains(pool));
+         (found->second.grantors.empty() || found->second.reserve.contains(pool));
 }
 
 FleetView::NodeOverlay LeaseSnapshot::overlay(const Node& node) const {
--- a/src/pools/settings.cpp
+++ b/src/pools/settings.cpp
@@ -25,7 +25,7 @@
     for (const auto& site : sorted)
       append(site);
     text << "| ";
-    sorted = region.keepers;
+    sorted = region.grantors;
     std::sort(sorted.begin(), sorted.end());
     for (const auto& keeper : sorted)
       append(keeper);
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -16,7 +16,7 @@
 /// One region's sites, grantors and reserve.
 struct RegionSettings {
   std::vector<std::string> sites;
-  std::vector<std::string> keepers;  ///< grantors: 3, 5 or 7 routers; none: its pools never migrate
+  std::vector<std::string> grantors;  ///< grantors: 3, 5 or 7 routers; none: its pools never migrate
   std::set<PoolName> reserve;        ///< pools of its sites that never migrate
 };
 
--- a/tests/pools/extension_world.h
+++ b/tests/pools/extension_world.h
@@ -37,7 +37,7 @@
     auto& region = s.regions[name];
     region.sites = {name.substr(0, 1)};
     for (int k = 0; k < 3; ++k)
-      region.keepers.push_back(name + std::to_string(k));
+      region.grantors.push_back(name + std::to_string(k));
     region.reserve = {{name.substr(0, 1), 0}};
     s.hours[name] = {"UTC", 0.5, {}, {}};
   }
