--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -196,9 +196,9 @@
   in.span("margin", to.terms.margin, Micros(0), seconds(6));
   if (to.terms.margin > to.terms.lease / 10)
     in.fault("margin", "is more than a tenth of the lease");
-  std::int64_t most = static_cast<std::int64_t>(to.moving_at_once);
+  std::int64_t most = static_cast<std::int64_t>(to.max_concurrent_migrations);
   if (in.whole("moving_at_once", most, 1, 1000))
-    to.moving_at_once = static_cast<std::size_t>(most);
+    to.max_concurrent_migrations = static_cast<std::size_t>(most);
   in.number("hysteresis", to.hysteresis, 0.001, 0.5);
   in.number("room", to.room, 0, 1);
   in.number("correction", to.correction, 0, 1);
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -45,8 +45,8 @@
                                  const std::map<PoolName, PoolState>& states,
                                  const std::vector<bool>& accepts_pools) const {
   planner::Inputs inputs;
-  inputs.settings = {std::max(0.001, settings_->hysteresis * inventory.total()), settings_->moving_at_once,
-                     settings_->room};
+  inputs.settings = {std::max(0.001, settings_->hysteresis * inventory.total()),
+                     settings_->max_concurrent_migrations, settings_->room};
   inputs.lost_sites = inventory.lost_sites;
   inputs.distance = settings_->distance;
   std::size_t r = 0;
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -27,7 +27,7 @@
       hours;                ///< by region; a region without hours wants the decode nodes of its reserve
   CalendarUnit unit = CalendarUnit::share;  ///< unit of the hours
   LeaseTerms terms;
-  std::size_t moving_at_once = 1;  ///< concurrent migrations of one home region's pools
+  std::size_t max_concurrent_migrations = 1;  ///< concurrent migrations of one home region's pools
   double hysteresis = 0.05;        ///< share of all decode nodes
   double room = 0.5;  ///< headroom: share of its wanted number that a lender keeps after the loss of any
                       ///< one site
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -194,7 +194,7 @@
   Settings settings = test::two_regions();
   settings.regions["south"].sites.push_back("t");
   settings.regions["north"].sites.push_back("m");
-  settings.moving_at_once = 2;
+  settings.max_concurrent_migrations = 2;
   settings.room = 0.3;
   World world(settings, 5);
   world.run(20s);
