--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -63,7 +63,7 @@
   s.fill = 0.85;
   s.correction = 0.25;
   s.hysteresis = 0.04;
-  s.room = 0;  // each region stands at one site here
+  s.headroom = 0;  // each region stands at one site here
   s.ahead = std::chrono::minutes(10);
   for (int r = 0; r < regions; ++r) {
     const std::string name = "r" + std::to_string(r), site = "s" + std::to_string(r);
--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -200,7 +200,7 @@
   if (in.whole("moving_at_once", most, 1, 1000))
     to.max_concurrent_migrations = static_cast<std::size_t>(most);
   in.number("hysteresis", to.hysteresis, 0.001, 0.5);
-  in.number("room", to.room, 0, 1);
+  in.number("room", to.headroom, 0, 1);
   in.number("correction", to.correction, 0, 1);
   in.number("fill", to.fill, 0.05, 1);
   in.number("influence", to.influence, 1, 100);
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -46,7 +46,7 @@
                                  const std::vector<bool>& accepts_pools) const {
   planner::Inputs inputs;
   inputs.settings = {std::max(0.001, settings_->hysteresis * inventory.total()),
-                     settings_->max_concurrent_migrations, settings_->room};
+                     settings_->max_concurrent_migrations, settings_->headroom};
   inputs.lost_sites = inventory.lost_sites;
   inputs.distance = settings_->distance;
   std::size_t r = 0;
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -195,7 +195,7 @@
   settings.regions["south"].sites.push_back("t");
   settings.regions["north"].sites.push_back("m");
   settings.max_concurrent_migrations = 2;
-  settings.room = 0.3;
+  settings.headroom = 0.3;
   World world(settings, 5);
   world.run(20s);
   EXPECT_EQ(world.senders({"m", 1}), (Senders{{"north", 3}}));
