--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -61,7 +61,7 @@
 pools::Settings settings() {
   pools::Settings s;
   s.fill = 0.85;
-  s.correction = 0.25;
+  s.max_correction = 0.25;
   s.hysteresis = 0.04;
   s.headroom = 0;  // each region stands at one site here
   s.ahead = std::chrono::minutes(10);
--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -201,7 +201,7 @@
     to.max_concurrent_migrations = static_cast<std::size_t>(most);
   in.number("hysteresis", to.hysteresis, 0.001, 0.5);
   in.number("room", to.headroom, 0, 1);
-  in.number("correction", to.correction, 0, 1);
+  in.number("correction", to.max_correction, 0, 1);
   in.number("fill", to.fill, 0.05, 1);
   in.number("influence", to.influence, 1, 100);
   in.span("ahead", to.ahead, Micros(0), hours(24));
--- a/src/pools/extension/planning.h
+++ b/src/pools/extension/planning.h
@@ -20,7 +20,8 @@
 };
 
 /// Computes a region's target. `fills`: decode nodes that the region's requests fill. `all`: number of all
-/// decode nodes. Demand changes the calendar's number by at most `Settings::correction` of all decode nodes.
+/// decode nodes. Demand changes the calendar's number by at most `Settings::max_correction` of all decode
+/// nodes.
 Wish wish_of(const Settings& settings, double share, std::optional<double> fills, double all);
 
 /// Computes the planner's inputs.
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -31,7 +31,8 @@
   double hysteresis = 0.05;        ///< share of all decode nodes
   double headroom = 0.5;  ///< headroom: share of its wanted number that a lender keeps after the loss of any
                           ///< one site
-  double correction = 0.1;  ///< share of all decode nodes by which demand may correct the calendar up or down
+  double max_correction =
+      0.1;                  ///< share of all decode nodes by which demand may correct the calendar up or down
   double fill = 0.7;        ///< share of their memory that decode nodes are meant to fill
   double influence = 2;     ///< largest weight of one router's report, in means of its region's other reports
   Micros ahead = std::chrono::minutes(5);        ///< how long before the calendar's time pools are requested
--- a/tests/pools/digests_main.cpp
+++ b/tests/pools/digests_main.cpp
@@ -34,7 +34,7 @@
 /// Two regions whose demand changes, with message loss, a crash, a suspended process and a partition.
 Digest simulate_planned(std::uint64_t seed) {
   pools::Settings settings = pools::test::two_regions();
-  settings.correction = 0.2;
+  settings.max_correction = 0.2;
   pools::test::World world(settings, seed);
   world.loss = 0.05 * static_cast<double>(seed % 4);
   for (int second = 0; second < 180; ++second)
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -13,7 +13,7 @@
 
 Settings settings_with_correction() {
   Settings s = test::two_regions();
-  s.correction = 0.2;
+  s.max_correction = 0.2;
   return s;
 }
 // Reports demand to all routers. The calendar is flat, so only demand changes what the regions want.
