--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -60,7 +60,7 @@
 
 pools::Settings settings() {
   pools::Settings s;
-  s.fill = 0.85;
+  s.target_fill = 0.85;
   s.max_correction = 0.25;
   s.hysteresis = 0.04;
   s.headroom = 0;  // each region stands at one site here
@@ -71,8 +71,8 @@
     RegionHours hours{"UTC", 0, {}, {}};
     for (auto& each : hours.week)
       for (int m = 0; m < minutes_of_day; m += 30)
-        each.push_back(
-            {std::chrono::minutes(m), std::chrono::minutes(m + 30), curve(local(m + 15, r)) / s.fill / all});
+        each.push_back({std::chrono::minutes(m), std::chrono::minutes(m + 30),
+                        curve(local(m + 15, r)) / s.target_fill / all});
     s.hours[name] = hours;
   }
   return s;
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -10,7 +10,7 @@
   Wish wish{share, std::nullopt, share * all};
   if (!fills)
     return wish;
-  wish.demand = *fills / settings.fill;
+  wish.demand = *fills / settings.target_fill;
   const double max_correction = settings.max_correction * all;
   wish.wanted = std::clamp(*wish.demand, std::max(0.0, wish.wanted - max_correction),
                            std::min(all, wish.wanted + max_correction));
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -33,7 +33,7 @@
                           ///< one site
   double max_correction =
       0.1;                  ///< share of all decode nodes by which demand may correct the calendar up or down
-  double fill = 0.7;        ///< share of their memory that decode nodes are meant to fill
+  double target_fill = 0.7;  ///< share of their memory that decode nodes are meant to fill
   double influence = 2;     ///< largest weight of one router's report, in means of its region's other reports
   Micros ahead = std::chrono::minutes(5);        ///< how long before the calendar's time pools are requested
   Micros plans_every = std::chrono::seconds(5);  ///< interval of planning
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -62,7 +62,7 @@
 TEST(Demand, CorrectsTheCalendarWithinLimits) {
   Settings settings;
   settings.max_correction = 0.1;
-  settings.fill = 0.5;
+  settings.target_fill = 0.5;
   EXPECT_EQ(wish_of(settings, 0.4, std::nullopt, 100).wanted, 40);
   EXPECT_NEAR(wish_of(settings, 0.4, 21, 100).wanted, 42, 1e-9);
   EXPECT_NEAR(wish_of(settings, 0.4, 1000, 100).wanted, 50, 1e-9);
--- a/tests/pools/digests_main.cpp
+++ b/tests/pools/digests_main.cpp
@@ -24,7 +24,7 @@
     if (!one->extension)
       continue;
     NodeObserver::Demand demand;
-    demand.own_load = (one->site == "n" ? north : south) / 3 * world.settings.fill / 4;
+    demand.own_load = (one->site == "n" ? north : south) / 3 * world.settings.target_fill / 4;
     demand.decode_nodes = 4;
     demand.accepted_requests = 10;
     one->extension->on_demand(demand, one->local());
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -21,7 +21,7 @@
   for (auto& one : world.processes) {
     if (!one->extension)
       continue;
-    const double writers = (one->site == "n" ? north : south) / 3 * world.settings.fill;
+    const double writers = (one->site == "n" ? north : south) / 3 * world.settings.target_fill;
     NodeObserver::Demand demand;
     demand.own_load = writers / 4;
     demand.decode_nodes = 4;
