--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -9,7 +9,7 @@
 PoolsExtension::PoolsExtension(Options options, std::uint64_t seed)
     : options_(std::move(options)),
       planning_(options_.settings),
-      demand_sum_(options_.settings.influence),
+      demand_sum_(options_.settings.max_influence),
       sent_requests_(options_.settings.terms, seed),
       process_id_(seed ^ hash_text(options_.name) ^ options_.start),
       fingerprint_(options_.settings.fingerprint()) {
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -34,7 +34,8 @@
   double max_correction =
       0.1;                  ///< share of all decode nodes by which demand may correct the calendar up or down
   double target_fill = 0.7;  ///< share of their memory that decode nodes are meant to fill
-  double influence = 2;     ///< largest weight of one router's report, in means of its region's other reports
+  double max_influence =
+      2;  ///< largest weight of one router's report, in means of its region's other reports
   Micros ahead = std::chrono::minutes(5);        ///< how long before the calendar's time pools are requested
   Micros plans_every = std::chrono::seconds(5);  ///< interval of planning
   std::map<std::pair<std::string, std::string>, double> distance;  ///< by region and site
