--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -64,7 +64,7 @@
   s.max_correction = 0.25;
   s.hysteresis = 0.04;
   s.headroom = 0;  // each region stands at one site here
-  s.ahead = std::chrono::minutes(10);
+  s.lead_time = std::chrono::minutes(10);
   for (int r = 0; r < regions; ++r) {
     const std::string name = "r" + std::to_string(r), site = "s" + std::to_string(r);
     s.regions[name] = {{site}, {"a", "b", "c"}, {{site, 0}, {site, 1}}};
--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -204,7 +204,7 @@
   in.number("correction", to.max_correction, 0, 1);
   in.number("fill", to.target_fill, 0.05, 1);
   in.number("influence", to.max_influence, 1, 100);
-  in.span("ahead", to.ahead, Micros(0), hours(24));
+  in.span("ahead", to.lead_time, Micros(0), hours(24));
   in.span("plans_every", to.plans_every, milliseconds(100), hours(1));
 }
 
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -22,7 +22,7 @@
 
 std::vector<double> Planning::shares(Micros now, const Inventory& inventory) const {
   const auto current = calendar_.wanted_shares(now),
-             upcoming = calendar_.wanted_shares(now + settings_->ahead);
+             upcoming = calendar_.wanted_shares(now + settings_->lead_time);
   const double all = inventory.total();
   std::vector<double> shares;
   std::size_t next = 0;  // the calendar has only the regions with hours, in the same order
--- a/src/pools/extension/planning.h
+++ b/src/pools/extension/planning.h
@@ -31,7 +31,7 @@
   explicit Planning(const Settings& settings);
 
   /// Each region's share of all decode nodes, in name order: the larger of the calendar's shares at `now`
-  /// (Unix time) and `Settings::ahead` later.
+  /// (Unix time) and `Settings::lead_time` later.
   std::vector<double> shares(Micros now, const Inventory& inventory) const;
 
   /// State of a pool that may migrate.
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -36,7 +36,7 @@
   double target_fill = 0.7;  ///< share of their memory that decode nodes are meant to fill
   double max_influence =
       2;  ///< largest weight of one router's report, in means of its region's other reports
-  Micros ahead = std::chrono::minutes(5);        ///< how long before the calendar's time pools are requested
+  Micros lead_time = std::chrono::minutes(5);    ///< how long before the calendar's time pools are requested
   Micros plans_every = std::chrono::seconds(5);  ///< interval of planning
   std::map<std::pair<std::string, std::string>, double> distance;  ///< by region and site
 
--- a/tests/pools/extension_world.h
+++ b/tests/pools/extension_world.h
@@ -42,7 +42,7 @@
     s.hours[name] = {"UTC", 0.5, {}, {}};
   }
   s.hysteresis = 0.1;
-  s.ahead = 0s;
+  s.lead_time = 0s;
   s.plans_every = 1s;
   return s;
 }
