--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -205,7 +205,7 @@
   in.number("fill", to.target_fill, 0.05, 1);
   in.number("influence", to.max_influence, 1, 100);
   in.span("ahead", to.lead_time, Micros(0), hours(24));
-  in.span("plans_every", to.plans_every, milliseconds(100), hours(1));
+  in.span("plans_every", to.plan_interval, milliseconds(100), hours(1));
 }
 
 void distances(Section& in, pools::Settings& to) {
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -223,7 +223,7 @@
   for (auto& [name, pool] : pools_)
     update_migration(pool, now);
   if (now >= next_plan_at_) {
-    next_plan_at_ = now + options_.settings.plans_every;
+    next_plan_at_ = now + options_.settings.plan_interval;
     send_demand(now, out);
     make_plan(now);
   }
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -37,7 +37,7 @@
   double max_influence =
       2;  ///< largest weight of one router's report, in means of its region's other reports
   Micros lead_time = std::chrono::minutes(5);    ///< how long before the calendar's time pools are requested
-  Micros plans_every = std::chrono::seconds(5);  ///< interval of planning
+  Micros plan_interval = std::chrono::seconds(5);                  ///< interval of planning
   std::map<std::pair<std::string, std::string>, double> distance;  ///< by region and site
 
   /// Whether any region is configured.
--- a/tests/pools/extension_world.h
+++ b/tests/pools/extension_world.h
@@ -43,7 +43,7 @@
   }
   s.hysteresis = 0.1;
   s.lead_time = 0s;
-  s.plans_every = 1s;
+  s.plan_interval = 1s;
   return s;
 }
 
