--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -99,7 +99,7 @@
   double asked = 0, served = 0;
   for (int m = 0; m < minutes_of_day; ++m) {
     const auto shares = planning.shares(day_begins + std::chrono::minutes(m), stock);
-    std::vector<Wish> wishes;
+    std::vector<RegionTarget> wishes;
     for (int r = 0; r < regions; ++r)
       wishes.push_back(
           wish_of(with, shares[r],
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -106,7 +106,7 @@
   Inventory inventory_;
   std::map<PoolName, Pool> pools_;  // those that may migrate
   planner::Plan plan_;
-  std::vector<Wish> wishes_;
+  std::vector<RegionTarget> wishes_;
   Counts counts_;
   Micros next_request_at_{}, next_plan_at_{};
   std::shared_ptr<const LeaseSnapshot> lease_snapshot_;
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -6,8 +6,8 @@
 
 namespace lemonroute::pools {
 
-Wish wish_of(const Settings& settings, double share, std::optional<double> fills, double all) {
-  Wish wish{share, std::nullopt, share * all};
+RegionTarget wish_of(const Settings& settings, double share, std::optional<double> fills, double all) {
+  RegionTarget wish{share, std::nullopt, share * all};
   if (!fills)
     return wish;
   wish.demand = *fills / settings.target_fill;
@@ -41,7 +41,7 @@
   return shares;
 }
 
-planner::Inputs Planning::inputs(const Inventory& inventory, const std::vector<Wish>& wishes,
+planner::Inputs Planning::inputs(const Inventory& inventory, const std::vector<RegionTarget>& wishes,
                                  const std::map<PoolName, PoolState>& states,
                                  const std::vector<bool>& accepts_pools) const {
   planner::Inputs inputs;
--- a/src/pools/extension/planning.h
+++ b/src/pools/extension/planning.h
@@ -13,7 +13,7 @@
 namespace lemonroute::pools {
 
 /// How many decode nodes one region should have, and what that is based on.
-struct Wish {
+struct RegionTarget {
   double share = 0;              ///< share of all decode nodes by the calendar
   std::optional<double> demand;  ///< measured demand in decode nodes; nothing if too few routers reported
   double wanted = 0;             ///< decode nodes that the region should have
@@ -22,7 +22,7 @@
 /// Computes a region's target. `fills`: decode nodes that the region's requests fill. `all`: number of all
 /// decode nodes. Demand changes the calendar's number by at most `Settings::max_correction` of all decode
 /// nodes.
-Wish wish_of(const Settings& settings, double share, std::optional<double> fills, double all);
+RegionTarget wish_of(const Settings& settings, double share, std::optional<double> fills, double all);
 
 /// Computes the planner's inputs.
 class Planning {
@@ -41,7 +41,7 @@
     bool migrating = false;
   };
   /// The planner's inputs. `wishes` and `accepts_pools` are in name order of the regions.
-  planner::Inputs inputs(const Inventory& inventory, const std::vector<Wish>& wishes,
+  planner::Inputs inputs(const Inventory& inventory, const std::vector<RegionTarget>& wishes,
                          const std::map<PoolName, PoolState>& states,
                          const std::vector<bool>& accepts_pools) const;
 
