--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -101,9 +101,9 @@
     const auto shares = planning.shares(day_begins + std::chrono::minutes(m), stock);
     std::vector<RegionTarget> wishes;
     for (int r = 0; r < regions; ++r)
-      wishes.push_back(
-          wish_of(with, shares[r],
-                  way == Way::demand && m > 0 ? std::optional(day.asked[m - 1][r]) : std::nullopt, all));
+      wishes.push_back(region_target(
+          with, shares[r], way == Way::demand && m > 0 ? std::optional(day.asked[m - 1][r]) : std::nullopt,
+          all));
     const auto plan = planner::plan(planning.inputs(stock, wishes, states, {true, true}));
     std::array<double, regions> writers{};
     for (const auto& move : plan.moves) {
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -6,7 +6,7 @@
 
 namespace lemonroute::pools {
 
-RegionTarget wish_of(const Settings& settings, double share, std::optional<double> fills, double all) {
+RegionTarget region_target(const Settings& settings, double share, std::optional<double> fills, double all) {
   RegionTarget wish{share, std::nullopt, share * all};
   if (!fills)
     return wish;
--- a/src/pools/extension/planning.h
+++ b/src/pools/extension/planning.h
@@ -22,7 +22,7 @@
 /// Computes a region's target. `fills`: decode nodes that the region's requests fill. `all`: number of all
 /// decode nodes. Demand changes the calendar's number by at most `Settings::max_correction` of all decode
 /// nodes.
-RegionTarget wish_of(const Settings& settings, double share, std::optional<double> fills, double all);
+RegionTarget region_target(const Settings& settings, double share, std::optional<double> fills, double all);
 
 /// Computes the planner's inputs.
 class Planning {
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -153,8 +153,8 @@
   std::vector<bool> accepts_pools, quorums;
   for (RegionId r = 0; r < regions_.size(); ++r) {
     const auto routers = count_routers(r);
-    wishes_.push_back(
-        wish_of(options_.settings, shares[r], demand_sum_.decode_nodes(r, routers, now), inventory_.total()));
+    wishes_.push_back(region_target(options_.settings, shares[r], demand_sum_.decode_nodes(r, routers, now),
+                                    inventory_.total()));
     accepts_pools.push_back(routers > 0 && regions_[r].blocked_until <= now);
     quorums.push_back(quorum_reachable(regions_[r].settings->grantors, view_));
   }
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -63,11 +63,11 @@
   Settings settings;
   settings.max_correction = 0.1;
   settings.target_fill = 0.5;
-  EXPECT_EQ(wish_of(settings, 0.4, std::nullopt, 100).wanted, 40);
-  EXPECT_NEAR(wish_of(settings, 0.4, 21, 100).wanted, 42, 1e-9);
-  EXPECT_NEAR(wish_of(settings, 0.4, 1000, 100).wanted, 50, 1e-9);
-  EXPECT_NEAR(wish_of(settings, 0.4, 0, 100).wanted, 30, 1e-9);
-  EXPECT_NEAR(wish_of(settings, 0.95, 1000, 100).wanted, 100, 1e-9);
+  EXPECT_EQ(region_target(settings, 0.4, std::nullopt, 100).wanted, 40);
+  EXPECT_NEAR(region_target(settings, 0.4, 21, 100).wanted, 42, 1e-9);
+  EXPECT_NEAR(region_target(settings, 0.4, 1000, 100).wanted, 50, 1e-9);
+  EXPECT_NEAR(region_target(settings, 0.4, 0, 100).wanted, 30, 1e-9);
+  EXPECT_NEAR(region_target(settings, 0.95, 1000, 100).wanted, 100, 1e-9);
 }
 
 // A message is read as it was written, in payloads within the size limit. A damaged payload is rejected, or
