--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -91,7 +91,7 @@
   std::map<PoolName, Planning::PoolState> states;
   for (const auto& [region, one] : with.regions)
     for (std::uint32_t c = 0; c < pools_each; ++c) {
-      stock.writers[{one.sites[0], c}] = writers_each;
+      stock.decode_nodes[{one.sites[0], c}] = writers_each;
       if (c >= 2)
         states[{one.sites[0], c}] = {region, "", false};
     }
@@ -112,7 +112,7 @@
       const double lost = (move_takes + cold_for * (1 - cold_from) / 2) / 60;
       writers[move.to.back() - '0'] -= lost * writers_each;
     }
-    for (const auto& [name, count] : stock.writers) {
+    for (const auto& [name, count] : stock.decode_nodes) {
       const auto at = states.find(name);
       writers[(at == states.end() ? name.site : at->second.owner).back() - '0'] += static_cast<double>(count);
     }
--- a/src/pools/extension/inventory.cpp
+++ b/src/pools/extension/inventory.cpp
@@ -4,7 +4,7 @@
 
 double Inventory::total() const {
   double sum = 0;
-  for (const auto& [name, count] : writers)
+  for (const auto& [name, count] : decode_nodes)
     sum += static_cast<double>(count);
   return sum;
 }
@@ -18,10 +18,10 @@
         node.zone.size() > max_name_bytes || !settings.region_of(node.zone))
       continue;
     const std::size_t ready = node.listed_state == EndpointState::ready ? 1 : 0;
-    inventory.writers[{node.zone, node.endpoint.cell}] += ready;
+    inventory.decode_nodes[{node.zone, node.endpoint.cell}] += ready;
     ready_at_site[node.zone] += ready;
-    if (inventory.writers.size() > max_pools)
-      inventory.writers.erase(std::prev(inventory.writers.end()));
+    if (inventory.decode_nodes.size() > max_pools)
+      inventory.decode_nodes.erase(std::prev(inventory.decode_nodes.end()));
   }
   for (const auto& [site, ready] : ready_at_site)
     if (ready == 0)
--- a/src/pools/extension/inventory.h
+++ b/src/pools/extension/inventory.h
@@ -14,7 +14,7 @@
 /// The decode nodes of all regions by pool.
 struct Inventory {
   std::map<PoolName, std::size_t>
-      writers;                       ///< decode nodes that are listed as ready, by pool; 0: none is left
+      decode_nodes;                  ///< decode nodes that are listed as ready, by pool; 0: none is left
   std::set<std::string> lost_sites;  ///< sites whose decode nodes are listed, but none of them as ready
   /// Number of decode nodes that are listed as ready.
   double total() const;
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -93,7 +93,7 @@
       region["demand"] = *wishes_[r].demand;
   }
   result["pools"] = nlohmann::json::array();
-  for (const auto& [name, decode_nodes] : inventory_.writers) {
+  for (const auto& [name, decode_nodes] : inventory_.decode_nodes) {
     nlohmann::json entry{{"pool", name.text()}, {"writers", decode_nodes}};
     const auto home = region_of(name.site);
     entry["home"] = home ? regions_[*home].name : "";
--- a/src/pools/extension/planning.cpp
+++ b/src/pools/extension/planning.cpp
@@ -33,7 +33,7 @@
       continue;
     }
     double reserve = 0;
-    for (const auto& [pool, decode_nodes] : inventory.writers)
+    for (const auto& [pool, decode_nodes] : inventory.decode_nodes)
       if (region.reserve.contains(pool))
         reserve += static_cast<double>(decode_nodes);
     shares.push_back(all > 0 ? reserve / all : 0);
@@ -53,12 +53,12 @@
   for (const auto& [name, region] : settings_->regions) {
     planner::Region input{name, wishes[r].wanted, 0, accepts_pools[r]};
     for (const auto& pool : region.reserve)
-      if (const auto found = inventory.writers.find(pool); found != inventory.writers.end())
+      if (const auto found = inventory.decode_nodes.find(pool); found != inventory.decode_nodes.end())
         input.reserve += static_cast<double>(found->second);
     inputs.regions.push_back(std::move(input));
     ++r;
   }
-  for (const auto& [name, decode_nodes] : inventory.writers) {
+  for (const auto& [name, decode_nodes] : inventory.decode_nodes) {
     const std::string* home = settings_->region_of(name.site);
     if (!home)
       continue;
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -79,8 +79,8 @@
 
 void PoolsExtension::on_endpoints(const std::vector<Node>& nodes, Micros now) {
   inventory_ = build_inventory(nodes, options_.settings, options_.decode_kinds);
-  std::erase_if(pools_, [this](const auto& one) { return !inventory_.writers.contains(one.first); });
-  for (const auto& [name, writers] : inventory_.writers) {
+  std::erase_if(pools_, [this](const auto& one) { return !inventory_.decode_nodes.contains(one.first); });
+  for (const auto& [name, writers] : inventory_.decode_nodes) {
     const auto home = region_of(name.site);
     if (!home || never_migrates(options_.settings, regions_[*home].name, name))
       continue;
