--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -106,7 +106,7 @@
           all));
     const auto plan = planner::plan(planning.inputs(stock, wishes, states, {true, true}));
     std::array<double, regions> writers{};
-    for (const auto& move : plan.moves) {
+    for (const auto& move : plan.migrations) {
       states[move.pool].owner = move.to;
       ++outcome.moves;
       const double lost = (move_takes + cold_for * (1 - cold_from) / 2) / 60;
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -117,7 +117,7 @@
     result["pools"].push_back(std::move(entry));
   }
   result["plan"]["moves"] = nlohmann::json::array();
-  for (const auto& move : plan_.moves)
+  for (const auto& move : plan_.migrations)
     result["plan"]["moves"].push_back(
         {{"pool", move.pool.text()}, {"from", move.from}, {"to", move.to}, {"why", move.why}});
   result["plan"]["blames"] = nlohmann::json::array();
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -175,7 +175,7 @@
   for (auto& [name, pool] : pools_)
     pool.migration.clear_plan();
   plan_ = planner::plan(planning_.inputs(inventory_, wishes_, states, accepts_pools));
-  for (const auto& planned : plan_.moves) {
+  for (const auto& planned : plan_.migrations) {
     const auto found = pools_.find(planned.pool);
     if (found == pools_.end())
       continue;
--- a/src/pools/planner/planner.cpp
+++ b/src/pools/planner/planner.cpp
@@ -123,7 +123,7 @@
                               : 0;
   const auto add_migration = [&](const Candidate& candidate, std::string why) {
     const Pool& pool = allocation.pools()[candidate.pool];
-    plan.moves.push_back({pool.name, pool.owner, candidate.to, std::move(why)});
+    plan.migrations.push_back({pool.name, pool.owner, candidate.to, std::move(why)});
     allocation.move(candidate.pool, candidate.to);
     --remaining;
   };
--- a/src/pools/planner/planner.h
+++ b/src/pools/planner/planner.h
@@ -63,7 +63,7 @@
 };
 /// The result of planning.
 struct Plan {
-  std::vector<PlannedMigration> moves;
+  std::vector<PlannedMigration> migrations;
   std::vector<Shortage>
       shortages;  ///< one for each region that stays short by more than the hysteresis, and no others
 };
--- a/tests/pools/planner_test.cpp
+++ b/tests/pools/planner_test.cpp
@@ -22,7 +22,7 @@
   return sum;
 }
 void apply(Inputs& in, const Plan& plan, bool migrating = false) {
-  for (const auto& move : plan.moves)
+  for (const auto& move : plan.migrations)
     for (auto& pool : in.pools)
       if (pool.name == move.pool)
         pool.owner = move.to, pool.migrating = migrating;
@@ -80,7 +80,7 @@
       const Plan result = plan(in);
       const auto migrating =
           std::count_if(in.pools.begin(), in.pools.end(), [](auto& p) { return p.migrating; });
-      ASSERT_LE(result.moves.size(),
+      ASSERT_LE(result.migrations.size(),
                 std::max<std::size_t>(in.settings.max_concurrent_migrations, migrating) - migrating)
           << seed;
 
@@ -88,18 +88,18 @@
       std::shuffle(shuffled.pools.begin(), shuffled.pools.end(), rng);
       std::shuffle(shuffled.regions.begin(), shuffled.regions.end(), rng);
       const Plan shuffled_result = plan(shuffled);
-      ASSERT_EQ(result.moves.size(), shuffled_result.moves.size());
-      for (std::size_t i = 0; i < result.moves.size(); ++i)
-        ASSERT_TRUE(result.moves[i].pool == shuffled_result.moves[i].pool &&
-                    result.moves[i].to == shuffled_result.moves[i].to &&
-                    result.moves[i].why == shuffled_result.moves[i].why)
+      ASSERT_EQ(result.migrations.size(), shuffled_result.migrations.size());
+      for (std::size_t i = 0; i < result.migrations.size(); ++i)
+        ASSERT_TRUE(result.migrations[i].pool == shuffled_result.migrations[i].pool &&
+                    result.migrations[i].to == shuffled_result.migrations[i].to &&
+                    result.migrations[i].why == shuffled_result.migrations[i].why)
             << seed;
       ASSERT_EQ(result.shortages.size(), shuffled_result.shortages.size());
       for (std::size_t i = 0; i < result.shortages.size(); ++i)
         ASSERT_EQ(result.shortages[i].text, shuffled_result.shortages[i].text);
 
       const double before = shortage(in);
-      for (const auto& move : result.moves) {
+      for (const auto& move : result.migrations) {
         const auto pool =
             std::find_if(in.pools.begin(), in.pools.end(), [&](auto& p) { return p.name == move.pool; });
         ASSERT_FALSE(!pool->fixed_reason.empty() || pool->migrating ||
@@ -136,7 +136,7 @@
                                          [&](auto& b) { return b.region == region.name; });
         ASSERT_EQ(named, is_short ? 1 : 0) << seed;
       }
-      if (result.moves.empty() && migrating == 0) {
+      if (result.migrations.empty() && migrating == 0) {
         for (const auto& shortage : result.shortages)
           ASSERT_NE(shortage.constraint, "moving at once") << seed;
         break;
@@ -169,7 +169,7 @@
       for (std::size_t r = 0; r < flat.size(); ++r)
         in.regions[r].wanted = std::max(0.0, flat[r].wanted + noise(rng));
       const Plan result = plan(in);
-      for (const auto& move : result.moves) {
+      for (const auto& move : result.migrations) {
         apply(in, {{move}, {}});
         ASSERT_TRUE(seen.insert(owners()).second)
             << "an allocation occurs again, seed " << seed << " round " << round;
@@ -189,9 +189,9 @@
   for (std::uint32_t c : {1, 2})
     in.pools.push_back({{"s1", c}, "s", "s", 4, "", false});
   const Plan result = plan(in);
-  ASSERT_EQ(result.moves.size(), 1u);
-  EXPECT_EQ(result.moves[0].pool.text(), "n1/1");
-  EXPECT_EQ(result.moves[0].why, "s is short of 8.0 writers of 16.0");
+  ASSERT_EQ(result.migrations.size(), 1u);
+  EXPECT_EQ(result.migrations[0].pool.text(), "n1/1");
+  EXPECT_EQ(result.migrations[0].why, "s is short of 8.0 writers of 16.0");
   ASSERT_EQ(result.shortages.size(), 1u);
   EXPECT_EQ(result.shortages[0].text,
             "s is short of 4.0 writers: writers in all, all regions want 24.0 of 20.0");
