--- a/src/pools/demand/demand_sum.cpp
+++ b/src/pools/demand/demand_sum.cpp
@@ -15,7 +15,7 @@
   return sum;
 }
 
-void DemandSum::on_report(RegionId region, std::string_view sender, const Report& report, Micros now) {
+void DemandSum::on_report(RegionId region, std::string_view sender, const DemandReport& report, Micros now) {
   std::erase_if(reports_, [now](const auto& one) { return one.second.received_at + report_lifetime <= now; });
   const auto found = reports_.find(sender);
   if (found == reports_.end()) {
--- a/src/pools/demand/demand_sum.h
+++ b/src/pools/demand/demand_sum.h
@@ -25,7 +25,7 @@
   /// `influence`: as in `bounded_sum`.
   explicit DemandSum(double influence) : influence_(influence) {}
   /// Takes a report of a router of the region. Reports older than the sender's last one are ignored.
-  void on_report(RegionId region, std::string_view sender, const Report& report, Micros now);
+  void on_report(RegionId region, std::string_view sender, const DemandReport& report, Micros now);
   /// Decode nodes that the region's requests fill; nothing unless half of the region's `routers` reported
   /// within the last 30 s.
   std::optional<double> decode_nodes(RegionId region, std::size_t routers, Micros now);
@@ -35,7 +35,7 @@
   static constexpr std::size_t max_routers = 4096;  // reports of further routers are ignored
   struct ReceivedReport {
     RegionId region;
-    Report report;
+    DemandReport report;
     Micros received_at;
   };
   double influence_;
--- a/src/pools/demand/local_demand.cpp
+++ b/src/pools/demand/local_demand.cpp
@@ -19,11 +19,11 @@
   last_added_at_ = now;
 }
 
-std::optional<Report> LocalDemand::report(Micros now) const {
+std::optional<DemandReport> LocalDemand::report(Micros now) const {
   if (last_added_at_ == Micros(0))
     return std::nullopt;  // an unknown demand must not be reported as no demand
-  return Report{static_cast<std::uint64_t>(std::max<std::int64_t>(0, now.count() / 1000)), decode_nodes_,
-                rejected_share_};
+  return DemandReport{static_cast<std::uint64_t>(std::max<std::int64_t>(0, now.count() / 1000)),
+                      decode_nodes_, rejected_share_};
 }
 
 }  // namespace lemonroute::pools
--- a/src/pools/demand/local_demand.h
+++ b/src/pools/demand/local_demand.h
@@ -8,7 +8,7 @@
 namespace lemonroute::pools {
 
 /// One router's demand for decode nodes.
-struct Report {
+struct DemandReport {
   std::uint64_t sequence = 0;  ///< grows with each report of one sender
   double writers = 0;  ///< decode nodes whose whole memory its requests fill, or would fill if none were
                        ///< rejected
@@ -21,7 +21,7 @@
   /// Adds what was seen since the last call. Times must not decrease.
   void add(const NodeObserver::Demand& seen, Micros now);
   /// The demand to report; nothing before the first call of `add`.
-  std::optional<Report> report(Micros now) const;
+  std::optional<DemandReport> report(Micros now) const;
 
  private:
   static constexpr Micros smoothing_time = std::chrono::seconds(20);
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -83,7 +83,7 @@
   void handle(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox& out);
-  void handle(const Report& report, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const DemandReport& report, std::string_view from, Micros now, peers::Outbox& out);
   bool is_grantor_of(const PoolName& pool) const;
   void update_migration(Pool& pool, Micros now);
   void make_plan(Micros now);
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -64,7 +64,7 @@
   }
 }
 
-void PoolsExtension::handle(const Report& report, std::string_view from, Micros now, peers::Outbox&) {
+void PoolsExtension::handle(const DemandReport& report, std::string_view from, Micros now, peers::Outbox&) {
   if (const auto region = region_of_member(from))
     demand_sum_.on_report(*region, from, report, now);
   else
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -123,7 +123,7 @@
     case v1::Payload::kDemand: {
       const auto& demand = payload.demand();
       if (demand.milliwriters() <= max_milliwriters && demand.refused() <= 1000)
-        return {Report{demand.sequence(), demand.milliwriters() / 1000.0, demand.refused() / 1000.0}};
+        return {DemandReport{demand.sequence(), demand.milliwriters() / 1000.0, demand.refused() / 1000.0}};
       break;
     }
     case v1::Payload::WHAT_NOT_SET:
@@ -151,7 +151,7 @@
   if (const auto* propose = std::get_if<Propose>(&message)) {
     to_proto(propose->pool, now, *payload.mutable_propose()->mutable_pool());
   } else {
-    const auto& report = std::get<Report>(message);
+    const auto& report = std::get<DemandReport>(message);
     payload.mutable_demand()->set_sequence(report.sequence);
     payload.mutable_demand()->set_milliwriters(static_cast<std::uint32_t>(
         std::clamp(std::round(report.writers * 1000), 0.0, static_cast<double>(max_milliwriters))));
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -38,7 +38,7 @@
   Entry pool;
 };
 /// The content of a payload.
-using Message = std::variant<Ask, Grant, Propose, Report>;
+using Message = std::variant<Ask, Grant, Propose, DemandReport>;
 
 /// Why a payload was rejected.
 enum class Fault : std::uint8_t {
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -127,7 +127,7 @@
 }
 
 TEST(Formats, ReadsBackADemandForWriters) {
-  const auto demand = message_of<pools::Report>("pools_demand.hex");
+  const auto demand = message_of<pools::DemandReport>("pools_demand.hex");
 
   EXPECT_EQ(demand.sequence, 90'001u);
   EXPECT_EQ(demand.writers, 12.345);
@@ -135,7 +135,7 @@
 }
 
 TEST(Formats, WritesADemandForWritersAsBefore) {
-  pools::Report demand;
+  pools::DemandReport demand;
   demand.sequence = 90'001;
   demand.writers = 12.345;
   demand.refused = 0.067;
