--- a/src/pools/demand/demand_sum.cpp
+++ b/src/pools/demand/demand_sum.cpp
@@ -30,7 +30,7 @@
   std::vector<double> reports;
   for (const auto& [sender, received] : reports_)
     if (received.region == region && received.received_at + report_lifetime > now)
-      reports.push_back(received.report.writers);
+      reports.push_back(received.report.decode_nodes);
   if (reports.empty() || 2 * reports.size() < routers)
     return std::nullopt;
   return bounded_sum(reports, influence_);
--- a/src/pools/demand/local_demand.h
+++ b/src/pools/demand/local_demand.h
@@ -10,8 +10,8 @@
 /// One router's demand for decode nodes.
 struct DemandReport {
   std::uint64_t sequence = 0;  ///< grows with each report of one sender
-  double writers = 0;  ///< decode nodes whose whole memory its requests fill, or would fill if none were
-                       ///< rejected
+  double decode_nodes = 0;  ///< decode nodes whose whole memory its requests fill, or would fill if none were
+                            ///< rejected
   double refused = 0;  ///< share of the requests that were rejected, 0 to 1
 };
 
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -130,14 +130,14 @@
   const auto demand = message_of<pools::DemandReport>("pools_demand.hex");
 
   EXPECT_EQ(demand.sequence, 90'001u);
-  EXPECT_EQ(demand.writers, 12.345);
+  EXPECT_EQ(demand.decode_nodes, 12.345);
   EXPECT_EQ(demand.refused, 0.067);
 }
 
 TEST(Formats, WritesADemandForWritersAsBefore) {
   pools::DemandReport demand;
   demand.sequence = 90'001;
-  demand.writers = 12.345;
+  demand.decode_nodes = 12.345;
   demand.refused = 0.067;
 
   expect_written(demand, "pools_demand.hex");
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -54,9 +54,9 @@
   LocalDemand local_demand;
   EXPECT_FALSE(local_demand.report(Micros(1)));  // an unknown demand is not reported as no demand
   local_demand.add({0.5, 0.5, 5, 5, 8}, Micros(1));
-  EXPECT_NEAR(local_demand.report(Micros(2))->writers, 8, 1e-9);
+  EXPECT_NEAR(local_demand.report(Micros(2))->decode_nodes, 8, 1e-9);
   local_demand.add({0, 0, 0, 0, 8}, std::chrono::minutes(10));
-  EXPECT_NEAR(local_demand.report(std::chrono::minutes(10))->writers, 0, 1e-9);
+  EXPECT_NEAR(local_demand.report(std::chrono::minutes(10))->decode_nodes, 0, 1e-9);
 }
 
 TEST(Demand, CorrectsTheCalendarWithinLimits) {
