--- a/src/pools/demand/local_demand.h
+++ b/src/pools/demand/local_demand.h
@@ -12,7 +12,7 @@
   std::uint64_t sequence = 0;  ///< grows with each report of one sender
   double decode_nodes = 0;  ///< decode nodes whose whole memory its requests fill, or would fill if none were
                             ///< rejected
-  double refused = 0;  ///< share of the requests that were rejected, 0 to 1
+  double rejected_share = 0;  ///< share of the requests that were rejected, 0 to 1
 };
 
 /// Smooths this router's own demand.
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -156,7 +156,7 @@
     payload.mutable_demand()->set_milliwriters(static_cast<std::uint32_t>(
         std::clamp(std::round(report.decode_nodes * 1000), 0.0, static_cast<double>(max_milliwriters))));
     payload.mutable_demand()->set_refused(
-        static_cast<std::uint32_t>(std::clamp(std::round(report.refused * 1000), 0.0, 1000.0)));
+        static_cast<std::uint32_t>(std::clamp(std::round(report.rejected_share * 1000), 0.0, 1000.0)));
   }
   return {payload.SerializeAsString()};
 }
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -131,14 +131,14 @@
 
   EXPECT_EQ(demand.sequence, 90'001u);
   EXPECT_EQ(demand.decode_nodes, 12.345);
-  EXPECT_EQ(demand.refused, 0.067);
+  EXPECT_EQ(demand.rejected_share, 0.067);
 }
 
 TEST(Formats, WritesADemandForWritersAsBefore) {
   pools::DemandReport demand;
   demand.sequence = 90'001;
   demand.decode_nodes = 12.345;
-  demand.refused = 0.067;
+  demand.rejected_share = 0.067;
 
   expect_written(demand, "pools_demand.hex");
 }
