--- a/src/pools/leases/ballot.h
+++ b/src/pools/leases/ballot.h
@@ -14,7 +14,7 @@
 struct Ballot {
   std::uint64_t counter = 0;  ///< 0: the pool has never migrated
   RegionId region = 0;        ///< region of the proposer
-  std::uint64_t by = 0;       ///< identifies the proposing process
+  std::uint64_t proposer_id = 0;  ///< identifies the proposing process
   auto operator<=>(const Ballot&) const = default;
 
   /// Largest accepted increase of a counter in one message. Without this limit, a damaged or hostile payload
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -20,7 +20,7 @@
   if (entry.owned.ballot != Ballot{}) {
     to.mutable_ballot()->set_counter(entry.owned.ballot.counter);
     to.mutable_ballot()->set_region(entry.owned.ballot.region);
-    to.mutable_ballot()->set_by(entry.owned.ballot.by);
+    to.mutable_ballot()->set_by(entry.owned.ballot.proposer_id);
   }
   to.set_owner(entry.owned.owner);
   if (entry.owned.since > Micros(0))
