--- a/src/pools/leases/ballot.h
+++ b/src/pools/leases/ballot.h
@@ -13,7 +13,7 @@
 /// Epoch of a pool's ownership. No two proposals have the same ballot.
 struct Ballot {
   std::uint64_t counter = 0;  ///< 0: the pool has never migrated
-  RegionId region = 0;        ///< region of the proposer
+  RegionId proposer_region = 0;   ///< region of the proposer
   std::uint64_t proposer_id = 0;  ///< identifies the proposing process
   auto operator<=>(const Ballot&) const = default;
 
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -19,7 +19,7 @@
   to.set_cell(entry.pool.cell);
   if (entry.owned.ballot != Ballot{}) {
     to.mutable_ballot()->set_counter(entry.owned.ballot.counter);
-    to.mutable_ballot()->set_region(entry.owned.ballot.region);
+    to.mutable_ballot()->set_region(entry.owned.ballot.proposer_region);
     to.mutable_ballot()->set_by(entry.owned.ballot.proposer_id);
   }
   to.set_owner(entry.owned.owner);
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -20,7 +20,7 @@
   entry.pool.site = "nord";
   entry.pool.cell = 513;
   entry.owned.ballot.counter = 70'001;
-  entry.owned.ballot.region = 3;
+  entry.owned.ballot.proposer_region = 3;
   entry.owned.ballot.proposer_id = 0x6162636465666768;
   entry.owned.owner = 5;
   entry.owned.since = now - age;
@@ -42,7 +42,7 @@
   EXPECT_EQ(entry.pool.site, "nord");
   EXPECT_EQ(entry.pool.cell, 513u);
   EXPECT_EQ(entry.owned.ballot.counter, 70'001u);
-  EXPECT_EQ(entry.owned.ballot.region, 3u);
+  EXPECT_EQ(entry.owned.ballot.proposer_region, 3u);
   EXPECT_EQ(entry.owned.ballot.proposer_id, 0x6162636465666768u);
   EXPECT_EQ(entry.owned.owner, 5u);
   EXPECT_EQ(entry.owned.since, now - age);
