--- a/src/pools/leases/ballot.h
+++ b/src/pools/leases/ballot.h
@@ -27,19 +27,20 @@
 struct Ownership {
   Ballot ballot;       ///< the newest ballot known
   RegionId owner = 0;  ///< region that the ballot names
-  Micros since{};      ///< when a grantor first granted the pool to the owner under this ballot, on this
-                       ///< process's clock; 0: not granted yet, or the pool has never migrated
+  Micros granted_at{};  ///< when a grantor first granted the pool to the owner under this ballot, on this
+                        ///< process's clock; 0: not granted yet, or the pool has never migrated
 
-  /// Merges what another process knows: a newer ballot, or an earlier `since` of the same ballot. The result
-  /// does not depend on the order or the repetition of calls. Returns false if `other` was ignored, which
-  /// happens if its counter exceeds the known one by more than `Ballot::max_counter_increase`.
+  /// Merges what another process knows: a newer ballot, or an earlier `granted_at` of the same ballot. The
+  /// result does not depend on the order or the repetition of calls. Returns false if `other` was ignored,
+  /// which happens if its counter exceeds the known one by more than `Ballot::max_counter_increase`.
   bool learn(const Ownership& other) {
     if (other.ballot.counter > ballot.counter + Ballot::max_counter_increase)
       return false;
     if (other.ballot > ballot)
       *this = other;
-    else if (other.ballot == ballot && other.since > Micros(0) && (since == Micros(0) || other.since < since))
-      since = other.since;
+    else if (other.ballot == ballot && other.granted_at > Micros(0) &&
+             (granted_at == Micros(0) || other.granted_at < granted_at))
+      granted_at = other.granted_at;
     return true;
   }
 };
--- a/src/pools/leases/grantor/grantor.cpp
+++ b/src/pools/leases/grantor/grantor.cpp
@@ -42,8 +42,8 @@
       grants.push_back({region, expires_at});
     else
       grants.front().expires_at = std::max(grants.front().expires_at, expires_at);
-    if (pool->ownership.since == Micros(0) && pool->ownership.ballot.counter > 0)
-      pool->ownership.since = now;
+    if (pool->ownership.granted_at == Micros(0) && pool->ownership.ballot.counter > 0)
+      pool->ownership.granted_at = now;
   }
   answer.ownership = pool->ownership;
   answer.granted_to_owner = std::any_of(grants.begin(), grants.end(),
--- a/src/pools/leases/holder/lease_holder.cpp
+++ b/src/pools/leases/holder/lease_holder.cpp
@@ -35,7 +35,7 @@
   // lost and held again.
   if (lease(now) && started_ballot_ != ownership_.ballot) {
     started_ballot_ = ownership_.ballot;
-    started_at_ = ownership_.since > Micros(0) ? ownership_.since : now;
+    started_at_ = ownership_.granted_at > Micros(0) ? ownership_.granted_at : now;
   }
 }
 
--- a/src/pools/migration/migration.cpp
+++ b/src/pools/migration/migration.cpp
@@ -27,7 +27,7 @@
   observed_ = observation;
   if (observation.owner_has_quorum) {
     if (!held_since_)
-      held_since_ = observation.ownership.since > Micros(0) ? observation.ownership.since : now;
+      held_since_ = observation.ownership.granted_at > Micros(0) ? observation.ownership.granted_at : now;
     unheld_since_.reset();
   } else if (!observation.quorum_answers) {
     unheld_since_.reset();  // the owner's state is unknown, and no proposal could be made
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -23,9 +23,9 @@
     to.mutable_ballot()->set_by(entry.owned.ballot.proposer_id);
   }
   to.set_owner(entry.owned.owner);
-  if (entry.owned.since > Micros(0))
+  if (entry.owned.granted_at > Micros(0))
     to.set_age_ms(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(1, (now - entry.owned.since).count() / 1000)));
+        static_cast<std::uint64_t>(std::max<std::int64_t>(1, (now - entry.owned.granted_at).count() / 1000)));
   to.set_ok(entry.ok);
   to.set_active(entry.active);
 }
@@ -39,7 +39,7 @@
   to.owned.ballot = {known.ballot().counter(), known.ballot().region(), known.ballot().by()};
   to.owned.owner = known.owner();
   if (known.age_ms() > 0)
-    to.owned.since = std::max(Micros(1), now - std::chrono::milliseconds(known.age_ms()));
+    to.owned.granted_at = std::max(Micros(1), now - std::chrono::milliseconds(known.age_ms()));
   to.ok = known.ok();
   to.active = known.active();
   return true;
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -23,7 +23,7 @@
   entry.owned.ballot.proposer_region = 3;
   entry.owned.ballot.proposer_id = 0x6162636465666768;
   entry.owned.owner = 5;
-  entry.owned.since = now - age;
+  entry.owned.granted_at = now - age;
   entry.ok = true;
   return entry;
 }
@@ -45,7 +45,7 @@
   EXPECT_EQ(entry.owned.ballot.proposer_region, 3u);
   EXPECT_EQ(entry.owned.ballot.proposer_id, 0x6162636465666768u);
   EXPECT_EQ(entry.owned.owner, 5u);
-  EXPECT_EQ(entry.owned.since, now - age);
+  EXPECT_EQ(entry.owned.granted_at, now - age);
   EXPECT_TRUE(entry.ok);
   EXPECT_FALSE(entry.active);
 }
@@ -55,7 +55,7 @@
   EXPECT_EQ(entry.pool.cell, 1u);
   EXPECT_EQ(entry.owned.ballot, pools::Ballot{});
   EXPECT_EQ(entry.owned.owner, 7u);
-  EXPECT_EQ(entry.owned.since, Micros(0));
+  EXPECT_EQ(entry.owned.granted_at, Micros(0));
   EXPECT_FALSE(entry.ok);
   EXPECT_TRUE(entry.active);
 }
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -87,7 +87,7 @@
            rng() % 2 == 0,
            rng() % 2 == 0});
       if (moved)
-        grant.pools.back().owned.since = now - std::chrono::milliseconds(1 + rng() % 100000);
+        grant.pools.back().owned.granted_at = now - std::chrono::milliseconds(1 + rng() % 100000);
     }
     std::vector<wire::Entry> got;
     for (auto payload : wire::write(grant, 9, now)) {
@@ -118,8 +118,8 @@
     for (std::size_t i = 0; i < got.size(); ++i)
       ASSERT_TRUE(got[i].pool == grant.pools[i].pool && got[i].owned.ballot == grant.pools[i].owned.ballot &&
                   got[i].owned.owner == grant.pools[i].owned.owner &&
-                  got[i].owned.since == grant.pools[i].owned.since && got[i].ok == grant.pools[i].ok &&
-                  got[i].active == grant.pools[i].active);
+                  got[i].owned.granted_at == grant.pools[i].owned.granted_at &&
+                  got[i].ok == grant.pools[i].ok && got[i].active == grant.pools[i].active);
   }
 }
 
--- a/tests/pools/lease_world.h
+++ b/tests/pools/lease_world.h
@@ -122,7 +122,7 @@
     for (std::size_t k = 0; k < grantors_.size(); ++k)
       send(grantors_[k], [this, h, k, sent_at, known = holder.state.ownership()] {
         auto& grantor = grantors_[k];
-        // Clocks of two processes are not compared, so messages leave `since` out.
+        // Clocks of two processes are not compared, so messages leave `granted_at` out.
         const auto answer = grantor.state.request(
             pool, holders_[h].region, {known.ballot, known.owner, Micros(0)}, local(grantor.clock));
         digest_.add(now_, h, k, answer.granted, answer.granted_to_owner, answer.ownership.ballot.counter,
