--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -200,7 +200,7 @@
     }
     ++counts_.proposed;
     const auto& last = pool.holder.ownership().ballot;
-    const wire::Entry entry{
+    const wire::PoolEntry entry{
         name, {{last.counter + 1, *own_region_, process_id_}, *to, Micros(0)}, false, false};
     for (const auto& grantor : regions_[*own_region_].settings->grantors) {
       if (grantor == options_.name)
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t max_counter = std::uint64_t(1) << 62, max_age_ms = std::uint64_t(1) << 40;
 constexpr std::uint32_t max_milliwriters = 100'000'000;
 
-void to_proto(const Entry& entry, Micros now, v1::Known& to) {
+void to_proto(const PoolEntry& entry, Micros now, v1::Known& to) {
   to.set_site(entry.pool.site);
   to.set_cell(entry.pool.cell);
   if (entry.owned.ballot != Ballot{}) {
@@ -30,7 +30,7 @@
   to.set_active(entry.active);
 }
 
-bool from_proto(const v1::Known& known, std::size_t regions, Micros now, Entry& to) {
+bool from_proto(const v1::Known& known, std::size_t regions, Micros now, PoolEntry& to) {
   if (known.site().empty() || known.site().size() > max_name_bytes || known.cell() > 65535 ||
       known.owner() >= regions || known.ballot().region() >= regions ||
       known.ballot().counter() > max_counter || known.age_ms() > max_age_ms)
@@ -46,7 +46,7 @@
 }
 
 template <class KnownList>
-bool all_from_proto(const KnownList& all_known, std::size_t regions, Micros now, std::vector<Entry>& to) {
+bool all_from_proto(const KnownList& all_known, std::size_t regions, Micros now, std::vector<PoolEntry>& to) {
   for (const auto& known : all_known) {
     to.emplace_back();
     if (!from_proto(known, regions, now, to.back()))
@@ -58,7 +58,7 @@
 // Splits entries into payloads of at most peers::Outbox::max_payload_bytes bytes. `begin` writes the other
 // fields of a payload and returns the field that its entries are added to.
 template <class Begin>
-std::vector<std::string> split(const std::vector<Entry>& entries, std::uint64_t fingerprint, Micros now,
+std::vector<std::string> split(const std::vector<PoolEntry>& entries, std::uint64_t fingerprint, Micros now,
                                Begin begin) {
   std::vector<std::string> payloads;
   v1::Payload payload;
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -15,7 +15,7 @@
 namespace lemonroute::pools::wire {
 
 /// State of one pool.
-struct Entry {
+struct PoolEntry {
   PoolName pool;
   Ownership owned;  ///< its time is on this process's clock; the payload has it as an age
   /// Of an answer: `ok`: granted to the requesting region; `active`: the owner has a grant.
@@ -25,17 +25,17 @@
 struct Ask {
   std::uint64_t nonce = 0;  ///< the answer repeats it
   RegionId region = 0;      ///< region of the requesting router
-  std::vector<Entry> pools;
+  std::vector<PoolEntry> pools;
 };
 /// Answer of a grantor.
 struct Grant {
   std::uint64_t nonce = 0;  ///< of the request
   bool abstains = false;    ///< the grantor has started and grants nothing yet
-  std::vector<Entry> pools;
+  std::vector<PoolEntry> pools;
 };
 /// Proposal of a pool's next owner.
 struct Propose {
-  Entry pool;
+  PoolEntry pool;
 };
 /// The content of a payload.
 using Message = std::variant<Ask, Grant, Propose, DemandReport>;
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -15,8 +15,8 @@
 constexpr Micros now = std::chrono::hours(5);
 constexpr Micros age = std::chrono::milliseconds(61'234);
 
-wire::Entry moved_pool() {
-  wire::Entry entry;
+wire::PoolEntry moved_pool() {
+  wire::PoolEntry entry;
   entry.pool.site = "nord";
   entry.pool.cell = 513;
   entry.owned.ballot.counter = 70'001;
@@ -29,8 +29,8 @@
 }
 
 // A pool that has never moved has no ballot and no age.
-wire::Entry unmoved_pool() {
-  wire::Entry entry;
+wire::PoolEntry unmoved_pool() {
+  wire::PoolEntry entry;
   entry.pool.site = "sud/2";
   entry.pool.cell = 1;
   entry.owned.owner = 7;
@@ -38,7 +38,7 @@
   return entry;
 }
 
-void expect_moved_pool(const wire::Entry& entry) {
+void expect_moved_pool(const wire::PoolEntry& entry) {
   EXPECT_EQ(entry.pool.site, "nord");
   EXPECT_EQ(entry.pool.cell, 513u);
   EXPECT_EQ(entry.owned.ballot.counter, 70'001u);
@@ -50,7 +50,7 @@
   EXPECT_FALSE(entry.active);
 }
 
-void expect_unmoved_pool(const wire::Entry& entry) {
+void expect_unmoved_pool(const wire::PoolEntry& entry) {
   EXPECT_EQ(entry.pool.site, "sud/2");
   EXPECT_EQ(entry.pool.cell, 1u);
   EXPECT_EQ(entry.owned.ballot, pools::Ballot{});
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -89,7 +89,7 @@
       if (moved)
         grant.pools.back().owned.granted_at = now - std::chrono::milliseconds(1 + rng() % 100000);
     }
-    std::vector<wire::Entry> got;
+    std::vector<wire::PoolEntry> got;
     for (auto payload : wire::write(grant, 9, now)) {
       ASSERT_LE(payload.size(), peers::Outbox::max_payload_bytes);
       const auto read = wire::read(payload, 9, 4, now);
