--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -27,7 +27,7 @@
   for (const auto& entry : ask.pools) {
     if (!is_grantor_of(entry.pool))
       continue;
-    const auto answer = grantor_->request(entry.pool, ask.region, entry.owned, now);
+    const auto answer = grantor_->request(entry.pool, ask.region, entry.ownership, now);
     grant.pools.push_back({entry.pool, answer.ownership, answer.granted, answer.granted_to_owner});
     grant.abstains = grantor_->abstains(now);
   }
@@ -45,7 +45,8 @@
     const auto found = pools_.find(entry.pool);
     if (found == pools_.end())
       continue;
-    found->second.holder.on_answer(std::string(from), *sent_at, {entry.owned, entry.ok, entry.active}, now);
+    found->second.holder.on_answer(std::string(from), *sent_at, {entry.ownership, entry.ok, entry.active},
+                                   now);
     update_migration(found->second, now);
   }
 }
@@ -57,9 +58,9 @@
     return;
   }
   if (is_grantor_of(propose.pool.pool))
-    grantor_->learn(propose.pool.pool, propose.pool.owned);
+    grantor_->learn(propose.pool.pool, propose.pool.ownership);
   if (const auto found = pools_.find(propose.pool.pool); found != pools_.end()) {
-    found->second.holder.learn(propose.pool.owned);
+    found->second.holder.learn(propose.pool.ownership);
     update_migration(found->second, now);
   }
 }
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -118,8 +118,8 @@
         for (auto& entry : ask.pools)
           if (is_grantor_of(entry.pool))
             pools_.at(entry.pool)
-                .holder.on_answer(grantor, now, grantor_->request(entry.pool, *own_region_, entry.owned, now),
-                                  now);
+                .holder.on_answer(grantor, now,
+                                  grantor_->request(entry.pool, *own_region_, entry.ownership, now), now);
         continue;
       }
       ask.nonce = sent_requests_.add(grantor, now);
@@ -204,13 +204,13 @@
         name, {{last.counter + 1, *own_region_, process_id_}, *to, Micros(0)}, false, false};
     for (const auto& grantor : regions_[*own_region_].settings->grantors) {
       if (grantor == options_.name)
-        grantor_->learn(name, entry.owned);
+        grantor_->learn(name, entry.ownership);
       else
         for (auto& payload : wire::write(wire::Propose{entry}, fingerprint_, now))
           out.send(topic(), grantor, std::move(payload));
     }
     // This router stops sending to the pool at once, before any grantor answers.
-    pool.holder.learn(entry.owned);
+    pool.holder.learn(entry.ownership);
     update_migration(pool, now);
   }
 }
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -17,15 +17,15 @@
 void to_proto(const PoolEntry& entry, Micros now, v1::Known& to) {
   to.set_site(entry.pool.site);
   to.set_cell(entry.pool.cell);
-  if (entry.owned.ballot != Ballot{}) {
-    to.mutable_ballot()->set_counter(entry.owned.ballot.counter);
-    to.mutable_ballot()->set_region(entry.owned.ballot.proposer_region);
-    to.mutable_ballot()->set_by(entry.owned.ballot.proposer_id);
+  if (entry.ownership.ballot != Ballot{}) {
+    to.mutable_ballot()->set_counter(entry.ownership.ballot.counter);
+    to.mutable_ballot()->set_region(entry.ownership.ballot.proposer_region);
+    to.mutable_ballot()->set_by(entry.ownership.ballot.proposer_id);
   }
-  to.set_owner(entry.owned.owner);
-  if (entry.owned.granted_at > Micros(0))
-    to.set_age_ms(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(1, (now - entry.owned.granted_at).count() / 1000)));
+  to.set_owner(entry.ownership.owner);
+  if (entry.ownership.granted_at > Micros(0))
+    to.set_age_ms(static_cast<std::uint64_t>(
+        std::max<std::int64_t>(1, (now - entry.ownership.granted_at).count() / 1000)));
   to.set_ok(entry.ok);
   to.set_active(entry.active);
 }
@@ -36,10 +36,10 @@
       known.ballot().counter() > max_counter || known.age_ms() > max_age_ms)
     return false;
   to.pool = {known.site(), known.cell()};
-  to.owned.ballot = {known.ballot().counter(), known.ballot().region(), known.ballot().by()};
-  to.owned.owner = known.owner();
+  to.ownership.ballot = {known.ballot().counter(), known.ballot().region(), known.ballot().by()};
+  to.ownership.owner = known.owner();
   if (known.age_ms() > 0)
-    to.owned.granted_at = std::max(Micros(1), now - std::chrono::milliseconds(known.age_ms()));
+    to.ownership.granted_at = std::max(Micros(1), now - std::chrono::milliseconds(known.age_ms()));
   to.ok = known.ok();
   to.active = known.active();
   return true;
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -17,7 +17,7 @@
 /// State of one pool.
 struct PoolEntry {
   PoolName pool;
-  Ownership owned;  ///< its time is on this process's clock; the payload has it as an age
+  Ownership ownership;  ///< its time is on this process's clock; the payload has it as an age
   /// Of an answer: `ok`: granted to the requesting region; `active`: the owner has a grant.
   bool ok = false, active = false;
 };
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -19,11 +19,11 @@
   wire::PoolEntry entry;
   entry.pool.site = "nord";
   entry.pool.cell = 513;
-  entry.owned.ballot.counter = 70'001;
-  entry.owned.ballot.proposer_region = 3;
-  entry.owned.ballot.proposer_id = 0x6162636465666768;
-  entry.owned.owner = 5;
-  entry.owned.granted_at = now - age;
+  entry.ownership.ballot.counter = 70'001;
+  entry.ownership.ballot.proposer_region = 3;
+  entry.ownership.ballot.proposer_id = 0x6162636465666768;
+  entry.ownership.owner = 5;
+  entry.ownership.granted_at = now - age;
   entry.ok = true;
   return entry;
 }
@@ -33,7 +33,7 @@
   wire::PoolEntry entry;
   entry.pool.site = "sud/2";
   entry.pool.cell = 1;
-  entry.owned.owner = 7;
+  entry.ownership.owner = 7;
   entry.active = true;
   return entry;
 }
@@ -41,11 +41,11 @@
 void expect_moved_pool(const wire::PoolEntry& entry) {
   EXPECT_EQ(entry.pool.site, "nord");
   EXPECT_EQ(entry.pool.cell, 513u);
-  EXPECT_EQ(entry.owned.ballot.counter, 70'001u);
-  EXPECT_EQ(entry.owned.ballot.proposer_region, 3u);
-  EXPECT_EQ(entry.owned.ballot.proposer_id, 0x6162636465666768u);
-  EXPECT_EQ(entry.owned.owner, 5u);
-  EXPECT_EQ(entry.owned.granted_at, now - age);
+  EXPECT_EQ(entry.ownership.ballot.counter, 70'001u);
+  EXPECT_EQ(entry.ownership.ballot.proposer_region, 3u);
+  EXPECT_EQ(entry.ownership.ballot.proposer_id, 0x6162636465666768u);
+  EXPECT_EQ(entry.ownership.owner, 5u);
+  EXPECT_EQ(entry.ownership.granted_at, now - age);
   EXPECT_TRUE(entry.ok);
   EXPECT_FALSE(entry.active);
 }
@@ -53,9 +53,9 @@
 void expect_unmoved_pool(const wire::PoolEntry& entry) {
   EXPECT_EQ(entry.pool.site, "sud/2");
   EXPECT_EQ(entry.pool.cell, 1u);
-  EXPECT_EQ(entry.owned.ballot, pools::Ballot{});
-  EXPECT_EQ(entry.owned.owner, 7u);
-  EXPECT_EQ(entry.owned.granted_at, Micros(0));
+  EXPECT_EQ(entry.ownership.ballot, pools::Ballot{});
+  EXPECT_EQ(entry.ownership.owner, 7u);
+  EXPECT_EQ(entry.ownership.granted_at, Micros(0));
   EXPECT_FALSE(entry.ok);
   EXPECT_TRUE(entry.active);
 }
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -87,7 +87,7 @@
            rng() % 2 == 0,
            rng() % 2 == 0});
       if (moved)
-        grant.pools.back().owned.granted_at = now - std::chrono::milliseconds(1 + rng() % 100000);
+        grant.pools.back().ownership.granted_at = now - std::chrono::milliseconds(1 + rng() % 100000);
     }
     std::vector<wire::PoolEntry> got;
     for (auto payload : wire::write(grant, 9, now)) {
@@ -111,14 +111,15 @@
         if (!some)
           continue;
         for (const auto& entry : some->pools)
-          ASSERT_TRUE(entry.owned.owner < 4 && entry.pool.site.size() <= max_name_bytes);
+          ASSERT_TRUE(entry.ownership.owner < 4 && entry.pool.site.size() <= max_name_bytes);
       }
     }
     ASSERT_EQ(got.size(), grant.pools.size());
     for (std::size_t i = 0; i < got.size(); ++i)
-      ASSERT_TRUE(got[i].pool == grant.pools[i].pool && got[i].owned.ballot == grant.pools[i].owned.ballot &&
-                  got[i].owned.owner == grant.pools[i].owned.owner &&
-                  got[i].owned.granted_at == grant.pools[i].owned.granted_at &&
+      ASSERT_TRUE(got[i].pool == grant.pools[i].pool &&
+                  got[i].ownership.ballot == grant.pools[i].ownership.ballot &&
+                  got[i].ownership.owner == grant.pools[i].ownership.owner &&
+                  got[i].ownership.granted_at == grant.pools[i].ownership.granted_at &&
                   got[i].ok == grant.pools[i].ok && got[i].active == grant.pools[i].active);
   }
 }
