--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -45,8 +45,8 @@
     const auto found = pools_.find(entry.pool);
     if (found == pools_.end())
       continue;
-    found->second.holder.on_answer(std::string(from), *sent_at, {entry.ownership, entry.ok, entry.active},
-                                   now);
+    found->second.holder.on_answer(std::string(from), *sent_at,
+                                   {entry.ownership, entry.granted, entry.active}, now);
     update_migration(found->second, now);
   }
 }
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -24,7 +24,7 @@
   entry.ownership.ballot.proposer_id = 0x6162636465666768;
   entry.ownership.owner = 5;
   entry.ownership.granted_at = now - age;
-  entry.ok = true;
+  entry.granted = true;
   return entry;
 }
 
@@ -46,7 +46,7 @@
   EXPECT_EQ(entry.ownership.ballot.proposer_id, 0x6162636465666768u);
   EXPECT_EQ(entry.ownership.owner, 5u);
   EXPECT_EQ(entry.ownership.granted_at, now - age);
-  EXPECT_TRUE(entry.ok);
+  EXPECT_TRUE(entry.granted);
   EXPECT_FALSE(entry.active);
 }
 
@@ -56,7 +56,7 @@
   EXPECT_EQ(entry.ownership.ballot, pools::Ballot{});
   EXPECT_EQ(entry.ownership.owner, 7u);
   EXPECT_EQ(entry.ownership.granted_at, Micros(0));
-  EXPECT_FALSE(entry.ok);
+  EXPECT_FALSE(entry.granted);
   EXPECT_TRUE(entry.active);
 }
 
