--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -46,7 +46,7 @@
     if (found == pools_.end())
       continue;
     found->second.holder.on_answer(std::string(from), *sent_at,
-                                   {entry.ownership, entry.granted, entry.active}, now);
+                                   {entry.ownership, entry.granted, entry.granted_to_owner}, now);
     update_migration(found->second, now);
   }
 }
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -27,7 +27,7 @@
     to.set_age_ms(static_cast<std::uint64_t>(
         std::max<std::int64_t>(1, (now - entry.ownership.granted_at).count() / 1000)));
   to.set_ok(entry.granted);
-  to.set_active(entry.active);
+  to.set_active(entry.granted_to_owner);
 }
 
 bool from_proto(const v1::Known& known, std::size_t regions, Micros now, PoolEntry& to) {
@@ -41,7 +41,7 @@
   if (known.age_ms() > 0)
     to.ownership.granted_at = std::max(Micros(1), now - std::chrono::milliseconds(known.age_ms()));
   to.granted = known.ok();
-  to.active = known.active();
+  to.granted_to_owner = known.active();
   return true;
 }
 
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -18,8 +18,8 @@
 struct PoolEntry {
   PoolName pool;
   Ownership ownership;  ///< its time is on this process's clock; the payload has it as an age
-  /// Of an answer: `granted`: granted to the requesting region; `active`: the owner has a grant.
-  bool granted = false, active = false;
+  /// Of an answer: `granted`: granted to the requesting region; `granted_to_owner`: the owner has a grant.
+  bool granted = false, granted_to_owner = false;
 };
 /// Request of a router for leases.
 struct Ask {
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -34,7 +34,7 @@
   entry.pool.site = "sud/2";
   entry.pool.cell = 1;
   entry.ownership.owner = 7;
-  entry.active = true;
+  entry.granted_to_owner = true;
   return entry;
 }
 
@@ -47,7 +47,7 @@
   EXPECT_EQ(entry.ownership.owner, 5u);
   EXPECT_EQ(entry.ownership.granted_at, now - age);
   EXPECT_TRUE(entry.granted);
-  EXPECT_FALSE(entry.active);
+  EXPECT_FALSE(entry.granted_to_owner);
 }
 
 void expect_unmoved_pool(const wire::PoolEntry& entry) {
@@ -57,7 +57,7 @@
   EXPECT_EQ(entry.ownership.owner, 7u);
   EXPECT_EQ(entry.ownership.granted_at, Micros(0));
   EXPECT_FALSE(entry.granted);
-  EXPECT_TRUE(entry.active);
+  EXPECT_TRUE(entry.granted_to_owner);
 }
 
 // The message of a fixture, or one with no field set and a failure where it is of another kind.
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -120,7 +120,8 @@
                   got[i].ownership.ballot == grant.pools[i].ownership.ballot &&
                   got[i].ownership.owner == grant.pools[i].ownership.owner &&
                   got[i].ownership.granted_at == grant.pools[i].ownership.granted_at &&
-                  got[i].granted == grant.pools[i].granted && got[i].active == grant.pools[i].active);
+                  got[i].granted == grant.pools[i].granted &&
+                  got[i].granted_to_owner == grant.pools[i].granted_to_owner);
   }
 }
 
