--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -80,7 +80,7 @@
   bool is_planner() const;  // this router proposes for its region
   void request_leases(Micros now, peers::Outbox& out);
   void send_demand(Micros now, peers::Outbox& out);
-  void handle(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::LeaseRequest& ask, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const DemandReport& report, std::string_view from, Micros now, peers::Outbox& out);
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -16,7 +16,8 @@
   update_snapshot(now);
 }
 
-void PoolsExtension::handle(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out) {
+void PoolsExtension::handle(const wire::LeaseRequest& ask, std::string_view from, Micros now,
+                            peers::Outbox& out) {
   // A router may request leases only for its own region. A router that the view does not have yet requests
   // them again later.
   if (region_of_member(from) != ask.region) {
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -107,7 +107,7 @@
   if (!own_region_)
     return;  // a router outside of all regions holds no leases
   for (RegionId home = 0; home < regions_.size(); ++home) {
-    wire::Ask ask{0, *own_region_, {}};
+    wire::LeaseRequest ask{0, *own_region_, {}};
     for (const auto& [name, pool] : pools_)
       if (pool.holder.home() == home)
         ask.pools.push_back({name, pool.holder.ownership(), false, false});
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -103,7 +103,7 @@
     return {std::nullopt, Fault::mark};
   switch (payload.what_case()) {
     case v1::Payload::kAsk: {
-      Ask ask{payload.ask().nonce(), payload.ask().region(), {}};
+      LeaseRequest ask{payload.ask().nonce(), payload.ask().region(), {}};
       if (ask.region < regions && all_from_proto(payload.ask().pools(), regions, now, ask.pools))
         return {std::move(ask)};
       break;
@@ -133,7 +133,7 @@
 }
 
 std::vector<std::string> write(const Message& message, std::uint64_t fingerprint, Micros now) {
-  if (const auto* ask = std::get_if<Ask>(&message))
+  if (const auto* ask = std::get_if<LeaseRequest>(&message))
     return split(ask->pools, fingerprint, now, [ask](v1::Payload& payload) {
       payload.mutable_ask()->set_nonce(ask->nonce);
       payload.mutable_ask()->set_region(ask->region);
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -22,7 +22,7 @@
   bool granted = false, granted_to_owner = false;
 };
 /// Request of a router for leases.
-struct Ask {
+struct LeaseRequest {
   std::uint64_t nonce = 0;  ///< the answer repeats it
   RegionId region = 0;      ///< region of the requesting router
   std::vector<PoolEntry> pools;
@@ -38,7 +38,7 @@
   PoolEntry pool;
 };
 /// The content of a payload.
-using Message = std::variant<Ask, Grant, Propose, DemandReport>;
+using Message = std::variant<LeaseRequest, Grant, Propose, DemandReport>;
 
 /// Why a payload was rejected.
 enum class Fault : std::uint8_t {
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -76,7 +76,7 @@
 }
 
 TEST(Formats, ReadsBackAnAskForPools) {
-  const auto ask = message_of<wire::Ask>("pools_ask.hex");
+  const auto ask = message_of<wire::LeaseRequest>("pools_ask.hex");
 
   EXPECT_EQ(ask.nonce, 0x7172737475767778u);
   EXPECT_EQ(ask.region, 4u);
@@ -86,7 +86,7 @@
 }
 
 TEST(Formats, WritesAnAskForPoolsAsBefore) {
-  wire::Ask ask;
+  wire::LeaseRequest ask;
   ask.nonce = 0x7172737475767778;
   ask.region = 4;
   ask.pools = {moved_pool(), unmoved_pool()};
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -218,8 +218,9 @@
   world.run(5s);
   auto& one = *world.processes[0];
   const auto snapshot = one.extension->lease_snapshot();
-  const std::string ask = wire::write(wire::Ask{1, 1, {{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}},
-                                      world.settings.fingerprint() + 1, one.local())[0];
+  const std::string ask =
+      wire::write(wire::LeaseRequest{1, 1, {{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}},
+                  world.settings.fingerprint() + 1, one.local())[0];
   one.extension->receive(one.local(), "south0", ask, one);
   one.extension->receive(one.local(), "south0", "\xff\xff", one);
   const auto counts = one.extension->describe(one.local())["counts"];
@@ -229,7 +230,8 @@
   const auto fingerprint = world.settings.fingerprint();
   one.extension->receive(
       one.local(), "south0",
-      wire::write(wire::Ask{1, 0, {{{"n", 1}, {}, false, false}}}, fingerprint, one.local())[0], one);
+      wire::write(wire::LeaseRequest{1, 0, {{{"n", 1}, {}, false, false}}}, fingerprint, one.local())[0],
+      one);
   one.extension->receive(one.local(), "south0",
                          wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}},
                                      fingerprint, one.local())[0],
