--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -81,7 +81,7 @@
   void request_leases(Micros now, peers::Outbox& out);
   void send_demand(Micros now, peers::Outbox& out);
   void handle(const wire::LeaseRequest& ask, std::string_view from, Micros now, peers::Outbox& out);
-  void handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::LeaseAnswer& grant, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const DemandReport& report, std::string_view from, Micros now, peers::Outbox& out);
   bool is_grantor_of(const PoolName& pool) const;
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -24,7 +24,7 @@
     ++counts_.wrong_region;
     return;
   }
-  wire::Grant grant{ask.nonce, false, {}};
+  wire::LeaseAnswer grant{ask.nonce, false, {}};
   for (const auto& entry : ask.pools) {
     if (!is_grantor_of(entry.pool))
       continue;
@@ -36,7 +36,8 @@
     out.send(topic(), from, std::move(payload));
 }
 
-void PoolsExtension::handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox&) {
+void PoolsExtension::handle(const wire::LeaseAnswer& grant, std::string_view from, Micros now,
+                            peers::Outbox&) {
   const auto sent_at = sent_requests_.sent_at(from, grant.nonce, now);
   if (!sent_at) {
     ++counts_.unsolicited;
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -109,7 +109,7 @@
       break;
     }
     case v1::Payload::kGrant: {
-      Grant grant{payload.grant().nonce(), payload.grant().abstains(), {}};
+      LeaseAnswer grant{payload.grant().nonce(), payload.grant().abstains(), {}};
       if (all_from_proto(payload.grant().pools(), regions, now, grant.pools))
         return {std::move(grant)};
       break;
@@ -139,7 +139,7 @@
       payload.mutable_ask()->set_region(ask->region);
       return payload.mutable_ask()->mutable_pools();
     });
-  if (const auto* grant = std::get_if<Grant>(&message))
+  if (const auto* grant = std::get_if<LeaseAnswer>(&message))
     return split(grant->pools, fingerprint, now, [grant](v1::Payload& payload) {
       payload.mutable_grant()->set_nonce(grant->nonce);
       payload.mutable_grant()->set_abstains(grant->abstains);
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -28,7 +28,7 @@
   std::vector<PoolEntry> pools;
 };
 /// Answer of a grantor.
-struct Grant {
+struct LeaseAnswer {
   std::uint64_t nonce = 0;  ///< of the request
   bool abstains = false;    ///< the grantor has started and grants nothing yet
   std::vector<PoolEntry> pools;
@@ -38,7 +38,7 @@
   PoolEntry pool;
 };
 /// The content of a payload.
-using Message = std::variant<LeaseRequest, Grant, Propose, DemandReport>;
+using Message = std::variant<LeaseRequest, LeaseAnswer, Propose, DemandReport>;
 
 /// Why a payload was rejected.
 enum class Fault : std::uint8_t {
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -95,7 +95,7 @@
 }
 
 TEST(Formats, ReadsBackAGrantOfPools) {
-  const auto grant = message_of<wire::Grant>("pools_grant.hex");
+  const auto grant = message_of<wire::LeaseAnswer>("pools_grant.hex");
 
   EXPECT_EQ(grant.nonce, 0x8182838485868788u);
   EXPECT_TRUE(grant.abstains);
@@ -105,7 +105,7 @@
 }
 
 TEST(Formats, WritesAGrantOfPoolsAsBefore) {
-  wire::Grant grant;
+  wire::LeaseAnswer grant;
   grant.nonce = 0x8182838485868788;
   grant.abstains = true;
   grant.pools = {unmoved_pool(), moved_pool()};
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -76,7 +76,7 @@
   std::mt19937_64 rng(3);
   const Micros now = std::chrono::hours(1000);
   for (int round = 0; round < 200; ++round) {
-    wire::Grant grant{rng(), rng() % 2 == 0, {}};
+    wire::LeaseAnswer grant{rng(), rng() % 2 == 0, {}};
     for (std::size_t i = 0; i < 1 + rng() % 120; ++i) {
       const std::uint64_t moved = rng() % 2;
       grant.pools.push_back(
@@ -94,7 +94,7 @@
       ASSERT_LE(payload.size(), peers::Outbox::max_payload_bytes);
       const auto read = wire::read(payload, 9, 4, now);
       ASSERT_TRUE(read.message);
-      const auto& one = std::get<wire::Grant>(*read.message);
+      const auto& one = std::get<wire::LeaseAnswer>(*read.message);
       EXPECT_EQ(one.nonce, grant.nonce);
       EXPECT_EQ(one.abstains, grant.abstains);
       got.insert(got.end(), one.pools.begin(), one.pools.end());
@@ -107,7 +107,7 @@
         const auto what = wire::read(bad, 9, 4, now);
         if (!what.message)
           continue;
-        const auto* some = std::get_if<wire::Grant>(&*what.message);
+        const auto* some = std::get_if<wire::LeaseAnswer>(&*what.message);
         if (!some)
           continue;
         for (const auto& entry : some->pools)
