--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -82,7 +82,7 @@
   void send_demand(Micros now, peers::Outbox& out);
   void handle(const wire::LeaseRequest& ask, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const wire::LeaseAnswer& grant, std::string_view from, Micros now, peers::Outbox& out);
-  void handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::Proposal& propose, std::string_view from, Micros now, peers::Outbox& out);
   void handle(const DemandReport& report, std::string_view from, Micros now, peers::Outbox& out);
   bool is_grantor_of(const PoolName& pool) const;
   void update_migration(Pool& pool, Micros now);
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -53,7 +53,8 @@
   }
 }
 
-void PoolsExtension::handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox&) {
+void PoolsExtension::handle(const wire::Proposal& propose, std::string_view from, Micros now,
+                            peers::Outbox&) {
   // Only routers of the home region propose migrations of a pool.
   if (!own_region_ || region_of_member(from) != own_region_) {
     ++counts_.wrong_region;
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -206,7 +206,7 @@
       if (grantor == options_.name)
         grantor_->learn(name, entry.ownership);
       else
-        for (auto& payload : wire::write(wire::Propose{entry}, fingerprint_, now))
+        for (auto& payload : wire::write(wire::Proposal{entry}, fingerprint_, now))
           out.send(topic(), grantor, std::move(payload));
     }
     // This router stops sending to the pool at once, before any grantor answers.
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -115,7 +115,7 @@
       break;
     }
     case v1::Payload::kPropose: {
-      Propose propose;
+      Proposal propose;
       if (from_proto(payload.propose().pool(), regions, now, propose.pool))
         return {std::move(propose)};
       break;
@@ -148,7 +148,7 @@
   v1::Payload payload;
   payload.set_version(format_version);
   payload.set_mark(fingerprint);
-  if (const auto* propose = std::get_if<Propose>(&message)) {
+  if (const auto* propose = std::get_if<Proposal>(&message)) {
     to_proto(propose->pool, now, *payload.mutable_propose()->mutable_pool());
   } else {
     const auto& report = std::get<DemandReport>(message);
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -34,11 +34,11 @@
   std::vector<PoolEntry> pools;
 };
 /// Proposal of a pool's next owner.
-struct Propose {
+struct Proposal {
   PoolEntry pool;
 };
 /// The content of a payload.
-using Message = std::variant<LeaseRequest, LeaseAnswer, Propose, DemandReport>;
+using Message = std::variant<LeaseRequest, LeaseAnswer, Proposal, DemandReport>;
 
 /// Why a payload was rejected.
 enum class Fault : std::uint8_t {
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -114,13 +114,13 @@
 }
 
 TEST(Formats, ReadsBackAProposedMoveOfAPool) {
-  const auto propose = message_of<wire::Propose>("pools_propose.hex");
+  const auto propose = message_of<wire::Proposal>("pools_propose.hex");
 
   expect_moved_pool(propose.pool);
 }
 
 TEST(Formats, WritesAProposedMoveOfAPoolAsBefore) {
-  wire::Propose propose;
+  wire::Proposal propose;
   propose.pool = moved_pool();
 
   expect_written(propose, "pools_propose.hex");
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -233,7 +233,7 @@
       wire::write(wire::LeaseRequest{1, 0, {{{"n", 1}, {}, false, false}}}, fingerprint, one.local())[0],
       one);
   one.extension->receive(one.local(), "south0",
-                         wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}},
+                         wire::write(wire::Proposal{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}},
                                      fingerprint, one.local())[0],
                          one);
   EXPECT_EQ(one.extension->describe(one.local())["counts"]["strangers"], 2);
