--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -92,7 +92,7 @@
 
 }  // namespace
 
-Read read(std::string_view bytes, std::uint64_t fingerprint, std::size_t regions, Micros now) {
+ReadResult read(std::string_view bytes, std::uint64_t fingerprint, std::size_t regions, Micros now) {
   v1::Payload payload;
   if (bytes.size() > peers::Outbox::max_payload_bytes ||
       !payload.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -48,13 +48,13 @@
   out_of_bounds     ///< a field is out of bounds
 };
 /// Result of reading a payload.
-struct Read {
+struct ReadResult {
   std::optional<Message> message;
   Fault fault = Fault::unreadable;  ///< valid if there is no message
 };
 /// Reads a payload. `fingerprint`: of this router's settings. `regions`: number of regions in them. Never
 /// throws.
-Read read(std::string_view bytes, std::uint64_t fingerprint, std::size_t regions, Micros now);
+ReadResult read(std::string_view bytes, std::uint64_t fingerprint, std::size_t regions, Micros now);
 
 /// Writes a message as one payload, or as several if its entries need them. Each payload has at most
 /// peers::Outbox::max_payload_bytes bytes.
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -63,7 +63,7 @@
 // The message of a fixture, or one with no field set and a failure where it is of another kind.
 template <class Kind>
 Kind message_of(const std::string& fixture) {
-  const wire::Read read = wire::read(binary_fixture(fixture), mark, regions, now);
+  const wire::ReadResult read = wire::read(binary_fixture(fixture), mark, regions, now);
   const Kind* message = read.message ? std::get_if<Kind>(&*read.message) : nullptr;
   EXPECT_NE(message, nullptr) << "fault " << static_cast<int>(read.fault);
   return message ? *message : Kind{};
@@ -145,7 +145,7 @@
 
 // Routers with other settings are not listened to.
 TEST(Formats, ReadsTheMarkOfTheSettingsBack) {
-  const wire::Read read = wire::read(binary_fixture("pools_demand.hex"), mark + 1, regions, now);
+  const wire::ReadResult read = wire::read(binary_fixture("pools_demand.hex"), mark + 1, regions, now);
 
   EXPECT_FALSE(read.message);
   EXPECT_EQ(read.fault, wire::Fault::mark);
