--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -96,11 +96,11 @@
   v1::Payload payload;
   if (bytes.size() > peers::Outbox::max_payload_bytes ||
       !payload.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-    return {std::nullopt, Fault::unreadable};
+    return {std::nullopt, ReadFault::unreadable};
   if (payload.version() != format_version)
-    return {std::nullopt, Fault::unknown_version};
+    return {std::nullopt, ReadFault::unknown_version};
   if (payload.mark() != fingerprint)
-    return {std::nullopt, Fault::mark};
+    return {std::nullopt, ReadFault::mark};
   switch (payload.what_case()) {
     case v1::Payload::kAsk: {
       LeaseRequest ask{payload.ask().nonce(), payload.ask().region(), {}};
@@ -127,9 +127,9 @@
       break;
     }
     case v1::Payload::WHAT_NOT_SET:
-      return {std::nullopt, Fault::unreadable};
+      return {std::nullopt, ReadFault::unreadable};
   }
-  return {std::nullopt, Fault::out_of_bounds};
+  return {std::nullopt, ReadFault::out_of_bounds};
 }
 
 std::vector<std::string> write(const Message& message, std::uint64_t fingerprint, Micros now) {
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -41,7 +41,7 @@
 using Message = std::variant<LeaseRequest, LeaseAnswer, Proposal, DemandReport>;
 
 /// Why a payload was rejected.
-enum class Fault : std::uint8_t {
+enum class ReadFault : std::uint8_t {
   unreadable,       ///< not a payload of pools
   unknown_version,  ///< unknown version of the format
   mark,             ///< the sender's settings differ
@@ -50,7 +50,7 @@
 /// Result of reading a payload.
 struct ReadResult {
   std::optional<Message> message;
-  Fault fault = Fault::unreadable;  ///< valid if there is no message
+  ReadFault fault = ReadFault::unreadable;  ///< valid if there is no message
 };
 /// Reads a payload. `fingerprint`: of this router's settings. `regions`: number of regions in them. Never
 /// throws.
