--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -9,7 +9,7 @@
 void PoolsExtension::receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) {
   const auto read = wire::read(bytes, fingerprint_, regions_.size(), now);
   if (!read.message) {
-    ++(read.fault == wire::ReadFault::mark ? counts_.other_settings : counts_.unreadable);
+    ++(read.fault == wire::ReadFault::settings_mismatch ? counts_.other_settings : counts_.unreadable);
     return;
   }
   std::visit([&](const auto& message) { handle(message, from, now, out); }, *read.message);
--- a/src/pools/wire/wire.cpp
+++ b/src/pools/wire/wire.cpp
@@ -100,7 +100,7 @@
   if (payload.version() != format_version)
     return {std::nullopt, ReadFault::unknown_version};
   if (payload.mark() != fingerprint)
-    return {std::nullopt, ReadFault::mark};
+    return {std::nullopt, ReadFault::settings_mismatch};
   switch (payload.what_case()) {
     case v1::Payload::kAsk: {
       LeaseRequest ask{payload.ask().nonce(), payload.ask().region(), {}};
--- a/src/pools/wire/wire.h
+++ b/src/pools/wire/wire.h
@@ -42,10 +42,10 @@
 
 /// Why a payload was rejected.
 enum class ReadFault : std::uint8_t {
-  unreadable,       ///< not a payload of pools
-  unknown_version,  ///< unknown version of the format
-  mark,             ///< the sender's settings differ
-  out_of_bounds     ///< a field is out of bounds
+  unreadable,         ///< not a payload of pools
+  unknown_version,    ///< unknown version of the format
+  settings_mismatch,  ///< the sender's settings differ
+  out_of_bounds       ///< a field is out of bounds
 };
 /// Result of reading a payload.
 struct ReadResult {
--- a/tests/formats/pools_test.cpp
+++ b/tests/formats/pools_test.cpp
@@ -148,7 +148,7 @@
   const wire::ReadResult read = wire::read(binary_fixture("pools_demand.hex"), mark + 1, regions, now);
 
   EXPECT_FALSE(read.message);
-  EXPECT_EQ(read.fault, wire::ReadFault::mark);
+  EXPECT_EQ(read.fault, wire::ReadFault::settings_mismatch);
 }
 
 }  // namespace
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -98,7 +98,7 @@
       EXPECT_EQ(one.nonce, grant.nonce);
       EXPECT_EQ(one.abstains, grant.abstains);
       got.insert(got.end(), one.pools.begin(), one.pools.end());
-      EXPECT_EQ(wire::read(payload, 8, 4, now).fault, wire::ReadFault::mark);
+      EXPECT_EQ(wire::read(payload, 8, 4, now).fault, wire::ReadFault::settings_mismatch);
       for (int damage = 0; damage < 20; ++damage) {
         auto bad = payload;
         bad[rng() % bad.size()] = static_cast<char>(rng());
