--- a/src/tiers/epoch/cache_epoch.cpp
+++ b/src/tiers/epoch/cache_epoch.cpp
@@ -11,16 +11,16 @@
 }
 }  // namespace
 
-Generation join(const Generation& a, const Generation& b) {
+CacheEpoch join(const CacheEpoch& a, const CacheEpoch& b) {
   if (a.start != b.start)
     return a.start > b.start ? a : b;
-  Generation joined{a.start, 0};
+  CacheEpoch joined{a.start, 0};
   for (unsigned i = 0; i < 4; ++i)
     joined.lanes |= std::max(loss_count(a.lanes, i), loss_count(b.lanes, i)) << (16 * i);
   return joined;
 }
 
-Generation after_loss(Generation epoch, unsigned counter) {
+CacheEpoch after_loss(CacheEpoch epoch, unsigned counter) {
   counter %= 4;
   if (loss_count(epoch.lanes, counter) < max_loss_count)
     epoch.lanes += std::uint64_t{1} << (16 * counter);
--- a/src/tiers/epoch/cache_epoch.h
+++ b/src/tiers/epoch/cache_epoch.h
@@ -11,18 +11,18 @@
 /// since that start, which are counted in four counters. Each site increments one of the counters, so two
 /// routers of one site that notice the same loss count it once, and two partitioned sites that each notice a
 /// loss produce an epoch that is later than both.
-struct Generation {
+struct CacheEpoch {
   std::uint64_t start = 0;  ///< start time of the device as listed, in Unix us; 0: earlier than any other
   std::uint64_t lanes = 0;  ///< four 16-bit loss counters
-  friend bool operator==(const Generation&, const Generation&) = default;
+  friend bool operator==(const CacheEpoch&, const CacheEpoch&) = default;
 };
 
 /// Returns the least epoch that is not earlier than either.
-Generation join(const Generation& a, const Generation& b);
+CacheEpoch join(const CacheEpoch& a, const CacheEpoch& b);
 /// Returns the epoch after one more loss in the given counter; a saturated counter stays as it is.
-Generation after_loss(Generation epoch, unsigned counter);
+CacheEpoch after_loss(CacheEpoch epoch, unsigned counter);
 /// Whether `a` is not earlier than `b`.
-inline bool covers(const Generation& a, const Generation& b) {
+inline bool covers(const CacheEpoch& a, const CacheEpoch& b) {
   return join(a, b) == a;
 }
 
--- a/src/tiers/epoch/epoch_table.cpp
+++ b/src/tiers/epoch/epoch_table.cpp
@@ -31,7 +31,7 @@
   return &devices_[device];
 }
 
-bool EpochTable::advance(NameId device, DeviceState& state, const Generation& epoch, Micros now) {
+bool EpochTable::advance(NameId device, DeviceState& state, const CacheEpoch& epoch, Micros now) {
   if (epoch == state.epoch)
     return false;
   digest_ ^= hasher_.mix(device, hasher_.mix(state.epoch.start, state.epoch.lanes)) ^
@@ -60,7 +60,7 @@
   if (start <= state->epoch.start)
     return later && start < state->epoch.start &&
            advance(device, *state, after_loss(state->epoch, loss_counter_), now);
-  return advance(device, *state, Generation{start, 0}, now);
+  return advance(device, *state, CacheEpoch{start, 0}, now);
 }
 
 bool EpochTable::record_loss(NameId device, Micros now) {
@@ -70,7 +70,7 @@
   return advance(device, *state, after_loss(state->epoch, loss_counter_), now);
 }
 
-bool EpochTable::merge_report(NameId device, const Generation& epoch, Micros now) {
+bool EpochTable::merge_report(NameId device, const CacheEpoch& epoch, Micros now) {
   if (!has_updates_)
     first_update_at_ = now, has_updates_ = true;
   auto* state = find_or_add(device, false);
@@ -98,11 +98,11 @@
   ++counts_.invalidations;
 }
 
-const Generation* EpochTable::find(NameId device) const {
+const CacheEpoch* EpochTable::find(NameId device) const {
   const auto found = devices_.find(device);
   return found == devices_.end() ? nullptr : &found->second.epoch;
 }
-bool EpochTable::is_current(NameId device, const Generation& epoch) const {
+bool EpochTable::is_current(NameId device, const CacheEpoch& epoch) const {
   const auto* state = find(device);
   return state && *state == epoch;
 }
@@ -122,14 +122,14 @@
   suspicious_until_ = now + suspicion_period;
 }
 
-std::vector<std::pair<NameId, Generation>> EpochTable::slice(NameId& cursor, std::size_t max_count) const {
-  std::vector<std::pair<NameId, Generation>> epochs;
+std::vector<std::pair<NameId, CacheEpoch>> EpochTable::slice(NameId& cursor, std::size_t max_count) const {
+  std::vector<std::pair<NameId, CacheEpoch>> epochs;
   epochs.reserve(devices_.size());
   for (const auto& [device, state] : devices_)
     epochs.emplace_back(device, state.epoch);
   const auto by_name = [](const auto& a, const auto& b) { return a.first < b.first; };
   std::sort(epochs.begin(), epochs.end(), by_name);
-  const auto from = std::upper_bound(epochs.begin(), epochs.end(), std::pair(cursor, Generation{}), by_name);
+  const auto from = std::upper_bound(epochs.begin(), epochs.end(), std::pair(cursor, CacheEpoch{}), by_name);
   std::rotate(epochs.begin(), from, epochs.end());
   if (epochs.size() > max_count)
     epochs.resize(max_count);
--- a/src/tiers/epoch/epoch_table.h
+++ b/src/tiers/epoch/epoch_table.h
@@ -25,15 +25,15 @@
   /// loss. Returns whether the epoch advanced.
   bool record_loss(NameId device, Micros now);
   /// Merges an epoch reported by a peer. Returns whether the epoch advanced.
-  bool merge_report(NameId device, const Generation& epoch, Micros now);
+  bool merge_report(NameId device, const CacheEpoch& epoch, Micros now);
   /// Marks all devices as unlisted, before a full list is applied.
   void unlist_all();
 
   /// Returns nullptr for an unknown device.
-  const Generation* find(NameId device) const;
+  const CacheEpoch* find(NameId device) const;
   /// Whether a sighting from this epoch is valid. An epoch later than the known one is not: only a router
   /// that lists a device can give hints for it, and it learns of the epoch together with the hint.
-  bool is_current(NameId device, const Generation& epoch) const;
+  bool is_current(NameId device, const CacheEpoch& epoch) const;
 
   /// When the core last had to drop its own estimates for the device because peers reported a loss; 0: never.
   /// To limit the damage by a lying peer with a valid key, a device is invalidated at most once in 10 s, all
@@ -50,7 +50,7 @@
   /// Number of known devices.
   std::size_t size() const { return devices_.size(); }
   /// Returns up to `max_count` epochs after `cursor`, wrapping around, and advances the cursor.
-  std::vector<std::pair<NameId, Generation>> slice(NameId& cursor, std::size_t max_count) const;
+  std::vector<std::pair<NameId, CacheEpoch>> slice(NameId& cursor, std::size_t max_count) const;
 
   /// Counters since the start of the process.
   struct Counts {
@@ -65,12 +65,12 @@
 
  private:
   struct DeviceState {
-    Generation epoch;
+    CacheEpoch epoch;
     std::optional<std::uint64_t> listed_start;  // none: not in the current list
     Micros advanced_at{}, invalidated_at{};
   };
   DeviceState* find_or_add(NameId device, bool listed);
-  bool advance(NameId device, DeviceState& state, const Generation& epoch, Micros now);
+  bool advance(NameId device, DeviceState& state, const CacheEpoch& epoch, Micros now);
   void invalidate(DeviceState& state, Micros now);
   IdHasher hasher_;
   unsigned loss_counter_;
--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -105,7 +105,7 @@
   Line cache_entry{key, 0, {}};
   if (const auto* vote_set = vote_table_.find(key)) {
     const SelectionContext context{
-        [&](NameId device, const Generation& epoch) { return state_.epochs.is_current(device, epoch); },
+        [&](NameId device, const CacheEpoch& epoch) { return state_.epochs.is_current(device, epoch); },
         [&](NameId contributor) { return state_.trust_in(contributor, now); }, now,
         state_.options.limits.fade};
     cache_entry.holders = select_holders(*vote_set, advertised_.holders(key), context);
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -187,7 +187,7 @@
 }
 
 void TiersExtension::send_epochs(std::string_view to,
-                                 const std::vector<std::pair<NameId, Generation>>& epochs,
+                                 const std::vector<std::pair<NameId, CacheEpoch>>& epochs,
                                  peers::Outbox& out) {
   Packer packer(Kind::generations, Tier::site, {});
   for (const auto& [device, epoch] : epochs)
@@ -203,7 +203,7 @@
   epoch_budget_.refill(now);
   if (epoch_budget_.remaining() <= 0)
     return;
-  std::vector<std::pair<NameId, Generation>> epochs;
+  std::vector<std::pair<NameId, CacheEpoch>> epochs;
   for (const auto device : gossip_.take_round(max_epochs_per_payload))
     if (const auto* epoch = state_.epochs.find(device))
       epochs.emplace_back(device, *epoch);
@@ -262,7 +262,7 @@
   if (now - swept_at_ >= seconds(1)) {
     swept_at_ = now;
     device_tier_.expire(
-        [&](NameId device, const Generation& epoch) {
+        [&](NameId device, const CacheEpoch& epoch) {
           return state_.epochs.is_current(device, epoch) || state_.epochs.recently_invalidated(device, now);
         },
         now);
--- a/src/tiers/extension.h
+++ b/src/tiers/extension.h
@@ -52,7 +52,7 @@
   void merge_epochs(const Payload& payload, Micros now);
   void gossip_epochs(Micros now, peers::Outbox& out);
   void send_digest(Micros now, peers::Outbox& out);
-  void send_epochs(std::string_view to, const std::vector<std::pair<NameId, Generation>>& epochs,
+  void send_epochs(std::string_view to, const std::vector<std::pair<NameId, CacheEpoch>>& epochs,
                    peers::Outbox& out);
   void send_votes(Micros now, peers::Outbox& out);
   void request_entries(Micros now, peers::Outbox& out);
--- a/src/tiers/merge/holder_selection.h
+++ b/src/tiers/merge/holder_selection.h
@@ -12,7 +12,7 @@
 /// A device that holds a key's KV cache, as advertised to other routers.
 struct Shown {
   NameId device = 0;            ///< the device
-  Generation generation{};      ///< its cache epoch when the key was seen there
+  CacheEpoch generation{};      ///< its cache epoch when the key was seen there
   std::uint32_t tokens = 0;     ///< cached tokens, from the beginning of the prompt
   std::uint8_t confidence = 0;  ///< 255: certain
   Micros seen{};                ///< last sighting, on this router's clock
@@ -23,7 +23,7 @@
 /// What this router knows about the validity of votes.
 struct SelectionContext {
   /// Whether a sighting from this epoch is valid.
-  std::function<bool(NameId device, const Generation&)> is_current;
+  std::function<bool(NameId device, const CacheEpoch&)> is_current;
   std::function<double(NameId contributor)> trust;  ///< 0 to 1
   Micros now{};                                     ///< the current time
   Micros half_life{};                               ///< half-life of the confidence
--- a/src/tiers/merge/vote_set.h
+++ b/src/tiers/merge/vote_set.h
@@ -13,7 +13,7 @@
 /// A device that, according to a contributor, holds a key's KV cache.
 struct Holder {
   NameId device = 0;            ///< the device
-  Generation epoch{};           ///< its cache epoch when the key was seen there
+  CacheEpoch epoch{};           ///< its cache epoch when the key was seen there
   std::uint32_t tokens = 0;     ///< cached tokens, from the beginning of the prompt
   std::uint8_t confidence = 0;  ///< 255: the contributor is certain
   Micros seen_at{};             ///< last sighting, on this router's clock
--- a/src/tiers/store/device_tier.cpp
+++ b/src/tiers/store/device_tier.cpp
@@ -14,7 +14,7 @@
   return static_cast<std::uint8_t>(std::clamp(8 * std::log2(1 + std::max(0.0, tokens)), 0.0, 255.0));
 }
 
-void DeviceTier::record_cached(KeyId key, NameId device, const Generation& epoch, std::uint32_t tokens,
+void DeviceTier::record_cached(KeyId key, NameId device, const CacheEpoch& epoch, std::uint32_t tokens,
                                Micros now) {
   if (tokens == 0)
     return;
@@ -84,7 +84,7 @@
   entry.queued = true;
 }
 
-void DeviceTier::expire(const std::function<bool(NameId, const Generation&)>& is_current, Micros now) {
+void DeviceTier::expire(const std::function<bool(NameId, const CacheEpoch&)>& is_current, Micros now) {
   if (now - halved_at_ >= limits_.fade) {
     heavy_hitters_.halve();
     halved_at_ = now;
--- a/src/tiers/store/device_tier.h
+++ b/src/tiers/store/device_tier.h
@@ -18,14 +18,14 @@
   explicit DeviceTier(const Limits& limits) : limits_(limits), heavy_hitters_(limits.device_keys) {}
 
   /// Records a successful prefill: the device now caches this many tokens of the key.
-  void record_cached(KeyId key, NameId device, const Generation& epoch, std::uint32_t tokens, Micros now);
+  void record_cached(KeyId key, NameId device, const CacheEpoch& epoch, std::uint32_t tokens, Micros now);
   /// Records the cached tokens that the node counted at the start of a prefill. Removes the sighting if they
   /// are less than half of what it says.
   void record_hit(KeyId key, NameId device, std::uint32_t tokens, Micros now);
   /// Returns the sighting of the key at the device, or nullptr.
   const Holder* find(KeyId key, NameId device) const;
   /// Removes sightings that are too old or whose epoch is not current.
-  void expire(const std::function<bool(NameId, const Generation&)>& is_current, Micros now);
+  void expire(const std::function<bool(NameId, const CacheEpoch&)>& is_current, Micros now);
 
   /// Returns up to `max_count` keys to report now: new and changed ones in order, then those due for a
   /// refresh. Marks them as sent.
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -50,7 +50,7 @@
   for (const auto& device : message.devices()) {
     if (device.name() == 0 || device.start() >= year_2100)
       return reject("device");
-    payload.devices.emplace_back(device.name(), Generation{device.start(), device.lanes()});
+    payload.devices.emplace_back(device.name(), CacheEpoch{device.start(), device.lanes()});
   }
   const int max_holders_per_entry = payload.kind == Kind::votes ? 2 : max_holders;
   for (const auto& row : message.rows()) {
@@ -100,7 +100,7 @@
 Packer::Packer(Packer&&) noexcept = default;
 Packer& Packer::operator=(Packer&&) noexcept = default;
 
-bool Packer::add(NameId device, const Generation& epoch) {
+bool Packer::add(NameId device, const CacheEpoch& epoch) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (devices.count(device))
     return true;
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -29,7 +29,7 @@
   Kind kind = Kind::generations;                       ///< its kind
   Tier tier = Tier::site;                              ///< the tier it belongs to
   Stamp stamp;                                         ///< orders votes
-  std::vector<std::pair<NameId, Generation>> devices;  ///< devices with their cache epochs
+  std::vector<std::pair<NameId, CacheEpoch>> devices;  ///< devices with their cache epochs
   std::vector<Line> lines;                             ///< votes or advertised entries
   std::uint64_t digest = 0;                            ///< anti-entropy digest of the sender's cache epochs
 };
@@ -48,7 +48,7 @@
   /// Adds an entry with the devices it refers to; returns false if there is no room.
   bool add(const Line& cache_entry, Micros now);
   /// Adds the cache epoch of a device; returns false if there is no room.
-  bool add(NameId device, const Generation& epoch);
+  bool add(NameId device, const CacheEpoch& epoch);
   /// Whether nothing was added.
   bool empty() const;
   /// Returns the encoded payload.
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -28,15 +28,15 @@
   return stamp;
 }
 
-tiers::Generation generation_of(std::uint64_t start, std::uint64_t lanes) {
-  tiers::Generation generation;
+tiers::CacheEpoch generation_of(std::uint64_t start, std::uint64_t lanes) {
+  tiers::CacheEpoch generation;
   generation.start = start;
   generation.lanes = lanes;
   return generation;
 }
-const tiers::Generation first_generation = generation_of(1764683711111111, 0x0001000200030004);
-const tiers::Generation second_generation = generation_of(1764683722222222, 0x0005000600070008);
-const tiers::Generation third_generation = generation_of(1764683733333333, 0x0009000a000b000c);
+const tiers::CacheEpoch first_generation = generation_of(1764683711111111, 0x0001000200030004);
+const tiers::CacheEpoch second_generation = generation_of(1764683722222222, 0x0005000600070008);
+const tiers::CacheEpoch third_generation = generation_of(1764683733333333, 0x0009000a000b000c);
 
 Shown first_holder() {
   Shown holder;
@@ -81,7 +81,7 @@
   return holder;
 }
 
-void expect_device_of(const Shown& holder, std::uint64_t device, const tiers::Generation& generation) {
+void expect_device_of(const Shown& holder, std::uint64_t device, const tiers::CacheEpoch& generation) {
   EXPECT_EQ(holder.device, device);
   EXPECT_EQ(holder.generation.start, generation.start);
   EXPECT_EQ(holder.generation.lanes, generation.lanes);
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -15,7 +15,7 @@
 
 using Random = std::mt19937_64;
 
-Generation random_epoch(Random& random) {
+CacheEpoch random_epoch(Random& random) {
   return {random() % 3, (random() % 3) | (random() % 3) << 16 | (random() % 2) << 48};
 }
 
@@ -120,7 +120,7 @@
 }
 
 TEST(SelectHolders, IgnoresAPastEpochAndATokenCountThatOnlyOneContributorClaims) {
-  const SelectionContext context{[](NameId, const Generation& epoch) { return epoch.start == 1; },
+  const SelectionContext context{[](NameId, const CacheEpoch& epoch) { return epoch.start == 1; },
                                  [](NameId) { return 0.5; }, Micros(10), std::chrono::seconds(60)};
   const auto vote = [](NameId device, std::uint32_t tokens, std::uint64_t start = 1) {
     return Vote{{1, 1}, {{device, {start, 0}, tokens, 255, Micros(10)}}, 1, Micros(10)};
