--- a/src/tiers/describe.cpp
+++ b/src/tiers/describe.cpp
@@ -39,8 +39,8 @@
     if (const auto* epoch = state_.epochs.find(id))
       devices[device.name] = {{"start", epoch->start},
                               {"losses",
-                               {epoch->lanes & 0xffff, epoch->lanes >> 16 & 0xffff,
-                                epoch->lanes >> 32 & 0xffff, epoch->lanes >> 48}}};
+                               {epoch->loss_counts & 0xffff, epoch->loss_counts >> 16 & 0xffff,
+                                epoch->loss_counts >> 32 & 0xffff, epoch->loss_counts >> 48}}};
   const auto& epoch_counts = state_.epochs.counts();
   return {{"device",
            {{"keys", device_tier_.size()},
--- a/src/tiers/epoch/cache_epoch.cpp
+++ b/src/tiers/epoch/cache_epoch.cpp
@@ -16,14 +16,14 @@
     return a.start > b.start ? a : b;
   CacheEpoch joined{a.start, 0};
   for (unsigned i = 0; i < 4; ++i)
-    joined.lanes |= std::max(loss_count(a.lanes, i), loss_count(b.lanes, i)) << (16 * i);
+    joined.loss_counts |= std::max(loss_count(a.loss_counts, i), loss_count(b.loss_counts, i)) << (16 * i);
   return joined;
 }
 
 CacheEpoch after_loss(CacheEpoch epoch, unsigned counter) {
   counter %= 4;
-  if (loss_count(epoch.lanes, counter) < max_loss_count)
-    epoch.lanes += std::uint64_t{1} << (16 * counter);
+  if (loss_count(epoch.loss_counts, counter) < max_loss_count)
+    epoch.loss_counts += std::uint64_t{1} << (16 * counter);
   return epoch;
 }
 
--- a/src/tiers/epoch/cache_epoch.h
+++ b/src/tiers/epoch/cache_epoch.h
@@ -13,7 +13,7 @@
 /// loss produce an epoch that is later than both.
 struct CacheEpoch {
   std::uint64_t start = 0;  ///< start time of the device as listed, in Unix us; 0: earlier than any other
-  std::uint64_t lanes = 0;  ///< four 16-bit loss counters
+  std::uint64_t loss_counts = 0;  ///< four 16-bit loss counters
   friend bool operator==(const CacheEpoch&, const CacheEpoch&) = default;
 };
 
--- a/src/tiers/epoch/epoch_table.cpp
+++ b/src/tiers/epoch/epoch_table.cpp
@@ -24,7 +24,7 @@
       return nullptr;
     }
     digest_ ^= hasher_.mix(displaced->first,
-                           hasher_.mix(displaced->second.epoch.start, displaced->second.epoch.lanes));
+                           hasher_.mix(displaced->second.epoch.start, displaced->second.epoch.loss_counts));
     devices_.erase(displaced);
   }
   digest_ ^= hasher_.mix(device, hasher_.mix(0, 0));
@@ -34,8 +34,8 @@
 bool EpochTable::advance(NameId device, DeviceState& state, const CacheEpoch& epoch, Micros now) {
   if (epoch == state.epoch)
     return false;
-  digest_ ^= hasher_.mix(device, hasher_.mix(state.epoch.start, state.epoch.lanes)) ^
-             hasher_.mix(device, hasher_.mix(epoch.start, epoch.lanes));
+  digest_ ^= hasher_.mix(device, hasher_.mix(state.epoch.start, state.epoch.loss_counts)) ^
+             hasher_.mix(device, hasher_.mix(epoch.start, epoch.loss_counts));
   state.epoch = epoch;
   state.advanced_at = now;
   ++counts_.advanced;
--- a/src/tiers/merge/vote_set.cpp
+++ b/src/tiers/merge/vote_set.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 auto contents(const Holder& holder) {
-  return std::tuple(holder.device, holder.epoch.start, holder.epoch.lanes, holder.tokens, holder.confidence);
+  return std::tuple(holder.device, holder.epoch.start, holder.epoch.loss_counts, holder.tokens,
+                    holder.confidence);
 }
 // A total order of votes without their times. It also orders two different votes with the same stamp, which
 // only a lying contributor sends.
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -104,7 +104,8 @@
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (devices.count(device))
     return true;
-  const auto cost = 2 + 9 + 1 + varint_size(epoch.start) + (epoch.lanes ? 1 + varint_size(epoch.lanes) : 0);
+  const auto cost =
+      2 + 9 + 1 + varint_size(epoch.start) + (epoch.loss_counts ? 1 + varint_size(epoch.loss_counts) : 0);
   if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() == max_devices)
     return false;
   bytes += cost;
@@ -112,7 +113,7 @@
   auto* to = payload.add_devices();
   to->set_name(device);
   to->set_start(epoch.start);
-  to->set_lanes(epoch.lanes);
+  to->set_lanes(epoch.loss_counts);
   return true;
 }
 
@@ -124,7 +125,7 @@
   std::size_t cost = 2 + 9 + 3 + 2;
   for (const auto& holder : cache_entry.holders)
     cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.generation.start) +
-            (holder.generation.lanes ? 1 + varint_size(holder.generation.lanes) : 0);
+            (holder.generation.loss_counts ? 1 + varint_size(holder.generation.loss_counts) : 0);
   const auto room = static_cast<int>(cache_entry.holders.size());
   if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() + room > max_devices ||
       payload.contributors_size() + room > max_devices)
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -31,7 +31,7 @@
 tiers::CacheEpoch generation_of(std::uint64_t start, std::uint64_t lanes) {
   tiers::CacheEpoch generation;
   generation.start = start;
-  generation.lanes = lanes;
+  generation.loss_counts = lanes;
   return generation;
 }
 const tiers::CacheEpoch first_generation = generation_of(1764683711111111, 0x0001000200030004);
@@ -84,7 +84,7 @@
 void expect_device_of(const Shown& holder, std::uint64_t device, const tiers::CacheEpoch& generation) {
   EXPECT_EQ(holder.device, device);
   EXPECT_EQ(holder.generation.start, generation.start);
-  EXPECT_EQ(holder.generation.lanes, generation.lanes);
+  EXPECT_EQ(holder.generation.loss_counts, generation.loss_counts);
 }
 
 void expect_first_holder(const Shown& holder) {
@@ -223,10 +223,10 @@
   ASSERT_EQ(generations.devices.size(), 2u);
   EXPECT_EQ(generations.devices[0].first, first_device);
   EXPECT_EQ(generations.devices[0].second.start, 1764683711111111u);
-  EXPECT_EQ(generations.devices[0].second.lanes, 0x0001000200030004u);
+  EXPECT_EQ(generations.devices[0].second.loss_counts, 0x0001000200030004u);
   EXPECT_EQ(generations.devices[1].first, third_device);
   EXPECT_EQ(generations.devices[1].second.start, 1764683733333333u);
-  EXPECT_EQ(generations.devices[1].second.lanes, 0x0009000a000b000cu);
+  EXPECT_EQ(generations.devices[1].second.loss_counts, 0x0009000a000b000cu);
 }
 
 TEST(Formats, WritesGenerationsAsBefore) {
