--- a/src/tiers/merge/holder_selection.cpp
+++ b/src/tiers/merge/holder_selection.cpp
@@ -12,12 +12,13 @@
   return confidence / 255.0 * std::exp2(-half_lives);
 }
 
-std::vector<Shown> select_holders(const VoteSet& vote_set, const std::vector<Shown>& previous,
-                                  const SelectionContext& context) {
+std::vector<AdvertisedHolder> select_holders(const VoteSet& vote_set,
+                                             const std::vector<AdvertisedHolder>& previous,
+                                             const SelectionContext& context) {
   using Claim = std::pair<std::uint32_t, NameId>;  // tokens and contributor
   struct Candidate {
     double support = 0;
-    Shown advertised;
+    AdvertisedHolder advertised;
     std::vector<Claim> claims;
   };
   std::map<NameId, Candidate> candidates;
@@ -39,7 +40,7 @@
         advertised.seen = holder.seen_at, advertised.confidence = holder.confidence;
     }
   }
-  std::vector<std::pair<double, Shown>> scored;
+  std::vector<std::pair<double, AdvertisedHolder>> scored;
   for (auto& [device, candidate] : candidates) {
     std::sort(candidate.claims.begin(), candidate.claims.end(), std::greater<>());
     const auto& claim = candidate.claims[candidate.claims.size() > 1 ? 1 : 0];
@@ -57,14 +58,14 @@
   });
   if (scored.size() > max_holders)
     scored.resize(max_holders);
-  std::vector<Shown> selected;
+  std::vector<AdvertisedHolder> selected;
   selected.reserve(scored.size());
   for (auto& [score, advertised] : scored)
     selected.push_back(advertised);
   return selected;
 }
 
-bool significantly_differ(const std::vector<Shown>& a, const std::vector<Shown>& b) {
+bool significantly_differ(const std::vector<AdvertisedHolder>& a, const std::vector<AdvertisedHolder>& b) {
   if (a.size() != b.size())
     return true;
   for (const auto& x : a) {
--- a/src/tiers/merge/holder_selection.h
+++ b/src/tiers/merge/holder_selection.h
@@ -10,7 +10,7 @@
 namespace lemonroute::tiers {
 
 /// A device that holds a key's KV cache, as advertised to other routers.
-struct Shown {
+struct AdvertisedHolder {
   NameId device = 0;            ///< the device
   CacheEpoch generation{};      ///< its cache epoch when the key was seen there
   std::uint32_t tokens = 0;     ///< cached tokens, from the beginning of the prompt
@@ -35,10 +35,11 @@
 /// Returns the best holders first, at most max_holders. The token count of a holder is the second largest
 /// that is claimed, or the only one, so that a single contributor cannot raise it above what another claims.
 /// The holders of `previous` get a bonus, so that all routers keep using the same few holders.
-std::vector<Shown> select_holders(const VoteSet& vote_set, const std::vector<Shown>& previous,
-                                  const SelectionContext& context);
+std::vector<AdvertisedHolder> select_holders(const VoteSet& vote_set,
+                                             const std::vector<AdvertisedHolder>& previous,
+                                             const SelectionContext& context);
 
 /// Whether the change is large enough to be advertised at once instead of with the next refresh.
-bool significantly_differ(const std::vector<Shown>& a, const std::vector<Shown>& b);
+bool significantly_differ(const std::vector<AdvertisedHolder>& a, const std::vector<AdvertisedHolder>& b);
 
 }  // namespace lemonroute::tiers
--- a/src/tiers/snapshot/hint_map_builder.cpp
+++ b/src/tiers/snapshot/hint_map_builder.cpp
@@ -3,7 +3,7 @@
 namespace lemonroute::tiers {
 
 double HintMapBuilder::confidence(const SharedState& state, KeyId key, const ReceivedEntries::Entry& entry,
-                                  const Shown& holder, Micros now) {
+                                  const AdvertisedHolder& holder, Micros now) {
   if (!state.epochs.is_current(holder.device, holder.generation) ||
       state.false_hints.contains(key, holder.device, now))
     return 0;
--- a/src/tiers/snapshot/hint_map_builder.h
+++ b/src/tiers/snapshot/hint_map_builder.h
@@ -25,7 +25,7 @@
                                               std::uint64_t version, Micros now);
   /// Returns the confidence of a hint from its age and the trust in its contributor and sender; 0: no hint.
   static double confidence(const SharedState& state, KeyId key, const ReceivedEntries::Entry& entry,
-                           const Shown& holder, Micros now);
+                           const AdvertisedHolder& holder, Micros now);
 
   static constexpr double cross_site_factor = 0.8;  ///< confidence factor of a device in another site
   static constexpr double min_confidence = 0.02;    ///< below this there is no hint
--- a/src/tiers/store/advertised_entries.cpp
+++ b/src/tiers/store/advertised_entries.cpp
@@ -4,8 +4,8 @@
 
 namespace lemonroute::tiers {
 
-const std::vector<Shown>& AdvertisedEntries::holders(KeyId key) const {
-  static const std::vector<Shown> none;
+const std::vector<AdvertisedHolder>& AdvertisedEntries::holders(KeyId key) const {
+  static const std::vector<AdvertisedHolder> none;
   const auto at = entries_.find(key);
   return at == entries_.end() ? none : at->second.cache_entry.holders;
 }
--- a/src/tiers/store/advertised_entries.h
+++ b/src/tiers/store/advertised_entries.h
@@ -17,7 +17,7 @@
  public:
   explicit AdvertisedEntries(std::size_t max_keys) : max_withdrawn_(max_keys / 4) {}
   /// Returns the advertised holders; empty if there are none.
-  const std::vector<Shown>& holders(KeyId key) const;
+  const std::vector<AdvertisedHolder>& holders(KeyId key) const;
   /// Replaces the entry of the key; an entry without holders withdraws it.
   void set(Line cache_entry);
   /// Removes the entries of other keys, which another router heads now.
--- a/src/tiers/store/received_entries.h
+++ b/src/tiers/store/received_entries.h
@@ -15,7 +15,7 @@
  public:
   /// The entry of a key.
   struct Entry {
-    std::vector<Shown> holders;  ///< best first
+    std::vector<AdvertisedHolder> holders;  ///< best first
     std::uint8_t weight = 0;     ///< logarithmic weight of the key
     NameId sender = 0;           ///< the router that advertised it
     Micros received_at{};        ///< when it last arrived
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -21,7 +21,7 @@
 struct Line {
   KeyId key = 0;               ///< the key
   std::uint8_t weight = 0;     ///< logarithmic weight of the key
-  std::vector<Shown> holders;  ///< at most 3, in votes 2; empty: withdrawn
+  std::vector<AdvertisedHolder> holders;  ///< at most 3, in votes 2; empty: withdrawn
 };
 
 /// A decoded payload. Times are on this router's clock.
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -7,11 +7,11 @@
 namespace lemonroute::formats {
 namespace {
 
+using tiers::AdvertisedHolder;
 using tiers::Kind;
 using tiers::Line;
 using tiers::Packer;
 using tiers::Payload;
-using tiers::Shown;
 using tiers::Tier;
 
 constexpr std::uint64_t digest = 0x1112131415161718;
@@ -38,8 +38,8 @@
 const tiers::CacheEpoch second_generation = generation_of(1764683722222222, 0x0005000600070008);
 const tiers::CacheEpoch third_generation = generation_of(1764683733333333, 0x0009000a000b000c);
 
-Shown first_holder() {
-  Shown holder;
+AdvertisedHolder first_holder() {
+  AdvertisedHolder holder;
   holder.device = first_device;
   holder.generation = first_generation;
   holder.tokens = 70'123;
@@ -50,8 +50,8 @@
   return holder;
 }
 
-Shown second_holder() {
-  Shown holder;
+AdvertisedHolder second_holder() {
+  AdvertisedHolder holder;
   holder.device = second_device;
   holder.generation = second_generation;
   holder.tokens = 3'456;
@@ -62,8 +62,8 @@
   return holder;
 }
 
-Shown third_holder() {
-  Shown holder;
+AdvertisedHolder third_holder() {
+  AdvertisedHolder holder;
   holder.device = third_device;
   holder.generation = third_generation;
   holder.tokens = 17;
@@ -75,40 +75,41 @@
 }
 
 // As a collector tells of it: with the contributor whose length it is, and with the votes.
-Shown with_votes(Shown holder, std::uint64_t by, std::uint8_t votes) {
+AdvertisedHolder with_votes(AdvertisedHolder holder, std::uint64_t by, std::uint8_t votes) {
   holder.by = by;
   holder.votes = votes;
   return holder;
 }
 
-void expect_device_of(const Shown& holder, std::uint64_t device, const tiers::CacheEpoch& generation) {
+void expect_device_of(const AdvertisedHolder& holder, std::uint64_t device,
+                      const tiers::CacheEpoch& generation) {
   EXPECT_EQ(holder.device, device);
   EXPECT_EQ(holder.generation.start, generation.start);
   EXPECT_EQ(holder.generation.loss_counts, generation.loss_counts);
 }
 
-void expect_first_holder(const Shown& holder) {
+void expect_first_holder(const AdvertisedHolder& holder) {
   expect_device_of(holder, first_device, first_generation);
   EXPECT_EQ(holder.tokens, 70'123u);
   EXPECT_EQ(holder.confidence, 201);
   EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(70'200));
 }
 
-void expect_second_holder(const Shown& holder) {
+void expect_second_holder(const AdvertisedHolder& holder) {
   expect_device_of(holder, second_device, second_generation);
   EXPECT_EQ(holder.tokens, 3'456u);
   EXPECT_EQ(holder.confidence, 99);
   EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(300));
 }
 
-void expect_third_holder(const Shown& holder) {
+void expect_third_holder(const AdvertisedHolder& holder) {
   expect_device_of(holder, third_device, third_generation);
   EXPECT_EQ(holder.tokens, 17u);
   EXPECT_EQ(holder.confidence, 5);
   EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(1'100));
 }
 
-void expect_contributed(const Shown& holder, std::uint64_t by, int votes) {
+void expect_contributed(const AdvertisedHolder& holder, std::uint64_t by, int votes) {
   EXPECT_EQ(holder.by, by);
   EXPECT_EQ(holder.votes, votes);
 }
