--- a/src/tiers/merge/holder_selection.cpp
+++ b/src/tiers/merge/holder_selection.cpp
@@ -70,7 +70,7 @@
     return true;
   for (const auto& x : a) {
     const auto y = std::find_if(b.begin(), b.end(), [&](const auto& one) { return one.device == x.device; });
-    if (y == b.end() || !(y->generation == x.generation))
+    if (y == b.end() || !(y->epoch == x.epoch))
       return true;
     if (std::abs(double(x.tokens) - y->tokens) > 0.25 * std::max(x.tokens, y->tokens))
       return true;
--- a/src/tiers/merge/holder_selection.h
+++ b/src/tiers/merge/holder_selection.h
@@ -12,7 +12,7 @@
 /// A device that holds a key's KV cache, as advertised to other routers.
 struct AdvertisedHolder {
   NameId device = 0;            ///< the device
-  CacheEpoch generation{};      ///< its cache epoch when the key was seen there
+  CacheEpoch epoch{};           ///< its cache epoch when the key was seen there
   std::uint32_t tokens = 0;     ///< cached tokens, from the beginning of the prompt
   std::uint8_t confidence = 0;  ///< 255: certain
   Micros seen{};                ///< last sighting, on this router's clock
--- a/src/tiers/snapshot/hint_map_builder.cpp
+++ b/src/tiers/snapshot/hint_map_builder.cpp
@@ -4,7 +4,7 @@
 
 double HintMapBuilder::confidence(const SharedState& state, KeyId key, const ReceivedEntries::Entry& entry,
                                   const AdvertisedHolder& holder, Micros now) {
-  if (!state.epochs.is_current(holder.device, holder.generation) ||
+  if (!state.epochs.is_current(holder.device, holder.epoch) ||
       state.false_hints.contains(key, holder.device, now))
     return 0;
   const double trust = state.trust_in(holder.by, now) * state.trust_in(entry.sender, now);
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -124,8 +124,8 @@
   // The largest size: every device and contributor is new, and each number of a holder is at its bound.
   std::size_t cost = 2 + 9 + 3 + 2;
   for (const auto& holder : cache_entry.holders)
-    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.generation.start) +
-            (holder.generation.loss_counts ? 1 + varint_size(holder.generation.loss_counts) : 0);
+    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.epoch.start) +
+            (holder.epoch.loss_counts ? 1 + varint_size(holder.epoch.loss_counts) : 0);
   const auto room = static_cast<int>(cache_entry.holders.size());
   if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() + room > max_devices ||
       payload.contributors_size() + room > max_devices)
@@ -134,7 +134,7 @@
   row->set_key(cache_entry.key);
   row->set_weight(cache_entry.weight);
   for (const auto& holder : cache_entry.holders) {
-    add(holder.device, holder.generation);
+    add(holder.device, holder.epoch);
     std::uint32_t by = 0;
     if (payload.kind() == v1::rows) {
       const auto [at, fresh] =
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -41,7 +41,7 @@
 AdvertisedHolder first_holder() {
   AdvertisedHolder holder;
   holder.device = first_device;
-  holder.generation = first_generation;
+  holder.epoch = first_generation;
   holder.tokens = 70'123;
   holder.confidence = 201;
   holder.seen = now - std::chrono::milliseconds(70'200);
@@ -53,7 +53,7 @@
 AdvertisedHolder second_holder() {
   AdvertisedHolder holder;
   holder.device = second_device;
-  holder.generation = second_generation;
+  holder.epoch = second_generation;
   holder.tokens = 3'456;
   holder.confidence = 99;
   holder.seen = now - std::chrono::milliseconds(300);
@@ -65,7 +65,7 @@
 AdvertisedHolder third_holder() {
   AdvertisedHolder holder;
   holder.device = third_device;
-  holder.generation = third_generation;
+  holder.epoch = third_generation;
   holder.tokens = 17;
   holder.confidence = 5;
   holder.seen = now - std::chrono::milliseconds(1'100);
@@ -84,8 +84,8 @@
 void expect_device_of(const AdvertisedHolder& holder, std::uint64_t device,
                       const tiers::CacheEpoch& generation) {
   EXPECT_EQ(holder.device, device);
-  EXPECT_EQ(holder.generation.start, generation.start);
-  EXPECT_EQ(holder.generation.loss_counts, generation.loss_counts);
+  EXPECT_EQ(holder.epoch.start, generation.start);
+  EXPECT_EQ(holder.epoch.loss_counts, generation.loss_counts);
 }
 
 void expect_first_holder(const AdvertisedHolder& holder) {
