--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -53,12 +53,12 @@
       if (holder.device != device || HintMapBuilder::confidence(state_, key, *entry, holder, now) <= 0)
         continue;
       if (tokens < holder.tokens / 2.0) {
-        contradicted_by[holder.by] = 0.5;
+        contradicted_by[holder.contributor] = 0.5;
         contradicted_by.try_emplace(entry->sender, 0.9);
         state_.false_hints.add(key, device, now + state_.options.limits.fade);
         hints_changed_ = true;
       } else {
-        confirmed_by.insert(holder.by);
+        confirmed_by.insert(holder.contributor);
         confirmed_by.insert(entry->sender);
       }
     }
--- a/src/tiers/merge/holder_selection.cpp
+++ b/src/tiers/merge/holder_selection.cpp
@@ -45,7 +45,7 @@
     std::sort(candidate.claims.begin(), candidate.claims.end(), std::greater<>());
     const auto& claim = candidate.claims[candidate.claims.size() > 1 ? 1 : 0];
     candidate.advertised.tokens = claim.first;
-    candidate.advertised.by = claim.second;
+    candidate.advertised.contributor = claim.second;
     candidate.advertised.votes = static_cast<std::uint8_t>(candidate.claims.size());
     const bool was_advertised =
         std::any_of(previous.begin(), previous.end(),
--- a/src/tiers/merge/holder_selection.h
+++ b/src/tiers/merge/holder_selection.h
@@ -16,7 +16,7 @@
   std::uint32_t tokens = 0;     ///< cached tokens, from the beginning of the prompt
   std::uint8_t confidence = 0;  ///< 255: certain
   Micros seen{};                ///< last sighting, on this router's clock
-  NameId by = 0;                ///< the contributor whose token count is used
+  NameId contributor = 0;       ///< the contributor whose token count is used
   std::uint8_t votes = 1;       ///< number of contributors
 };
 
--- a/src/tiers/snapshot/hint_map_builder.cpp
+++ b/src/tiers/snapshot/hint_map_builder.cpp
@@ -7,7 +7,7 @@
   if (!state.epochs.is_current(holder.device, holder.epoch) ||
       state.false_hints.contains(key, holder.device, now))
     return 0;
-  const double trust = state.trust_in(holder.by, now) * state.trust_in(entry.sender, now);
+  const double trust = state.trust_in(holder.contributor, now) * state.trust_in(entry.sender, now);
   // The initial trust is one half, so a hint through two routers without a record has a quarter of the
   // confidence of one through two fully trusted routers.
   const double hint_confidence =
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -137,11 +137,11 @@
     add(holder.device, holder.epoch);
     std::uint32_t by = 0;
     if (payload.kind() == v1::rows) {
-      const auto [at, fresh] =
-          contributors.try_emplace(holder.by, static_cast<std::uint32_t>(payload.contributors_size()));
+      const auto [at, fresh] = contributors.try_emplace(
+          holder.contributor, static_cast<std::uint32_t>(payload.contributors_size()));
       by = at->second;
       if (fresh) {
-        payload.add_contributors(holder.by);
+        payload.add_contributors(holder.contributor);
         bytes += 8 + 2;
       }
     }
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -45,7 +45,7 @@
   holder.tokens = 70'123;
   holder.confidence = 201;
   holder.seen = now - std::chrono::milliseconds(70'200);
-  holder.by = 0;
+  holder.contributor = 0;
   holder.votes = 0;
   return holder;
 }
@@ -57,7 +57,7 @@
   holder.tokens = 3'456;
   holder.confidence = 99;
   holder.seen = now - std::chrono::milliseconds(300);
-  holder.by = 0;
+  holder.contributor = 0;
   holder.votes = 0;
   return holder;
 }
@@ -69,14 +69,14 @@
   holder.tokens = 17;
   holder.confidence = 5;
   holder.seen = now - std::chrono::milliseconds(1'100);
-  holder.by = 0;
+  holder.contributor = 0;
   holder.votes = 0;
   return holder;
 }
 
 // As a collector tells of it: with the contributor whose length it is, and with the votes.
 AdvertisedHolder with_votes(AdvertisedHolder holder, std::uint64_t by, std::uint8_t votes) {
-  holder.by = by;
+  holder.contributor = by;
   holder.votes = votes;
   return holder;
 }
@@ -110,7 +110,7 @@
 }
 
 void expect_contributed(const AdvertisedHolder& holder, std::uint64_t by, int votes) {
-  EXPECT_EQ(holder.by, by);
+  EXPECT_EQ(holder.contributor, by);
   EXPECT_EQ(holder.votes, votes);
 }
 
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -168,8 +168,9 @@
       ASSERT_EQ(payload->lines[i].holders.size(), lines[i].holders.size());
       for (std::size_t h = 0; h < lines[i].holders.size(); ++h) {
         const auto &got = payload->lines[i].holders[h], &put = lines[i].holders[h];
-        EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens && got.by == put.by &&
-                    got.votes == put.votes && got.confidence == put.confidence && got.seen == put.seen);
+        EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens &&
+                    got.contributor == put.contributor && got.votes == put.votes &&
+                    got.confidence == put.confidence && got.seen == put.seen);
       }
     }
     // A corrupted or truncated payload is either decoded within the bounds or rejected.
