--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -44,7 +44,7 @@
   for (const auto& cache_entry : payload.lines) {
     Vote vote{payload.stamp, {}, cache_entry.weight, now};
     for (const auto& holder : cache_entry.holders)
-      vote.holders.push_back({holder.device, holder.epoch, holder.tokens, holder.confidence, holder.seen});
+      vote.holders.push_back({holder.device, holder.epoch, holder.tokens, holder.confidence, holder.seen_at});
     vote_table_.put(cache_entry.key, contributor, std::move(vote));
   }
 }
--- a/src/tiers/merge/holder_selection.cpp
+++ b/src/tiers/merge/holder_selection.cpp
@@ -36,8 +36,8 @@
       auto& advertised = candidate.advertised;
       if (candidate.claims.size() == 1)
         advertised = {holder.device, holder.epoch, 0, holder.confidence, holder.seen_at, 0, 0};
-      else if (holder.seen_at > advertised.seen)
-        advertised.seen = holder.seen_at, advertised.confidence = holder.confidence;
+      else if (holder.seen_at > advertised.seen_at)
+        advertised.seen_at = holder.seen_at, advertised.confidence = holder.confidence;
     }
   }
   std::vector<std::pair<double, AdvertisedHolder>> scored;
--- a/src/tiers/merge/holder_selection.h
+++ b/src/tiers/merge/holder_selection.h
@@ -15,7 +15,7 @@
   CacheEpoch epoch{};           ///< its cache epoch when the key was seen there
   std::uint32_t tokens = 0;     ///< cached tokens, from the beginning of the prompt
   std::uint8_t confidence = 0;  ///< 255: certain
-  Micros seen{};                ///< last sighting, on this router's clock
+  Micros seen_at{};             ///< last sighting, on this router's clock
   NameId contributor = 0;       ///< the contributor whose token count is used
   std::uint8_t votes = 1;       ///< number of contributors
 };
--- a/src/tiers/snapshot/hint_map_builder.cpp
+++ b/src/tiers/snapshot/hint_map_builder.cpp
@@ -11,7 +11,7 @@
   // The initial trust is one half, so a hint through two routers without a record has a quarter of the
   // confidence of one through two fully trusted routers.
   const double hint_confidence =
-      trust * decayed_confidence(holder.confidence, holder.seen, now, state.options.limits.fade);
+      trust * decayed_confidence(holder.confidence, holder.seen_at, now, state.options.limits.fade);
   return hint_confidence < min_confidence ? 0 : hint_confidence;
 }
 
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -145,7 +145,7 @@
         bytes += 8 + 2;
       }
     }
-    const auto tenths = std::clamp<std::int64_t>((now - holder.seen) / tenth_of_second, 0, max_tenths);
+    const auto tenths = std::clamp<std::int64_t>((now - holder.seen_at) / tenth_of_second, 0, max_tenths);
     const std::uint32_t numbers[] = {devices[holder.device],
                                      std::clamp<std::uint32_t>(holder.tokens, 1, max_tokens),
                                      holder.confidence,
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -44,7 +44,7 @@
   holder.epoch = first_generation;
   holder.tokens = 70'123;
   holder.confidence = 201;
-  holder.seen = now - std::chrono::milliseconds(70'200);
+  holder.seen_at = now - std::chrono::milliseconds(70'200);
   holder.contributor = 0;
   holder.votes = 0;
   return holder;
@@ -56,7 +56,7 @@
   holder.epoch = second_generation;
   holder.tokens = 3'456;
   holder.confidence = 99;
-  holder.seen = now - std::chrono::milliseconds(300);
+  holder.seen_at = now - std::chrono::milliseconds(300);
   holder.contributor = 0;
   holder.votes = 0;
   return holder;
@@ -68,7 +68,7 @@
   holder.epoch = third_generation;
   holder.tokens = 17;
   holder.confidence = 5;
-  holder.seen = now - std::chrono::milliseconds(1'100);
+  holder.seen_at = now - std::chrono::milliseconds(1'100);
   holder.contributor = 0;
   holder.votes = 0;
   return holder;
@@ -92,21 +92,21 @@
   expect_device_of(holder, first_device, first_generation);
   EXPECT_EQ(holder.tokens, 70'123u);
   EXPECT_EQ(holder.confidence, 201);
-  EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(70'200));
+  EXPECT_EQ(holder.seen_at, now - std::chrono::milliseconds(70'200));
 }
 
 void expect_second_holder(const AdvertisedHolder& holder) {
   expect_device_of(holder, second_device, second_generation);
   EXPECT_EQ(holder.tokens, 3'456u);
   EXPECT_EQ(holder.confidence, 99);
-  EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(300));
+  EXPECT_EQ(holder.seen_at, now - std::chrono::milliseconds(300));
 }
 
 void expect_third_holder(const AdvertisedHolder& holder) {
   expect_device_of(holder, third_device, third_generation);
   EXPECT_EQ(holder.tokens, 17u);
   EXPECT_EQ(holder.confidence, 5);
-  EXPECT_EQ(holder.seen, now - std::chrono::milliseconds(1'100));
+  EXPECT_EQ(holder.seen_at, now - std::chrono::milliseconds(1'100));
 }
 
 void expect_contributed(const AdvertisedHolder& holder, std::uint64_t by, int votes) {
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -170,7 +170,7 @@
         const auto &got = payload->lines[i].holders[h], &put = lines[i].holders[h];
         EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens &&
                     got.contributor == put.contributor && got.votes == put.votes &&
-                    got.confidence == put.confidence && got.seen == put.seen);
+                    got.confidence == put.confidence && got.seen_at == put.seen_at);
       }
     }
     // A corrupted or truncated payload is either decoded within the bounds or rejected.
