--- a/src/tiers/exchange/promotion.cpp
+++ b/src/tiers/exchange/promotion.cpp
@@ -26,8 +26,9 @@
       auto promoted_entry = *cache_entry;
       // In the region this router is the contributor of the vote. A holder needs sightings of two routers or
       // of this one, so a lying router of the site cannot make an honest head spread its claims.
-      std::erase_if(promoted_entry.holders,
-                    [&](const AdvertisedHolder& one) { return one.votes < 2 && one.contributor != own_id; });
+      std::erase_if(promoted_entry.holders, [&](const AdvertisedHolder& one) {
+        return one.vote_count < 2 && one.contributor != own_id;
+      });
       if (promoted_entry.holders.empty())
         continue;
       if (promoted_entry.holders.size() > max_promoted_holders)
--- a/src/tiers/merge/holder_selection.cpp
+++ b/src/tiers/merge/holder_selection.cpp
@@ -46,7 +46,7 @@
     const auto& claim = candidate.claims[candidate.claims.size() > 1 ? 1 : 0];
     candidate.advertised.tokens = claim.first;
     candidate.advertised.contributor = claim.second;
-    candidate.advertised.votes = static_cast<std::uint8_t>(candidate.claims.size());
+    candidate.advertised.vote_count = static_cast<std::uint8_t>(candidate.claims.size());
     const bool was_advertised =
         std::any_of(previous.begin(), previous.end(),
                     [&, device = device](const auto& one) { return one.device == device; });
--- a/src/tiers/merge/holder_selection.h
+++ b/src/tiers/merge/holder_selection.h
@@ -17,7 +17,7 @@
   std::uint8_t confidence = 0;  ///< 255: certain
   Micros seen_at{};             ///< last sighting, on this router's clock
   NameId contributor = 0;       ///< the contributor whose token count is used
-  std::uint8_t votes = 1;       ///< number of contributors
+  std::uint8_t vote_count = 1;  ///< number of contributors
 };
 
 /// What this router knows about the validity of votes.
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -151,7 +151,7 @@
                                      holder.confidence,
                                      static_cast<std::uint32_t>(tenths),
                                      by,
-                                     payload.kind() == v1::rows ? holder.votes : 0u};
+                                     payload.kind() == v1::rows ? holder.vote_count : 0u};
     for (const auto number : numbers) {
       row->add_holders(number);
       bytes += varint_size(number);
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -46,7 +46,7 @@
   holder.confidence = 201;
   holder.seen_at = now - std::chrono::milliseconds(70'200);
   holder.contributor = 0;
-  holder.votes = 0;
+  holder.vote_count = 0;
   return holder;
 }
 
@@ -58,7 +58,7 @@
   holder.confidence = 99;
   holder.seen_at = now - std::chrono::milliseconds(300);
   holder.contributor = 0;
-  holder.votes = 0;
+  holder.vote_count = 0;
   return holder;
 }
 
@@ -70,14 +70,14 @@
   holder.confidence = 5;
   holder.seen_at = now - std::chrono::milliseconds(1'100);
   holder.contributor = 0;
-  holder.votes = 0;
+  holder.vote_count = 0;
   return holder;
 }
 
 // As a collector tells of it: with the contributor whose length it is, and with the votes.
 AdvertisedHolder with_votes(AdvertisedHolder holder, std::uint64_t by, std::uint8_t votes) {
   holder.contributor = by;
-  holder.votes = votes;
+  holder.vote_count = votes;
   return holder;
 }
 
@@ -111,7 +111,7 @@
 
 void expect_contributed(const AdvertisedHolder& holder, std::uint64_t by, int votes) {
   EXPECT_EQ(holder.contributor, by);
-  EXPECT_EQ(holder.votes, votes);
+  EXPECT_EQ(holder.vote_count, votes);
 }
 
 // The payload of a fixture, or one with no field set and a failure where it can't be read.
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -169,7 +169,7 @@
       for (std::size_t h = 0; h < lines[i].holders.size(); ++h) {
         const auto &got = payload->lines[i].holders[h], &put = lines[i].holders[h];
         EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens &&
-                    got.contributor == put.contributor && got.votes == put.votes &&
+                    got.contributor == put.contributor && got.vote_count == put.vote_count &&
                     got.confidence == put.confidence && got.seen_at == put.seen_at);
       }
     }
