--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -64,7 +64,7 @@
   return changed;
 }
 
-void CacheTier::vote(VoteBatch& batch, const Line& cache_entry, Micros now, ByteBudget& budget,
+void CacheTier::vote(VoteBatch& batch, const CacheEntry& cache_entry, Micros now, ByteBudget& budget,
                      peers::Outbox& out) {
   for (const auto& collector : shard_collectors_.collectors(shard_of(cache_entry.key))) {
     if (collector == state_.options.name) {
@@ -101,7 +101,7 @@
 bool CacheTier::select_for(KeyId key, Micros now) {
   if (!shard_collectors_.is_head(state_.options.name, shard_of(key)))
     return false;
-  Line cache_entry{key, 0, {}};
+  CacheEntry cache_entry{key, 0, {}};
   if (const auto* vote_set = vote_table_.find(key)) {
     const SelectionContext context{
         [&](NameId device, const CacheEpoch& epoch) { return state_.epochs.is_current(device, epoch); },
--- a/src/tiers/exchange/cache_tier.h
+++ b/src/tiers/exchange/cache_tier.h
@@ -39,7 +39,8 @@
   };
   /// Adds a vote of this router for each of the key's collectors. Stores it at once if this router is one of
   /// them; the open payloads are sent by `flush`.
-  void vote(VoteBatch& batch, const Line& cache_entry, Micros now, ByteBudget& budget, peers::Outbox& out);
+  void vote(VoteBatch& batch, const CacheEntry& cache_entry, Micros now, ByteBudget& budget,
+            peers::Outbox& out);
   /// Sends all payloads of the batch.
   void flush(VoteBatch& batch, ByteBudget& budget, peers::Outbox& out);
 
--- a/src/tiers/exchange/promotion.cpp
+++ b/src/tiers/exchange/promotion.cpp
@@ -47,7 +47,7 @@
   }
   for (const auto& [key, promoted] : promoted_)
     if (!current.count(key) && site.shard_collectors().is_head(options.name, shard_of(key)))
-      region.vote(batch, Line{key, 0, {}}, now, budget, out);  // withdrawn
+      region.vote(batch, CacheEntry{key, 0, {}}, now, budget, out);  // withdrawn
   promoted_ = std::move(current);
   region.flush(batch, budget, out);
 }
--- a/src/tiers/exchange/promotion.h
+++ b/src/tiers/exchange/promotion.h
@@ -21,7 +21,7 @@
 
  private:
   struct Promoted {
-    Line cache_entry;
+    CacheEntry cache_entry;
     Micros sent_at{};
   };
   std::map<KeyId, Promoted> promoted_;
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -228,7 +228,7 @@
   CacheTier::VoteBatch batch;
   const auto room = static_cast<std::size_t>(vote_budget_.remaining()) / approximate_vote_bytes + 1;
   for (const auto key : device_tier_.due(now, std::min(max_votes_per_tick, room))) {
-    Line cache_entry{key, device_tier_.weight(key), {}};
+    CacheEntry cache_entry{key, device_tier_.weight(key), {}};
     for (const auto& holder : device_tier_.holders(key))
       if (state_.epochs.is_current(holder.device, holder.epoch))
         cache_entry.holders.push_back(
--- a/src/tiers/store/advertised_entries.cpp
+++ b/src/tiers/store/advertised_entries.cpp
@@ -10,7 +10,7 @@
   return at == entries_.end() ? none : at->second.cache_entry.holders;
 }
 
-void AdvertisedEntries::set(Line cache_entry) {
+void AdvertisedEntries::set(CacheEntry cache_entry) {
   const auto at = entries_.find(cache_entry.key);
   if (at == entries_.end() && cache_entry.holders.empty())
     return;
@@ -42,8 +42,8 @@
   });
 }
 
-std::vector<const Line*> AdvertisedEntries::due(Micros now, Micros refresh_interval,
-                                                std::size_t max_count) const {
+std::vector<const CacheEntry*> AdvertisedEntries::due(Micros now, Micros refresh_interval,
+                                                      std::size_t max_count) const {
   std::vector<const Entry*> due_entries;
   for (const auto& [key, entry] : entries_)
     if (entry.pending ||
@@ -61,7 +61,7 @@
   const auto count = std::min(max_count, due_entries.size());
   std::partial_sort(due_entries.begin(), due_entries.begin() + static_cast<std::ptrdiff_t>(count),
                     due_entries.end(), is_due_before);
-  std::vector<const Line*> cache_entries;
+  std::vector<const CacheEntry*> cache_entries;
   for (std::size_t i = 0; i < count; ++i)
     cache_entries.push_back(&due_entries[i]->cache_entry);
   return cache_entries;
@@ -82,9 +82,9 @@
   at->second.sent_at = now;
 }
 
-std::vector<const Line*> AdvertisedEntries::heaviest(std::size_t shard, std::size_t max_count,
-                                                     std::uint32_t min_tokens) const {
-  std::vector<const Line*> cache_entries;
+std::vector<const CacheEntry*> AdvertisedEntries::heaviest(std::size_t shard, std::size_t max_count,
+                                                           std::uint32_t min_tokens) const {
+  std::vector<const CacheEntry*> cache_entries;
   for (const auto& [key, entry] : entries_)
     if (shard_of(key) == shard && !entry.cache_entry.holders.empty() &&
         entry.cache_entry.holders.front().tokens >= min_tokens)
--- a/src/tiers/store/advertised_entries.h
+++ b/src/tiers/store/advertised_entries.h
@@ -19,15 +19,16 @@
   /// Returns the advertised holders; empty if there are none.
   const std::vector<AdvertisedHolder>& holders(KeyId key) const;
   /// Replaces the entry of the key; an entry without holders withdraws it.
-  void set(Line cache_entry);
+  void set(CacheEntry cache_entry);
   /// Removes the entries of other keys, which another router heads now.
   void keep_only(const std::function<bool(KeyId)>& is_kept);
   /// Returns up to `max_count` entries that are due. The caller reports each one sent with `mark_sent`.
-  std::vector<const Line*> due(Micros now, Micros refresh_interval, std::size_t max_count) const;
+  std::vector<const CacheEntry*> due(Micros now, Micros refresh_interval, std::size_t max_count) const;
   /// Records that the entry was sent.
   void mark_sent(KeyId key, Micros now);
   /// Returns the heaviest entries of a shard whose best holder has at least `min_tokens`.
-  std::vector<const Line*> heaviest(std::size_t shard, std::size_t max_count, std::uint32_t min_tokens) const;
+  std::vector<const CacheEntry*> heaviest(std::size_t shard, std::size_t max_count,
+                                          std::uint32_t min_tokens) const;
   /// Returns all keys, including those being withdrawn.
   std::vector<KeyId> keys() const;
   /// Number of entries, including those being withdrawn.
@@ -35,7 +36,7 @@
 
  private:
   struct Entry {
-    Line cache_entry;
+    CacheEntry cache_entry;
     Micros sent_at{};
     bool pending = false;       // changed since the last advertisement
     unsigned repeats_left = 0;  // of a change
--- a/src/tiers/store/received_entries.cpp
+++ b/src/tiers/store/received_entries.cpp
@@ -4,7 +4,7 @@
 
 namespace lemonroute::tiers {
 
-bool ReceivedEntries::put(const Line& cache_entry, NameId sender, Micros now,
+bool ReceivedEntries::put(const CacheEntry& cache_entry, NameId sender, Micros now,
                           const std::function<double(NameId)>& trust) {
   auto& entries = shards_[shard_of(cache_entry.key)];
   const auto at = entries.find(cache_entry.key);
@@ -49,9 +49,9 @@
   return at == entries.end() ? nullptr : &at->second;
 }
 
-std::vector<Line> ReceivedEntries::entries_after(KeyId cursor, std::size_t max_count,
-                                                 const std::function<bool(std::size_t)>& matches) const {
-  std::vector<Line> cache_entries;
+std::vector<CacheEntry> ReceivedEntries::entries_after(
+    KeyId cursor, std::size_t max_count, const std::function<bool(std::size_t)>& matches) const {
+  std::vector<CacheEntry> cache_entries;
   for (auto shard = shard_of(cursor); shard < shard_count; ++shard) {
     if (!matches(shard))
       continue;
--- a/src/tiers/store/received_entries.h
+++ b/src/tiers/store/received_entries.h
@@ -23,7 +23,8 @@
   explicit ReceivedEntries(std::size_t max_keys)
       : max_keys_per_shard_(std::max<std::size_t>(4, max_keys / shard_count)) {}
   /// Stores an entry; the stored one stays if its sender is trusted more. Returns whether hints have changed.
-  bool put(const Line& cache_entry, NameId sender, Micros now, const std::function<double(NameId)>& trust);
+  bool put(const CacheEntry& cache_entry, NameId sender, Micros now,
+           const std::function<double(NameId)>& trust);
   /// Removes entries that last arrived before the given time; returns whether there were any.
   bool expire(Micros before);
   /// Returns nullptr for an unknown key.
@@ -36,8 +37,8 @@
         f(key, entry);
   }
   /// Returns up to `max_count` entries after `cursor` in the order of keys, of the shards that match.
-  std::vector<Line> entries_after(KeyId cursor, std::size_t max_count,
-                                  const std::function<bool(std::size_t shard)>& matches) const;
+  std::vector<CacheEntry> entries_after(KeyId cursor, std::size_t max_count,
+                                        const std::function<bool(std::size_t shard)>& matches) const;
   /// Number of entries.
   std::size_t size() const;
   /// Entries that were displaced or refused because a shard was full.
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -54,7 +54,7 @@
   }
   const int max_holders_per_entry = payload.kind == Kind::votes ? 2 : max_holders;
   for (const auto& row : message.rows()) {
-    Line cache_entry{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
+    CacheEntry cache_entry{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
     if (row.weight() > 255)
       return reject("weight");
     if (row.holders_size() % numbers_per_holder != 0 ||
@@ -117,7 +117,7 @@
   return true;
 }
 
-bool Packer::add(const Line& cache_entry, Micros now) {
+bool Packer::add(const CacheEntry& cache_entry, Micros now) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (payload.rows_size() == max_entries)
     return false;
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -18,7 +18,7 @@
 enum class Kind { votes = 1, rows = 2, generations = 3, digest = 4, ask = 5 };
 
 /// A key with its holders, as a vote or as an advertised entry.
-struct Line {
+struct CacheEntry {
   KeyId key = 0;               ///< the key
   std::uint8_t weight = 0;     ///< logarithmic weight of the key
   std::vector<AdvertisedHolder> holders;  ///< at most 3, in votes 2; empty: withdrawn
@@ -30,7 +30,7 @@
   Tier tier = Tier::site;                              ///< the tier it belongs to
   Stamp stamp;                                         ///< orders votes
   std::vector<std::pair<NameId, CacheEpoch>> devices;  ///< devices with their cache epochs
-  std::vector<Line> lines;                             ///< votes or advertised entries
+  std::vector<CacheEntry> lines;                       ///< votes or advertised entries
   std::uint64_t digest = 0;                            ///< anti-entropy digest of the sender's cache epochs
 };
 
@@ -46,7 +46,7 @@
   Packer(Packer&&) noexcept;
   Packer& operator=(Packer&&) noexcept;
   /// Adds an entry with the devices it refers to; returns false if there is no room.
-  bool add(const Line& cache_entry, Micros now);
+  bool add(const CacheEntry& cache_entry, Micros now);
   /// Adds the cache epoch of a device; returns false if there is no room.
   bool add(NameId device, const CacheEpoch& epoch);
   /// Whether nothing was added.
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 using tiers::AdvertisedHolder;
+using tiers::CacheEntry;
 using tiers::Kind;
-using tiers::Line;
 using tiers::Packer;
 using tiers::Payload;
 using tiers::Tier;
@@ -157,7 +157,7 @@
 }
 
 TEST(Formats, WritesVotesAsBefore) {
-  Line line, taken_back;
+  CacheEntry line, taken_back;
   line.key = 0x7172737475767778;
   line.weight = 250;
   line.holders = {first_holder(), second_holder()};
@@ -200,7 +200,7 @@
 }
 
 TEST(Formats, WritesRowsAsBefore) {
-  Line line, other;
+  CacheEntry line, other;
   line.key = 0x7172737475767778;
   line.weight = 131;
   line.holders = {with_votes(first_holder(), first_contributor, 4),
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -141,9 +141,9 @@
   for (int round = 0; round < 300; ++round) {
     const bool votes = random() % 2;
     Packer packer(votes ? Kind::votes : Kind::rows, Tier::region, {random() >> 16, random()});
-    std::vector<Line> lines;
+    std::vector<CacheEntry> lines;
     while (true) {
-      Line line{random(), static_cast<std::uint8_t>(random()), {}};
+      CacheEntry line{random(), static_cast<std::uint8_t>(random()), {}};
       for (std::uint64_t n = random() % (votes ? 3 : 4), first = random() % 30; n > 0; --n)
         line.holders.push_back({first + n,
                                 {first + n, random() % 2 ? ~0ull : 0},
