--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -41,7 +41,7 @@
 }
 
 void CacheTier::receive_votes(Micros now, NameId contributor, const Payload& payload) {
-  for (const auto& cache_entry : payload.lines) {
+  for (const auto& cache_entry : payload.entries) {
     Vote vote{payload.stamp, {}, cache_entry.weight, now};
     for (const auto& holder : cache_entry.holders)
       vote.holders.push_back({holder.device, holder.epoch, holder.tokens, holder.confidence, holder.seen_at});
@@ -52,7 +52,7 @@
 bool CacheTier::receive_entries(Micros now, std::string_view from, const Payload& payload) {
   const auto sender = state_.hasher.name(from);
   bool changed = false;
-  for (const auto& cache_entry : payload.lines) {
+  for (const auto& cache_entry : payload.entries) {
     // A member may only advertise shards that it collects. An entry that is dropped because views differ for
     // a moment arrives with the next refresh.
     if (!shard_collectors_.is_collector(from, shard_of(cache_entry.key)))
@@ -70,7 +70,7 @@
     if (collector == state_.options.name) {
       Payload payload;
       payload.stamp = state_.next_stamp();
-      payload.lines.push_back(cache_entry);
+      payload.entries.push_back(cache_entry);
       receive_votes(now, state_.own_id, payload);
       continue;
     }
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -77,7 +77,7 @@
           {device, epoch, at(1), static_cast<std::uint8_t>(at(2)), now - at(3) * tenth_of_second,
            votes ? 0 : message.contributors(static_cast<int>(at(4))), static_cast<std::uint8_t>(at(5))});
     }
-    payload.lines.push_back(std::move(cache_entry));
+    payload.entries.push_back(std::move(cache_entry));
   }
   return payload;
 }
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -138,22 +138,22 @@
   const Payload votes = payload_of("tiers_votes.hex");
 
   expect_head(votes, Kind::votes);
-  ASSERT_EQ(votes.lines.size(), 2u);
-  EXPECT_EQ(votes.lines[0].key, 0x7172737475767778u);
-  EXPECT_EQ(votes.lines[0].weight, 250);
-  ASSERT_EQ(votes.lines[0].holders.size(), 2u);
-  expect_first_holder(votes.lines[0].holders[0]);
-  expect_second_holder(votes.lines[0].holders[1]);
-  expect_contributed(votes.lines[0].holders[1], 0, 0);
+  ASSERT_EQ(votes.entries.size(), 2u);
+  EXPECT_EQ(votes.entries[0].key, 0x7172737475767778u);
+  EXPECT_EQ(votes.entries[0].weight, 250);
+  ASSERT_EQ(votes.entries[0].holders.size(), 2u);
+  expect_first_holder(votes.entries[0].holders[0]);
+  expect_second_holder(votes.entries[0].holders[1]);
+  expect_contributed(votes.entries[0].holders[1], 0, 0);
 }
 
 TEST(Formats, ReadsBackAVoteThatIsTakenBack) {
   const Payload votes = payload_of("tiers_votes.hex");
 
-  ASSERT_EQ(votes.lines.size(), 2u);
-  EXPECT_EQ(votes.lines[1].key, 0x8182838485868788u);
-  EXPECT_EQ(votes.lines[1].weight, 9);
-  EXPECT_TRUE(votes.lines[1].holders.empty());
+  ASSERT_EQ(votes.entries.size(), 2u);
+  EXPECT_EQ(votes.entries[1].key, 0x8182838485868788u);
+  EXPECT_EQ(votes.entries[1].weight, 9);
+  EXPECT_TRUE(votes.entries[1].holders.empty());
 }
 
 TEST(Formats, WritesVotesAsBefore) {
@@ -175,18 +175,18 @@
   const Payload rows = payload_of("tiers_rows.hex");
 
   expect_head(rows, Kind::rows);
-  ASSERT_EQ(rows.lines.size(), 2u);
-  EXPECT_EQ(rows.lines[0].key, 0x7172737475767778u);
-  EXPECT_EQ(rows.lines[0].weight, 131);
-  EXPECT_EQ(rows.lines[1].key, 0x9192939495969798u);
-  EXPECT_EQ(rows.lines[1].weight, 77);
+  ASSERT_EQ(rows.entries.size(), 2u);
+  EXPECT_EQ(rows.entries[0].key, 0x7172737475767778u);
+  EXPECT_EQ(rows.entries[0].weight, 131);
+  EXPECT_EQ(rows.entries[1].key, 0x9192939495969798u);
+  EXPECT_EQ(rows.entries[1].weight, 77);
 }
 
 TEST(Formats, ReadsBackTheHoldersOfRows) {
   const Payload rows = payload_of("tiers_rows.hex");
 
-  ASSERT_EQ(rows.lines.size(), 2u);
-  const auto &holders = rows.lines[0].holders, &other_holders = rows.lines[1].holders;
+  ASSERT_EQ(rows.entries.size(), 2u);
+  const auto &holders = rows.entries[0].holders, &other_holders = rows.entries[1].holders;
   ASSERT_EQ(holders.size(), 3u);
   expect_first_holder(holders[0]);
   expect_contributed(holders[0], first_contributor, 4);
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -162,12 +162,12 @@
     const char* why = "";
     const auto payload = read(bytes, std::chrono::seconds(1000), why);
     ASSERT_TRUE(payload) << why;
-    ASSERT_EQ(payload->lines.size(), lines.size());
+    ASSERT_EQ(payload->entries.size(), lines.size());
     for (std::size_t i = 0; i < lines.size(); ++i) {
-      EXPECT_EQ(payload->lines[i].key, lines[i].key);
-      ASSERT_EQ(payload->lines[i].holders.size(), lines[i].holders.size());
+      EXPECT_EQ(payload->entries[i].key, lines[i].key);
+      ASSERT_EQ(payload->entries[i].holders.size(), lines[i].holders.size());
       for (std::size_t h = 0; h < lines[i].holders.size(); ++h) {
-        const auto &got = payload->lines[i].holders[h], &put = lines[i].holders[h];
+        const auto &got = payload->entries[i].holders[h], &put = lines[i].holders[h];
         EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens &&
                     got.contributor == put.contributor && got.vote_count == put.vote_count &&
                     got.confidence == put.confidence && got.seen_at == put.seen_at);
@@ -178,7 +178,7 @@
     for (int n = 0; n < 3; ++n)
       corrupted[random() % corrupted.size()] = static_cast<char>(random());
     if (const auto decoded = read(corrupted, std::chrono::seconds(1000), why)) {
-      for (const auto& line : decoded->lines)
+      for (const auto& line : decoded->entries)
         EXPECT_LE(line.holders.size(), max_holders);
     }
     read(std::string_view(bytes).substr(0, random() % bytes.size()), std::chrono::seconds(1000), why);
