--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -136,7 +136,7 @@
 }
 
 void TiersExtension::merge_epochs(const Payload& payload, Micros now) {
-  for (const auto& [device, epoch] : payload.devices) {
+  for (const auto& [device, epoch] : payload.device_epochs) {
     const auto* known_epoch = state_.epochs.find(device);
     const bool was_known = known_epoch != nullptr, same = was_known && *known_epoch == epoch;
     if (same)
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -50,7 +50,7 @@
   for (const auto& device : message.devices()) {
     if (device.name() == 0 || device.start() >= year_2100)
       return reject("device");
-    payload.devices.emplace_back(device.name(), CacheEpoch{device.start(), device.lanes()});
+    payload.device_epochs.emplace_back(device.name(), CacheEpoch{device.start(), device.lanes()});
   }
   const int max_holders_per_entry = payload.kind == Kind::votes ? 2 : max_holders;
   for (const auto& row : message.rows()) {
@@ -62,14 +62,14 @@
       return reject("holders");
     for (int i = 0; i < row.holders_size(); i += numbers_per_holder) {
       const auto at = [&](int field) { return row.holders(i + field); };
-      if (at(0) >= payload.devices.size())
+      if (at(0) >= payload.device_epochs.size())
         return reject("index");
       const bool votes = payload.kind == Kind::votes;
       if (!votes && at(4) >= static_cast<std::uint32_t>(message.contributors_size()))
         return reject("index");
       if (at(1) == 0 || at(1) > max_tokens || at(2) > 255 || at(3) > max_tenths || at(5) > VoteSet::max_votes)
         return reject("holder");
-      const auto& [device, epoch] = payload.devices[at(0)];
+      const auto& [device, epoch] = payload.device_epochs[at(0)];
       for (const auto& other : cache_entry.holders)
         if (other.device == device)
           return reject("twice");
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -29,7 +29,7 @@
   Kind kind = Kind::generations;                       ///< its kind
   Tier tier = Tier::site;                              ///< the tier it belongs to
   Stamp stamp;                                         ///< orders votes
-  std::vector<std::pair<NameId, CacheEpoch>> devices;  ///< devices with their cache epochs
+  std::vector<std::pair<NameId, CacheEpoch>> device_epochs;  ///< devices with their cache epochs
   std::vector<CacheEntry> entries;                     ///< votes or advertised entries
   std::uint64_t digest = 0;                            ///< anti-entropy digest of the sender's cache epochs
 };
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -221,13 +221,13 @@
   const Payload generations = payload_of("tiers_generations.hex");
 
   expect_head(generations, Kind::generations);
-  ASSERT_EQ(generations.devices.size(), 2u);
-  EXPECT_EQ(generations.devices[0].first, first_device);
-  EXPECT_EQ(generations.devices[0].second.start, 1764683711111111u);
-  EXPECT_EQ(generations.devices[0].second.loss_counts, 0x0001000200030004u);
-  EXPECT_EQ(generations.devices[1].first, third_device);
-  EXPECT_EQ(generations.devices[1].second.start, 1764683733333333u);
-  EXPECT_EQ(generations.devices[1].second.loss_counts, 0x0009000a000b000cu);
+  ASSERT_EQ(generations.device_epochs.size(), 2u);
+  EXPECT_EQ(generations.device_epochs[0].first, first_device);
+  EXPECT_EQ(generations.device_epochs[0].second.start, 1764683711111111u);
+  EXPECT_EQ(generations.device_epochs[0].second.loss_counts, 0x0001000200030004u);
+  EXPECT_EQ(generations.device_epochs[1].first, third_device);
+  EXPECT_EQ(generations.device_epochs[1].second.start, 1764683733333333u);
+  EXPECT_EQ(generations.device_epochs[1].second.loss_counts, 0x0009000a000b000cu);
 }
 
 TEST(Formats, WritesGenerationsAsBefore) {
