--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -147,7 +147,7 @@
     return;
   }
   for (std::size_t i = 0; i < max_payloads_per_tick && push_budget_.remaining() > 0; ++i) {
-    Packer packer(Kind::rows, tier_, {});
+    Packer packer(Kind::entries, tier_, {});
     for (const auto* cache_entry :
          advertised_.due(now, state_.options.limits.repeat, max_entries_per_payload)) {
       if (!packer.add(*cache_entry, now))
@@ -180,7 +180,7 @@
       continue;
     ++served;
     for (std::size_t i = 0; i < max_payloads_per_request && request.open; ++i) {
-      Packer packer(Kind::rows, tier_, {});
+      Packer packer(Kind::entries, tier_, {});
       // Includes received entries: a head that has just restarted has none, but the next collector in rank
       // has received them.
       const auto cache_entries = received_.entries_after(
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -168,7 +168,7 @@
     case Kind::votes:
       tier.receive_votes(now, state_.hasher.name(from), *payload);
       break;
-    case Kind::rows:
+    case Kind::entries:
       hints_changed_ |= tier.receive_entries(now, from, *payload);
       break;
     case Kind::ask:
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -174,7 +174,7 @@
 TEST(Formats, ReadsBackRows) {
   const Payload rows = payload_of("tiers_rows.hex");
 
-  expect_head(rows, Kind::rows);
+  expect_head(rows, Kind::entries);
   ASSERT_EQ(rows.entries.size(), 2u);
   EXPECT_EQ(rows.entries[0].key, 0x7172737475767778u);
   EXPECT_EQ(rows.entries[0].weight, 131);
@@ -209,7 +209,7 @@
   other.key = 0x9192939495969798;
   other.weight = 77;
   other.holders = {with_votes(second_holder(), second_contributor, 3)};
-  Packer packer(Kind::rows, Tier::region, stamp());
+  Packer packer(Kind::entries, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(line, now));
   ASSERT_TRUE(packer.add(other, now));
--- a/tests/tiers/hint_map_test.cpp
+++ b/tests/tiers/hint_map_test.cpp
@@ -271,7 +271,7 @@
   options.sites = 2;
   SimulatedNetwork network(options);
   network.run(seconds(1));
-  Packer rows(Kind::rows, Tier::site, {});
+  Packer rows(Kind::entries, Tier::site, {});
   rows.add({IdHasher(4711).session(5),
             9,
             {{IdHasher(4711).name("d1"), {10'000'000, 0}, 500, 255, network.now(), 1, 1}}},
