--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -159,7 +159,7 @@
   traffic.bytes_in += bytes.size();
   auto& tier = payload->tier == Tier::site ? site_ : region_;
   const bool is_member = tier.shard_collectors().is_member(from);
-  if (!is_member && payload->kind != Kind::generations && payload->kind != Kind::digest) {
+  if (!is_member && payload->kind != Kind::epochs && payload->kind != Kind::digest) {
     ++state_.dropped["stranger"];
     return;
   }
@@ -179,7 +179,7 @@
       if (payload->digest != state_.epochs.digest() && epoch_budget_.remaining() > 0)
         send_epochs(from, state_.epochs.slice(epoch_cursor_, max_epochs_per_payload), out);
       break;
-    case Kind::generations:
+    case Kind::epochs:
       break;
   }
   if (due_ == Micros{})
@@ -189,7 +189,7 @@
 void TiersExtension::send_epochs(std::string_view to,
                                  const std::vector<std::pair<NameId, CacheEpoch>>& epochs,
                                  peers::Outbox& out) {
-  Packer packer(Kind::generations, Tier::site, {});
+  Packer packer(Kind::epochs, Tier::site, {});
   for (const auto& [device, epoch] : epochs)
     packer.add(device, epoch);
   if (packer.empty())
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -15,7 +15,7 @@
 
 /// Kind of a payload: votes for collectors, advertised entries, cache epochs, an anti-entropy digest of all
 /// cache epochs, or a request for advertised entries. The numbers are those of proto/tiers.proto.
-enum class Kind { votes = 1, entries = 2, generations = 3, digest = 4, ask = 5 };
+enum class Kind { votes = 1, entries = 2, epochs = 3, digest = 4, ask = 5 };
 
 /// A key with its holders, as a vote or as an advertised entry.
 struct CacheEntry {
@@ -26,7 +26,7 @@
 
 /// A decoded payload. Times are on this router's clock.
 struct Payload {
-  Kind kind = Kind::generations;                       ///< its kind
+  Kind kind = Kind::epochs;                            ///< its kind
   Tier tier = Tier::site;                              ///< the tier it belongs to
   Stamp stamp;                                         ///< orders votes
   std::vector<std::pair<NameId, CacheEpoch>> device_epochs;  ///< devices with their cache epochs
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -220,7 +220,7 @@
 TEST(Formats, ReadsBackGenerations) {
   const Payload generations = payload_of("tiers_generations.hex");
 
-  expect_head(generations, Kind::generations);
+  expect_head(generations, Kind::epochs);
   ASSERT_EQ(generations.device_epochs.size(), 2u);
   EXPECT_EQ(generations.device_epochs[0].first, first_device);
   EXPECT_EQ(generations.device_epochs[0].second.start, 1764683711111111u);
@@ -231,7 +231,7 @@
 }
 
 TEST(Formats, WritesGenerationsAsBefore) {
-  Packer packer(Kind::generations, Tier::region, stamp());
+  Packer packer(Kind::epochs, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(first_device, first_generation));
   ASSERT_TRUE(packer.add(third_device, third_generation));
--- a/tests/tiers/hint_map_test.cpp
+++ b/tests/tiers/hint_map_test.cpp
@@ -221,7 +221,7 @@
   std::size_t invalidations = 0;
   Micros last{};
   for (std::uint16_t count = 1; count <= 600; ++count) {
-    Packer packer(Kind::generations, Tier::site, {});
+    Packer packer(Kind::epochs, Tier::site, {});
     for (std::size_t d = 0; d < 10; ++d)
       packer.add(hasher.name(network.device(d).name), {10'000'000, std::uint64_t{count} << 32});
     network.send_forged(2, 8, packer.bytes());
