--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -213,7 +213,7 @@
         heads.push_back(collector);
       break;
     }
-  const auto bytes = Packer(Kind::ask, tier_, {}).bytes();
+  const auto bytes = Packer(Kind::entries_request, tier_, {}).bytes();
   for (const auto& head : heads)
     state_.send("asks", out, head, bytes);
 }
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -171,7 +171,7 @@
     case Kind::entries:
       hints_changed_ |= tier.receive_entries(now, from, *payload);
       break;
-    case Kind::ask:
+    case Kind::entries_request:
       tier.receive_request(now, from);
       break;
     case Kind::digest:
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -15,7 +15,7 @@
 
 /// Kind of a payload: votes for collectors, advertised entries, cache epochs, an anti-entropy digest of all
 /// cache epochs, or a request for advertised entries. The numbers are those of proto/tiers.proto.
-enum class Kind { votes = 1, entries = 2, epochs = 3, digest = 4, ask = 5 };
+enum class Kind { votes = 1, entries = 2, epochs = 3, digest = 4, entries_request = 5 };
 
 /// A key with its holders, as a vote or as an advertised entry.
 struct CacheEntry {
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -252,11 +252,11 @@
 TEST(Formats, ReadsBackAnAskForRows) {
   const Payload payload = payload_of("tiers_ask.hex");
 
-  expect_head(payload, Kind::ask);
+  expect_head(payload, Kind::entries_request);
 }
 
 TEST(Formats, WritesAnAskForRowsAsBefore) {
-  expect_written(Packer(Kind::ask, Tier::region, stamp()), "tiers_ask.hex");
+  expect_written(Packer(Kind::entries_request, Tier::region, stamp()), "tiers_ask.hex");
 }
 
 }  // namespace
