--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -159,27 +159,27 @@
   traffic.bytes_in += bytes.size();
   auto& tier = payload->tier == Tier::site ? site_ : region_;
   const bool is_member = tier.shard_collectors().is_member(from);
-  if (!is_member && payload->kind != Kind::epochs && payload->kind != Kind::digest) {
+  if (!is_member && payload->kind != PayloadKind::epochs && payload->kind != PayloadKind::digest) {
     ++state_.dropped["stranger"];
     return;
   }
   merge_epochs(*payload, now);
   switch (payload->kind) {
-    case Kind::votes:
+    case PayloadKind::votes:
       tier.receive_votes(now, state_.hasher.name(from), *payload);
       break;
-    case Kind::entries:
+    case PayloadKind::entries:
       hints_changed_ |= tier.receive_entries(now, from, *payload);
       break;
-    case Kind::entries_request:
+    case PayloadKind::entries_request:
       tier.receive_request(now, from);
       break;
-    case Kind::digest:
+    case PayloadKind::digest:
       epoch_budget_.refill(now);
       if (payload->digest != state_.epochs.digest() && epoch_budget_.remaining() > 0)
         send_epochs(from, state_.epochs.slice(epoch_cursor_, max_epochs_per_payload), out);
       break;
-    case Kind::epochs:
+    case PayloadKind::epochs:
       break;
   }
   if (due_ == Micros{})
@@ -189,7 +189,7 @@
 void TiersExtension::send_epochs(std::string_view to,
                                  const std::vector<std::pair<NameId, CacheEpoch>>& epochs,
                                  peers::Outbox& out) {
-  Packer packer(Kind::epochs, Tier::site, {});
+  Packer packer(PayloadKind::epochs, Tier::site, {});
   for (const auto& [device, epoch] : epochs)
     packer.add(device, epoch);
   if (packer.empty())
@@ -218,7 +218,8 @@
     return;
   digest_sent_at_ = now;
   for (const auto& to : gossip_.draw_members(members_, state_.options.name, 1))
-    state_.send("digests", out, to, Packer(Kind::digest, Tier::site, {}).bytes(state_.epochs.digest()));
+    state_.send("digests", out, to,
+                Packer(PayloadKind::digest, Tier::site, {}).bytes(state_.epochs.digest()));
 }
 
 void TiersExtension::send_votes(Micros now, peers::Outbox& out) {
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -43,7 +43,7 @@
   if (message.start() >= year_2100)
     return reject("start");
   Payload payload;
-  payload.kind = static_cast<Kind>(message.kind());
+  payload.kind = static_cast<PayloadKind>(message.kind());
   payload.tier = static_cast<Tier>(message.tier());
   payload.stamp = {message.start(), message.number()};
   payload.digest = message.digest();
@@ -52,7 +52,7 @@
       return reject("device");
     payload.device_epochs.emplace_back(device.name(), CacheEpoch{device.start(), device.lanes()});
   }
-  const int max_holders_per_entry = payload.kind == Kind::votes ? 2 : max_holders;
+  const int max_holders_per_entry = payload.kind == PayloadKind::votes ? 2 : max_holders;
   for (const auto& row : message.rows()) {
     CacheEntry cache_entry{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
     if (row.weight() > 255)
@@ -64,7 +64,7 @@
       const auto at = [&](int field) { return row.holders(i + field); };
       if (at(0) >= payload.device_epochs.size())
         return reject("index");
-      const bool votes = payload.kind == Kind::votes;
+      const bool votes = payload.kind == PayloadKind::votes;
       if (!votes && at(4) >= static_cast<std::uint32_t>(message.contributors_size()))
         return reject("index");
       if (at(1) == 0 || at(1) > max_tokens || at(2) > 255 || at(3) > max_tenths || at(5) > VoteSet::max_votes)
@@ -88,7 +88,7 @@
   std::size_t bytes = max_header_bytes;
 };
 
-Packer::Packer(Kind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
+Packer::Packer(PayloadKind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
   auto& payload = parts_->payload;
   payload.set_version(version);
   payload.set_kind(static_cast<v1::Kind>(kind));
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -15,7 +15,7 @@
 
 /// Kind of a payload: votes for collectors, advertised entries, cache epochs, an anti-entropy digest of all
 /// cache epochs, or a request for advertised entries. The numbers are those of proto/tiers.proto.
-enum class Kind { votes = 1, entries = 2, epochs = 3, digest = 4, entries_request = 5 };
+enum class PayloadKind { votes = 1, entries = 2, epochs = 3, digest = 4, entries_request = 5 };
 
 /// A key with its holders, as a vote or as an advertised entry.
 struct CacheEntry {
@@ -26,7 +26,7 @@
 
 /// A decoded payload. Times are on this router's clock.
 struct Payload {
-  Kind kind = Kind::epochs;                            ///< its kind
+  PayloadKind kind = PayloadKind::epochs;              ///< its kind
   Tier tier = Tier::site;                              ///< the tier it belongs to
   Stamp stamp;                                         ///< orders votes
   std::vector<std::pair<NameId, CacheEpoch>> device_epochs;  ///< devices with their cache epochs
@@ -41,7 +41,7 @@
 /// Fills one payload with entries or cache epochs until it is full.
 class Packer {
  public:
-  Packer(Kind kind, Tier tier, Stamp stamp);
+  Packer(PayloadKind kind, Tier tier, Stamp stamp);
   ~Packer();
   Packer(Packer&&) noexcept;
   Packer& operator=(Packer&&) noexcept;
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -9,9 +9,9 @@
 
 using tiers::AdvertisedHolder;
 using tiers::CacheEntry;
-using tiers::Kind;
 using tiers::Packer;
 using tiers::Payload;
+using tiers::PayloadKind;
 using tiers::Tier;
 
 constexpr std::uint64_t digest = 0x1112131415161718;
@@ -122,7 +122,7 @@
   return payload.value_or(Payload{});
 }
 
-void expect_head(const Payload& payload, Kind kind) {
+void expect_head(const Payload& payload, PayloadKind kind) {
   EXPECT_EQ(payload.kind, kind);
   EXPECT_EQ(payload.tier, Tier::region);
   EXPECT_EQ(payload.stamp.start, 1764683700000001u);
@@ -137,7 +137,7 @@
 TEST(Formats, ReadsBackVotes) {
   const Payload votes = payload_of("tiers_votes.hex");
 
-  expect_head(votes, Kind::votes);
+  expect_head(votes, PayloadKind::votes);
   ASSERT_EQ(votes.entries.size(), 2u);
   EXPECT_EQ(votes.entries[0].key, 0x7172737475767778u);
   EXPECT_EQ(votes.entries[0].weight, 250);
@@ -163,7 +163,7 @@
   line.holders = {first_holder(), second_holder()};
   taken_back.key = 0x8182838485868788;
   taken_back.weight = 9;
-  Packer packer(Kind::votes, Tier::region, stamp());
+  Packer packer(PayloadKind::votes, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(line, now));
   ASSERT_TRUE(packer.add(taken_back, now));
@@ -174,7 +174,7 @@
 TEST(Formats, ReadsBackRows) {
   const Payload rows = payload_of("tiers_rows.hex");
 
-  expect_head(rows, Kind::entries);
+  expect_head(rows, PayloadKind::entries);
   ASSERT_EQ(rows.entries.size(), 2u);
   EXPECT_EQ(rows.entries[0].key, 0x7172737475767778u);
   EXPECT_EQ(rows.entries[0].weight, 131);
@@ -209,7 +209,7 @@
   other.key = 0x9192939495969798;
   other.weight = 77;
   other.holders = {with_votes(second_holder(), second_contributor, 3)};
-  Packer packer(Kind::entries, Tier::region, stamp());
+  Packer packer(PayloadKind::entries, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(line, now));
   ASSERT_TRUE(packer.add(other, now));
@@ -220,7 +220,7 @@
 TEST(Formats, ReadsBackGenerations) {
   const Payload generations = payload_of("tiers_generations.hex");
 
-  expect_head(generations, Kind::epochs);
+  expect_head(generations, PayloadKind::epochs);
   ASSERT_EQ(generations.device_epochs.size(), 2u);
   EXPECT_EQ(generations.device_epochs[0].first, first_device);
   EXPECT_EQ(generations.device_epochs[0].second.start, 1764683711111111u);
@@ -231,7 +231,7 @@
 }
 
 TEST(Formats, WritesGenerationsAsBefore) {
-  Packer packer(Kind::epochs, Tier::region, stamp());
+  Packer packer(PayloadKind::epochs, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(first_device, first_generation));
   ASSERT_TRUE(packer.add(third_device, third_generation));
@@ -242,21 +242,21 @@
 TEST(Formats, ReadsBackADigestOfGenerations) {
   const Payload payload = payload_of("tiers_digest.hex");
 
-  expect_head(payload, Kind::digest);
+  expect_head(payload, PayloadKind::digest);
 }
 
 TEST(Formats, WritesADigestOfGenerationsAsBefore) {
-  expect_written(Packer(Kind::digest, Tier::region, stamp()), "tiers_digest.hex");
+  expect_written(Packer(PayloadKind::digest, Tier::region, stamp()), "tiers_digest.hex");
 }
 
 TEST(Formats, ReadsBackAnAskForRows) {
   const Payload payload = payload_of("tiers_ask.hex");
 
-  expect_head(payload, Kind::entries_request);
+  expect_head(payload, PayloadKind::entries_request);
 }
 
 TEST(Formats, WritesAnAskForRowsAsBefore) {
-  expect_written(Packer(Kind::entries_request, Tier::region, stamp()), "tiers_ask.hex");
+  expect_written(Packer(PayloadKind::entries_request, Tier::region, stamp()), "tiers_ask.hex");
 }
 
 }  // namespace
