--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -76,13 +76,14 @@
     }
     auto at = batch.packers.find(collector);
     if (at == batch.packers.end())
-      at = batch.packers.emplace(collector, Packer(PayloadKind::votes, tier_, state_.next_stamp())).first;
+      at = batch.packers.emplace(collector, PayloadEncoder(PayloadKind::votes, tier_, state_.next_stamp()))
+               .first;
     if (at->second.add(cache_entry, now))
       continue;
     const auto bytes = at->second.bytes();
     budget.spend(bytes.size());
     state_.send("votes", out, collector, bytes);
-    at->second = Packer(PayloadKind::votes, tier_, state_.next_stamp());
+    at->second = PayloadEncoder(PayloadKind::votes, tier_, state_.next_stamp());
     at->second.add(cache_entry, now);
   }
 }
@@ -147,7 +148,7 @@
     return;
   }
   for (std::size_t i = 0; i < max_payloads_per_tick && push_budget_.remaining() > 0; ++i) {
-    Packer packer(PayloadKind::entries, tier_, {});
+    PayloadEncoder packer(PayloadKind::entries, tier_, {});
     for (const auto* cache_entry :
          advertised_.due(now, state_.options.limits.repeat, max_entries_per_payload)) {
       if (!packer.add(*cache_entry, now))
@@ -180,7 +181,7 @@
       continue;
     ++served;
     for (std::size_t i = 0; i < max_payloads_per_request && request.open; ++i) {
-      Packer packer(PayloadKind::entries, tier_, {});
+      PayloadEncoder packer(PayloadKind::entries, tier_, {});
       // Includes received entries: a head that has just restarted has none, but the next collector in rank
       // has received them.
       const auto cache_entries = received_.entries_after(
@@ -213,7 +214,7 @@
         heads.push_back(collector);
       break;
     }
-  const auto bytes = Packer(PayloadKind::entries_request, tier_, {}).bytes();
+  const auto bytes = PayloadEncoder(PayloadKind::entries_request, tier_, {}).bytes();
   for (const auto& head : heads)
     state_.send("asks", out, head, bytes);
 }
--- a/src/tiers/exchange/cache_tier.h
+++ b/src/tiers/exchange/cache_tier.h
@@ -35,7 +35,7 @@
 
   /// Payloads of votes that are still being filled, by collector.
   struct VoteBatch {
-    std::unordered_map<std::string, Packer> packers;  ///< by collector
+    std::unordered_map<std::string, PayloadEncoder> packers;  ///< by collector
   };
   /// Adds a vote of this router for each of the key's collectors. Stores it at once if this router is one of
   /// them; the open payloads are sent by `flush`.
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -189,7 +189,7 @@
 void TiersExtension::send_epochs(std::string_view to,
                                  const std::vector<std::pair<NameId, CacheEpoch>>& epochs,
                                  peers::Outbox& out) {
-  Packer packer(PayloadKind::epochs, Tier::site, {});
+  PayloadEncoder packer(PayloadKind::epochs, Tier::site, {});
   for (const auto& [device, epoch] : epochs)
     packer.add(device, epoch);
   if (packer.empty())
@@ -219,7 +219,7 @@
   digest_sent_at_ = now;
   for (const auto& to : gossip_.draw_members(members_, state_.options.name, 1))
     state_.send("digests", out, to,
-                Packer(PayloadKind::digest, Tier::site, {}).bytes(state_.epochs.digest()));
+                PayloadEncoder(PayloadKind::digest, Tier::site, {}).bytes(state_.epochs.digest()));
 }
 
 void TiersExtension::send_votes(Micros now, peers::Outbox& out) {
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -82,13 +82,13 @@
   return payload;
 }
 
-struct Packer::Parts {
+struct PayloadEncoder::Parts {
   v1::Payload payload;
   std::unordered_map<NameId, std::uint32_t> devices, contributors;
   std::size_t bytes = max_header_bytes;
 };
 
-Packer::Packer(PayloadKind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
+PayloadEncoder::PayloadEncoder(PayloadKind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
   auto& payload = parts_->payload;
   payload.set_version(version);
   payload.set_kind(static_cast<v1::Kind>(kind));
@@ -96,11 +96,11 @@
   payload.set_start(stamp.start);
   payload.set_number(stamp.number);
 }
-Packer::~Packer() = default;
-Packer::Packer(Packer&&) noexcept = default;
-Packer& Packer::operator=(Packer&&) noexcept = default;
+PayloadEncoder::~PayloadEncoder() = default;
+PayloadEncoder::PayloadEncoder(PayloadEncoder&&) noexcept = default;
+PayloadEncoder& PayloadEncoder::operator=(PayloadEncoder&&) noexcept = default;
 
-bool Packer::add(NameId device, const CacheEpoch& epoch) {
+bool PayloadEncoder::add(NameId device, const CacheEpoch& epoch) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (devices.count(device))
     return true;
@@ -117,7 +117,7 @@
   return true;
 }
 
-bool Packer::add(const CacheEntry& cache_entry, Micros now) {
+bool PayloadEncoder::add(const CacheEntry& cache_entry, Micros now) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (payload.rows_size() == max_entries)
     return false;
@@ -161,11 +161,11 @@
   return true;
 }
 
-bool Packer::empty() const {
+bool PayloadEncoder::empty() const {
   return parts_->devices.empty() && parts_->payload.rows_size() == 0;
 }
 
-std::string Packer::bytes(std::uint64_t digest) const {
+std::string PayloadEncoder::bytes(std::uint64_t digest) const {
   parts_->payload.set_digest(digest);
   return parts_->payload.SerializeAsString();
 }
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -39,12 +39,12 @@
 std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why);
 
 /// Fills one payload with entries or cache epochs until it is full.
-class Packer {
+class PayloadEncoder {
  public:
-  Packer(PayloadKind kind, Tier tier, Stamp stamp);
-  ~Packer();
-  Packer(Packer&&) noexcept;
-  Packer& operator=(Packer&&) noexcept;
+  PayloadEncoder(PayloadKind kind, Tier tier, Stamp stamp);
+  ~PayloadEncoder();
+  PayloadEncoder(PayloadEncoder&&) noexcept;
+  PayloadEncoder& operator=(PayloadEncoder&&) noexcept;
   /// Adds an entry with the devices it refers to; returns false if there is no room.
   bool add(const CacheEntry& cache_entry, Micros now);
   /// Adds the cache epoch of a device; returns false if there is no room.
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -9,8 +9,8 @@
 
 using tiers::AdvertisedHolder;
 using tiers::CacheEntry;
-using tiers::Packer;
 using tiers::Payload;
+using tiers::PayloadEncoder;
 using tiers::PayloadKind;
 using tiers::Tier;
 
@@ -130,7 +130,7 @@
   EXPECT_EQ(payload.digest, digest);
 }
 
-void expect_written(const Packer& packer, const std::string& fixture) {
+void expect_written(const PayloadEncoder& packer, const std::string& fixture) {
   EXPECT_EQ(hex_lines(packer.bytes(digest)), text_fixture(fixture));
 }
 
@@ -163,7 +163,7 @@
   line.holders = {first_holder(), second_holder()};
   taken_back.key = 0x8182838485868788;
   taken_back.weight = 9;
-  Packer packer(PayloadKind::votes, Tier::region, stamp());
+  PayloadEncoder packer(PayloadKind::votes, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(line, now));
   ASSERT_TRUE(packer.add(taken_back, now));
@@ -209,7 +209,7 @@
   other.key = 0x9192939495969798;
   other.weight = 77;
   other.holders = {with_votes(second_holder(), second_contributor, 3)};
-  Packer packer(PayloadKind::entries, Tier::region, stamp());
+  PayloadEncoder packer(PayloadKind::entries, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(line, now));
   ASSERT_TRUE(packer.add(other, now));
@@ -231,7 +231,7 @@
 }
 
 TEST(Formats, WritesGenerationsAsBefore) {
-  Packer packer(PayloadKind::epochs, Tier::region, stamp());
+  PayloadEncoder packer(PayloadKind::epochs, Tier::region, stamp());
 
   ASSERT_TRUE(packer.add(first_device, first_generation));
   ASSERT_TRUE(packer.add(third_device, third_generation));
@@ -246,7 +246,7 @@
 }
 
 TEST(Formats, WritesADigestOfGenerationsAsBefore) {
-  expect_written(Packer(PayloadKind::digest, Tier::region, stamp()), "tiers_digest.hex");
+  expect_written(PayloadEncoder(PayloadKind::digest, Tier::region, stamp()), "tiers_digest.hex");
 }
 
 TEST(Formats, ReadsBackAnAskForRows) {
@@ -256,7 +256,7 @@
 }
 
 TEST(Formats, WritesAnAskForRowsAsBefore) {
-  expect_written(Packer(PayloadKind::entries_request, Tier::region, stamp()), "tiers_ask.hex");
+  expect_written(PayloadEncoder(PayloadKind::entries_request, Tier::region, stamp()), "tiers_ask.hex");
 }
 
 }  // namespace
--- a/tests/tiers/hint_map_test.cpp
+++ b/tests/tiers/hint_map_test.cpp
@@ -221,7 +221,7 @@
   std::size_t invalidations = 0;
   Micros last{};
   for (std::uint16_t count = 1; count <= 600; ++count) {
-    Packer packer(PayloadKind::epochs, Tier::site, {});
+    PayloadEncoder packer(PayloadKind::epochs, Tier::site, {});
     for (std::size_t d = 0; d < 10; ++d)
       packer.add(hasher.name(network.device(d).name), {10'000'000, std::uint64_t{count} << 32});
     network.send_forged(2, 8, packer.bytes());
@@ -271,7 +271,7 @@
   options.sites = 2;
   SimulatedNetwork network(options);
   network.run(seconds(1));
-  Packer rows(PayloadKind::entries, Tier::site, {});
+  PayloadEncoder rows(PayloadKind::entries, Tier::site, {});
   rows.add({IdHasher(4711).session(5),
             9,
             {{IdHasher(4711).name("d1"), {10'000'000, 0}, 500, 255, network.now(), 1, 1}}},
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -140,8 +140,8 @@
   Random random(6);
   for (int round = 0; round < 300; ++round) {
     const bool votes = random() % 2;
-    Packer packer(votes ? PayloadKind::votes : PayloadKind::entries, Tier::region,
-                  {random() >> 16, random()});
+    PayloadEncoder packer(votes ? PayloadKind::votes : PayloadKind::entries, Tier::region,
+                          {random() >> 16, random()});
     std::vector<CacheEntry> lines;
     while (true) {
       CacheEntry line{random(), static_cast<std::uint8_t>(random()), {}};
