--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -80,7 +80,7 @@
                .first;
     if (at->second.add(cache_entry, now))
       continue;
-    const auto bytes = at->second.bytes();
+    const auto bytes = at->second.encode();
     budget.spend(bytes.size());
     state_.send("votes", out, collector, bytes);
     at->second = PayloadEncoder(PayloadKind::votes, tier_, state_.next_stamp());
@@ -92,7 +92,7 @@
   for (auto& [collector, packer] : batch.packers) {
     if (packer.empty())
       continue;
-    const auto bytes = packer.bytes();
+    const auto bytes = packer.encode();
     budget.spend(bytes.size());
     state_.send("votes", out, collector, bytes);
   }
@@ -157,7 +157,7 @@
     }
     if (packer.empty())
       return;
-    const auto bytes = packer.bytes();
+    const auto bytes = packer.encode();
     push_budget_.spend(bytes.size() * receivers);
     for (const auto& member : shard_collectors_.members())
       if (member != state_.options.name)
@@ -197,7 +197,7 @@
       request.open = packed < cache_entries.size() || cache_entries.size() == max_entries_per_payload;
       if (packer.empty())
         break;
-      const auto bytes = packer.bytes();
+      const auto bytes = packer.encode();
       push_budget_.spend(bytes.size());
       state_.send(traffic_kind(), out, name, bytes);
     }
@@ -214,7 +214,7 @@
         heads.push_back(collector);
       break;
     }
-  const auto bytes = PayloadEncoder(PayloadKind::entries_request, tier_, {}).bytes();
+  const auto bytes = PayloadEncoder(PayloadKind::entries_request, tier_, {}).encode();
   for (const auto& head : heads)
     state_.send("asks", out, head, bytes);
 }
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -194,7 +194,7 @@
     packer.add(device, epoch);
   if (packer.empty())
     return;
-  const auto bytes = packer.bytes();
+  const auto bytes = packer.encode();
   epoch_budget_.spend(bytes.size());
   state_.send("eras", out, to, bytes);
 }
@@ -219,7 +219,7 @@
   digest_sent_at_ = now;
   for (const auto& to : gossip_.draw_members(members_, state_.options.name, 1))
     state_.send("digests", out, to,
-                PayloadEncoder(PayloadKind::digest, Tier::site, {}).bytes(state_.epochs.digest()));
+                PayloadEncoder(PayloadKind::digest, Tier::site, {}).encode(state_.epochs.digest()));
 }
 
 void TiersExtension::send_votes(Micros now, peers::Outbox& out) {
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -165,7 +165,7 @@
   return parts_->devices.empty() && parts_->payload.rows_size() == 0;
 }
 
-std::string PayloadEncoder::bytes(std::uint64_t digest) const {
+std::string PayloadEncoder::encode(std::uint64_t digest) const {
   parts_->payload.set_digest(digest);
   return parts_->payload.SerializeAsString();
 }
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -52,7 +52,7 @@
   /// Whether nothing was added.
   bool empty() const;
   /// Returns the encoded payload.
-  std::string bytes(std::uint64_t digest = 0) const;
+  std::string encode(std::uint64_t digest = 0) const;
 
  private:
   struct Parts;
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -131,7 +131,7 @@
 }
 
 void expect_written(const PayloadEncoder& packer, const std::string& fixture) {
-  EXPECT_EQ(hex_lines(packer.bytes(digest)), text_fixture(fixture));
+  EXPECT_EQ(hex_lines(packer.encode(digest)), text_fixture(fixture));
 }
 
 TEST(Formats, ReadsBackVotes) {
--- a/tests/tiers/hint_map_test.cpp
+++ b/tests/tiers/hint_map_test.cpp
@@ -224,7 +224,7 @@
     PayloadEncoder packer(PayloadKind::epochs, Tier::site, {});
     for (std::size_t d = 0; d < 10; ++d)
       packer.add(hasher.name(network.device(d).name), {10'000'000, std::uint64_t{count} << 32});
-    network.send_forged(2, 8, packer.bytes());
+    network.send_forged(2, 8, packer.encode());
     network.run(milliseconds(100));
     const auto lost = network.at(8).map()->cache_lost_at(network.device(0));
     if (lost != last)
@@ -278,7 +278,7 @@
            network.now());
   network.send_forged(0, 2, "no payload");
   network.send_forged(0, 2, std::string(900, '\xff'));
-  network.send_forged(1, 2, rows.bytes());  // from a router of the other site
+  network.send_forged(1, 2, rows.encode());  // from a router of the other site
   network.run(seconds(1));
   const auto description = network.at(2).describe(network.now());
   EXPECT_EQ(description["dropped"]["unreadable"], 2);
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -157,7 +157,7 @@
         break;
       lines.push_back(line);
     }
-    const auto bytes = packer.bytes(random());
+    const auto bytes = packer.encode(random());
     ASSERT_LE(bytes.size(), peers::Outbox::max_payload_bytes);
     EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the size estimate leaves little room unused
     const char* why = "";
