--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -148,7 +148,7 @@
 
 void TiersExtension::receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) {
   const char* why = "";
-  const auto payload = read(bytes, now, why);
+  const auto payload = decode_payload(bytes, now, why);
   if (!payload) {
     ++state_.dropped[why];
     return;
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -23,7 +23,7 @@
 }
 }  // namespace
 
-std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why) {
+std::optional<Payload> decode_payload(std::string_view bytes, Micros now, const char*& why) {
   const auto reject = [&](const char* reason) {
     why = reason;
     return std::nullopt;
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -36,7 +36,7 @@
 
 /// Decodes a payload. Rejects it as a whole if any field exceeds its bound; `why` is then the name of the
 /// counter of dropped payloads.
-std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why);
+std::optional<Payload> decode_payload(std::string_view bytes, Micros now, const char*& why);
 
 /// Fills one payload with entries or cache epochs until it is full.
 class PayloadEncoder {
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -117,7 +117,7 @@
 // The payload of a fixture, or one with no field set and a failure where it can't be read.
 Payload payload_of(const std::string& fixture) {
   const char* why = "";
-  const auto payload = tiers::read(binary_fixture(fixture), now, why);
+  const auto payload = tiers::decode_payload(binary_fixture(fixture), now, why);
   EXPECT_TRUE(payload) << why;
   return payload.value_or(Payload{});
 }
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -161,7 +161,7 @@
     ASSERT_LE(bytes.size(), peers::Outbox::max_payload_bytes);
     EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the size estimate leaves little room unused
     const char* why = "";
-    const auto payload = read(bytes, std::chrono::seconds(1000), why);
+    const auto payload = decode_payload(bytes, std::chrono::seconds(1000), why);
     ASSERT_TRUE(payload) << why;
     ASSERT_EQ(payload->entries.size(), lines.size());
     for (std::size_t i = 0; i < lines.size(); ++i) {
@@ -178,11 +178,12 @@
     auto corrupted = bytes;
     for (int n = 0; n < 3; ++n)
       corrupted[random() % corrupted.size()] = static_cast<char>(random());
-    if (const auto decoded = read(corrupted, std::chrono::seconds(1000), why)) {
+    if (const auto decoded = decode_payload(corrupted, std::chrono::seconds(1000), why)) {
       for (const auto& line : decoded->entries)
         EXPECT_LE(line.holders.size(), max_holders);
     }
-    read(std::string_view(bytes).substr(0, random() % bytes.size()), std::chrono::seconds(1000), why);
+    decode_payload(std::string_view(bytes).substr(0, random() % bytes.size()), std::chrono::seconds(1000),
+                   why);
   }
 }
 
