--- a/src/tiers/exchange/shared_state.h
+++ b/src/tiers/exchange/shared_state.h
@@ -61,7 +61,7 @@
   /// Trust in a router; 1 for this router itself.
   double trust_in(NameId name, Micros now) const { return name == own_id ? 1.0 : trust.trust_in(name, now); }
   /// Returns the stamp of the next payload of votes.
-  Stamp next_stamp() { return {options.start, ++last_vote_number}; }
+  VoteStamp next_stamp() { return {options.start, ++last_vote_number}; }
   /// Sends a payload and counts it under `kind`.
   void send(const char* kind, peers::Outbox& out, std::string_view to, const std::string& bytes) {
     auto& counts = traffic[kind];
--- a/src/tiers/merge/vote_set.h
+++ b/src/tiers/merge/vote_set.h
@@ -20,15 +20,15 @@
 };
 
 /// Orders the votes of one contributor.
-struct Stamp {
+struct VoteStamp {
   std::uint64_t start = 0;   ///< start of the contributor's process, in Unix us
   std::uint64_t number = 0;  ///< sequence number of the payload
-  friend auto operator<=>(const Stamp&, const Stamp&) = default;
+  friend auto operator<=>(const VoteStamp&, const VoteStamp&) = default;
 };
 
 /// What one contributor says about a key.
 struct Vote {
-  Stamp stamp;                  ///< orders it among the contributor's votes
+  VoteStamp stamp;              ///< orders it among the contributor's votes
   std::vector<Holder> holders;  ///< up to 2; empty: the vote is withdrawn
   std::uint8_t weight = 0;      ///< logarithmic weight of the key
   Micros received_at{};         ///< when it last arrived here
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -88,7 +88,8 @@
   std::size_t bytes = max_header_bytes;
 };
 
-PayloadEncoder::PayloadEncoder(PayloadKind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
+PayloadEncoder::PayloadEncoder(PayloadKind kind, Tier tier, VoteStamp stamp)
+    : parts_(std::make_unique<Parts>()) {
   auto& payload = parts_->payload;
   payload.set_version(version);
   payload.set_kind(static_cast<v1::Kind>(kind));
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -28,7 +28,7 @@
 struct Payload {
   PayloadKind kind = PayloadKind::epochs;              ///< its kind
   Tier tier = Tier::site;                              ///< the tier it belongs to
-  Stamp stamp;                                         ///< orders votes
+  VoteStamp stamp;                                     ///< orders votes
   std::vector<std::pair<NameId, CacheEpoch>> device_epochs;  ///< devices with their cache epochs
   std::vector<CacheEntry> entries;                     ///< votes or advertised entries
   std::uint64_t digest = 0;                            ///< anti-entropy digest of the sender's cache epochs
@@ -41,7 +41,7 @@
 /// Fills one payload with entries or cache epochs until it is full.
 class PayloadEncoder {
  public:
-  PayloadEncoder(PayloadKind kind, Tier tier, Stamp stamp);
+  PayloadEncoder(PayloadKind kind, Tier tier, VoteStamp stamp);
   ~PayloadEncoder();
   PayloadEncoder(PayloadEncoder&&) noexcept;
   PayloadEncoder& operator=(PayloadEncoder&&) noexcept;
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -21,8 +21,8 @@
 // Times go as ages in tenths of a second, which only differences of the clock are in.
 constexpr Micros now = std::chrono::hours(5);
 
-tiers::Stamp stamp() {
-  tiers::Stamp stamp;
+tiers::VoteStamp stamp() {
+  tiers::VoteStamp stamp;
   stamp.start = 1764683700000001;
   stamp.number = 70'001;
   return stamp;
