--- a/src/tiers/merge/vote_set.h
+++ b/src/tiers/merge/vote_set.h
@@ -22,7 +22,7 @@
 /// Orders the votes of one contributor.
 struct VoteStamp {
   std::uint64_t process_start = 0;  ///< start of the contributor's process, in Unix us
-  std::uint64_t number = 0;  ///< sequence number of the payload
+  std::uint64_t sequence = 0;       ///< sequence number of the payload
   friend auto operator<=>(const VoteStamp&, const VoteStamp&) = default;
 };
 
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -95,7 +95,7 @@
   payload.set_kind(static_cast<v1::Kind>(kind));
   payload.set_tier(static_cast<std::uint32_t>(tier));
   payload.set_start(stamp.process_start);
-  payload.set_number(stamp.number);
+  payload.set_number(stamp.sequence);
 }
 PayloadEncoder::~PayloadEncoder() = default;
 PayloadEncoder::PayloadEncoder(PayloadEncoder&&) noexcept = default;
--- a/tests/formats/tiers_test.cpp
+++ b/tests/formats/tiers_test.cpp
@@ -24,7 +24,7 @@
 tiers::VoteStamp stamp() {
   tiers::VoteStamp stamp;
   stamp.process_start = 1764683700000001;
-  stamp.number = 70'001;
+  stamp.sequence = 70'001;
   return stamp;
 }
 
@@ -126,7 +126,7 @@
   EXPECT_EQ(payload.kind, kind);
   EXPECT_EQ(payload.tier, Tier::region);
   EXPECT_EQ(payload.stamp.process_start, 1764683700000001u);
-  EXPECT_EQ(payload.stamp.number, 70'001u);
+  EXPECT_EQ(payload.stamp.sequence, 70'001u);
   EXPECT_EQ(payload.digest, digest);
 }
 
