--- a/src/config/tiers.cpp
+++ b/src/config/tiers.cpp
@@ -23,12 +23,12 @@
   count("devices", limits.devices, 16, 65536);
   count("vote_bytes", limits.vote_bytes, 2048, 10'000'000);
   count("push_bytes", limits.push_bytes, 2048, 100'000'000);
-  section->span("fade", limits.fade, seconds(5), hours(1));
+  section->span("fade", limits.confidence_half_life, seconds(5), hours(1));
   section->span("repeat", limits.repeat, seconds(2), seconds(60));
   section->number("cross_least", limits.cross_least, 0, 1'000'000);
   section->end();
   // A hint that fades before it is said again would come and go with the repeats.
-  if (limits.fade < limits.repeat)
+  if (limits.confidence_half_life < limits.repeat)
     section->fault("fade", "must not be shorter than repeat, " + span_text(limits.repeat));
   return tiers;
 }
--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -107,7 +107,7 @@
     const SelectionContext context{
         [&](NameId device, const CacheEpoch& epoch) { return state_.epochs.is_current(device, epoch); },
         [&](NameId contributor) { return state_.trust_in(contributor, now); }, now,
-        state_.options.limits.fade};
+        state_.options.limits.confidence_half_life};
     cache_entry.holders = select_holders(*vote_set, advertised_.holders(key), context);
     cache_entry.weight = static_cast<std::uint8_t>(vote_set->weight());
   }
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -55,7 +55,7 @@
       if (tokens < holder.tokens / 2.0) {
         contradicted_by[holder.contributor] = 0.5;
         contradicted_by.try_emplace(entry->sender, 0.9);
-        state_.false_hints.add(key, device, now + state_.options.limits.fade);
+        state_.false_hints.add(key, device, now + state_.options.limits.confidence_half_life);
         hints_changed_ = true;
       } else {
         confirmed_by.insert(holder.contributor);
--- a/src/tiers/options.h
+++ b/src/tiers/options.h
@@ -17,7 +17,7 @@
   std::size_t site_keys = 4096;              ///< keys of the site, separately as collector and as receiver
   std::size_t region_keys = 2048;            ///< the same for the region
   std::size_t devices = 4096;                ///< devices whose cache epochs are known
-  Micros fade = std::chrono::seconds(60);    ///< half-life of the confidence in a sighting
+  Micros confidence_half_life = std::chrono::seconds(60);  ///< half-life of the confidence in a sighting
   Micros repeat = std::chrono::seconds(10);  ///< interval at which valid entries are sent again
   std::size_t vote_bytes = 16 * 1024;        ///< bytes per second of votes to collectors
   std::size_t push_bytes = 128 * 1024;       ///< bytes per second that a collector advertises, for each tier
--- a/src/tiers/snapshot/hint_map_builder.cpp
+++ b/src/tiers/snapshot/hint_map_builder.cpp
@@ -10,8 +10,8 @@
   const double trust = state.trust_in(holder.contributor, now) * state.trust_in(entry.sender, now);
   // The initial trust is one half, so a hint through two routers without a record has a quarter of the
   // confidence of one through two fully trusted routers.
-  const double hint_confidence =
-      trust * decayed_confidence(holder.confidence, holder.seen_at, now, state.options.limits.fade);
+  const double hint_confidence = trust * decayed_confidence(holder.confidence, holder.seen_at, now,
+                                                            state.options.limits.confidence_half_life);
   return hint_confidence < min_confidence ? 0 : hint_confidence;
 }
 
--- a/src/tiers/store/device_tier.cpp
+++ b/src/tiers/store/device_tier.cpp
@@ -85,12 +85,12 @@
 }
 
 void DeviceTier::expire(const std::function<bool(NameId, const CacheEpoch&)>& is_current, Micros now) {
-  if (now - halved_at_ >= limits_.fade) {
+  if (now - halved_at_ >= limits_.confidence_half_life) {
     heavy_hitters_.halve();
     halved_at_ = now;
   }
   // After four half-lives a sixteenth of the confidence is left, too little for a hint.
-  const auto oldest = now - 4 * limits_.fade;
+  const auto oldest = now - 4 * limits_.confidence_half_life;
   for (auto at = entries_.begin(); at != entries_.end();) {
     auto& [key, entry] = *at;
     const auto count = entry.holders.size();
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -200,7 +200,7 @@
   ASSERT_TRUE(set);
   EXPECT_TRUE(none.empty());
   EXPECT_EQ(set->limits.site_keys, 8192u);
-  EXPECT_EQ(set->limits.fade, std::chrono::minutes(2));
+  EXPECT_EQ(set->limits.confidence_half_life, std::chrono::minutes(2));
   EXPECT_EQ(set->line, 1u);
   for (const std::string line :
        {"site_keys = 1", "device_keys = 1.5", "push_bytes = \"many\"", "fade = 60", "repeat = \"1s\"",
