--- a/src/config/tiers.cpp
+++ b/src/config/tiers.cpp
@@ -24,12 +24,12 @@
   count("vote_bytes", limits.vote_bytes, 2048, 10'000'000);
   count("push_bytes", limits.push_bytes, 2048, 100'000'000);
   section->span("fade", limits.confidence_half_life, seconds(5), hours(1));
-  section->span("repeat", limits.repeat, seconds(2), seconds(60));
+  section->span("repeat", limits.refresh_interval, seconds(2), seconds(60));
   section->number("cross_least", limits.cross_least, 0, 1'000'000);
   section->end();
   // A hint that fades before it is said again would come and go with the repeats.
-  if (limits.confidence_half_life < limits.repeat)
-    section->fault("fade", "must not be shorter than repeat, " + span_text(limits.repeat));
+  if (limits.confidence_half_life < limits.refresh_interval)
+    section->fault("fade", "must not be shorter than repeat, " + span_text(limits.refresh_interval));
   return tiers;
 }
 
--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -120,7 +120,7 @@
 bool CacheTier::run(Micros now, peers::Outbox& out) {
   const auto& limits = state_.options.limits;
   bool changed = false;
-  if (select_all_ || now - all_selected_at_ >= limits.repeat / 2) {
+  if (select_all_ || now - all_selected_at_ >= limits.refresh_interval / 2) {
     all_selected_at_ = now;
     select_all_ = false;
     vote_table_.expire(now - limits.lease());
@@ -150,7 +150,7 @@
   for (std::size_t i = 0; i < max_payloads_per_tick && push_budget_.remaining() > 0; ++i) {
     PayloadEncoder packer(PayloadKind::entries, tier_, {});
     for (const auto* cache_entry :
-         advertised_.due(now, state_.options.limits.repeat, max_entries_per_payload)) {
+         advertised_.due(now, state_.options.limits.refresh_interval, max_entries_per_payload)) {
       if (!packer.add(*cache_entry, now))
         break;
       advertised_.mark_sent(cache_entry->key, now);
--- a/src/tiers/exchange/promotion.cpp
+++ b/src/tiers/exchange/promotion.cpp
@@ -36,7 +36,8 @@
       const auto previous = promoted_.find(cache_entry->key);
       const bool changed = previous == promoted_.end() ||
                            significantly_differ(previous->second.cache_entry.holders, promoted_entry.holders);
-      if ((!changed && now - previous->second.sent_at < options.limits.repeat) || budget.remaining() <= 0) {
+      if ((!changed && now - previous->second.sent_at < options.limits.refresh_interval) ||
+          budget.remaining() <= 0) {
         if (previous != promoted_.end())
           current[cache_entry->key] = previous->second;
         continue;
--- a/src/tiers/store/device_tier.cpp
+++ b/src/tiers/store/device_tier.cpp
@@ -128,7 +128,8 @@
   for (auto& [key, entry] : entries_) {
     if (keys.size() >= max_count)
       break;
-    if (entry.queued || now - entry.sent_at < (entry.repeats_left ? change_repeat_interval : limits_.repeat))
+    if (entry.queued ||
+        now - entry.sent_at < (entry.repeats_left ? change_repeat_interval : limits_.refresh_interval))
       continue;
     if (entry.repeats_left)
       --entry.repeats_left;
