--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -26,7 +26,7 @@
       site_(state_, Tier::site, state_.options.limits.site_keys),
       region_(state_, Tier::region, state_.options.limits.region_keys),
       gossip_(seed ^ state_.own_id),
-      vote_budget_(state_.options.limits.vote_bytes),
+      vote_budget_(state_.options.limits.vote_bytes_per_second),
       epoch_budget_(epoch_bytes_per_second),
       map_(std::make_shared<HintMap>(state_.hasher)) {}
 
