--- a/src/config/tiers.cpp
+++ b/src/config/tiers.cpp
@@ -22,7 +22,7 @@
   count("region_keys", limits.region_keys, 64, 65536);
   count("devices", limits.devices, 16, 65536);
   count("vote_bytes", limits.vote_bytes_per_second, 2048, 10'000'000);
-  count("push_bytes", limits.push_bytes, 2048, 100'000'000);
+  count("push_bytes", limits.push_bytes_per_second, 2048, 100'000'000);
   section->span("fade", limits.confidence_half_life, seconds(5), hours(1));
   section->span("repeat", limits.refresh_interval, seconds(2), seconds(60));
   section->number("cross_least", limits.cross_least, 0, 1'000'000);
--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -18,7 +18,7 @@
       vote_table_(state.hasher, max_keys),
       advertised_(max_keys),
       received_(max_keys),
-      push_budget_(state.options.limits.push_bytes) {}
+      push_budget_(state.options.limits.push_bytes_per_second) {}
 
 std::vector<std::size_t> CacheTier::update_view(const peers::View& view) {
   const auto& options = state_.options;
--- a/src/tiers/options.h
+++ b/src/tiers/options.h
@@ -20,7 +20,8 @@
   Micros confidence_half_life = std::chrono::seconds(60);  ///< half-life of the confidence in a sighting
   Micros refresh_interval = std::chrono::seconds(10);      ///< interval at which valid entries are sent again
   std::size_t vote_bytes_per_second = 16 * 1024;           ///< bytes per second of votes to collectors
-  std::size_t push_bytes = 128 * 1024;       ///< bytes per second that a collector advertises, for each tier
+  std::size_t push_bytes_per_second =
+      128 * 1024;                            ///< bytes per second that a collector advertises, for each tier
   double cross_least = 2000;                 ///< minimum tokens of a key that is promoted to the region
   /// How long an entry is valid without being sent again.
   Micros lease() const { return 6 * refresh_interval; }
--- a/tests/tiers/hint_map_test.cpp
+++ b/tests/tiers/hint_map_test.cpp
@@ -244,7 +244,7 @@
   custom_options.limits.site_keys = 256;
   custom_options.limits.region_keys = 128;
   custom_options.limits.vote_bytes_per_second = 4096;
-  custom_options.limits.push_bytes = 8192;
+  custom_options.limits.push_bytes_per_second = 8192;
   SimulatedNetwork network(custom_options);
   for (Key key = 1; key <= 6000; ++key) {
     record_prefill(network, key % 12, key % 10, key, 3000);
