--- a/src/config/tiers.cpp
+++ b/src/config/tiers.cpp
@@ -25,7 +25,7 @@
   count("push_bytes", limits.push_bytes_per_second, 2048, 100'000'000);
   section->span("fade", limits.confidence_half_life, seconds(5), hours(1));
   section->span("repeat", limits.refresh_interval, seconds(2), seconds(60));
-  section->number("cross_least", limits.cross_least, 0, 1'000'000);
+  section->number("cross_least", limits.min_promotion_tokens, 0, 1'000'000);
   section->end();
   // A hint that fades before it is said again would come and go with the repeats.
   if (limits.confidence_half_life < limits.refresh_interval)
--- a/src/tiers/exchange/promotion.cpp
+++ b/src/tiers/exchange/promotion.cpp
@@ -17,7 +17,7 @@
                     CacheTier& region, ByteBudget& budget, peers::Outbox& out) {
   CacheTier::VoteBatch batch;
   std::map<KeyId, Promoted> current;
-  const auto min_tokens = static_cast<std::uint32_t>(options.limits.cross_least);
+  const auto min_tokens = static_cast<std::uint32_t>(options.limits.min_promotion_tokens);
   for (std::size_t shard = 0; shard < shard_count; ++shard) {
     if (!site.shard_collectors().is_head(options.name, shard))
       continue;
--- a/src/tiers/options.h
+++ b/src/tiers/options.h
@@ -22,7 +22,7 @@
   std::size_t vote_bytes_per_second = 16 * 1024;           ///< bytes per second of votes to collectors
   std::size_t push_bytes_per_second =
       128 * 1024;                            ///< bytes per second that a collector advertises, for each tier
-  double cross_least = 2000;                 ///< minimum tokens of a key that is promoted to the region
+  double min_promotion_tokens = 2000;        ///< minimum tokens of a key that is promoted to the region
   /// How long an entry is valid without being sent again.
   Micros lease() const { return 6 * refresh_interval; }
 };
