--- a/src/config/tiers.cpp
+++ b/src/config/tiers.cpp
@@ -20,7 +20,7 @@
   count("device_keys", limits.device_keys, 64, 16384);
   count("site_keys", limits.site_keys, 64, 65536);
   count("region_keys", limits.region_keys, 64, 65536);
-  count("devices", limits.devices, 16, 65536);
+  count("devices", limits.max_devices, 16, 65536);
   count("vote_bytes", limits.vote_bytes_per_second, 2048, 10'000'000);
   count("push_bytes", limits.push_bytes_per_second, 2048, 100'000'000);
   section->span("fade", limits.confidence_half_life, seconds(5), hours(1));
--- a/src/tiers/exchange/shared_state.h
+++ b/src/tiers/exchange/shared_state.h
@@ -46,7 +46,7 @@
       : options(std::move(o)),
         hasher(options.secret),
         own_id(hasher.name(options.name)),
-        epochs(hasher, static_cast<unsigned>(hasher.name(options.site) % 4), options.limits.devices) {}
+        epochs(hasher, static_cast<unsigned>(hasher.name(options.site) % 4), options.limits.max_devices) {}
 
   Options options;                               ///< configuration
   IdHasher hasher;                               ///< identifiers of keys and names
