--- a/bench/pools_day.cpp
+++ b/bench/pools_day.cpp
@@ -60,19 +60,19 @@
 
 pools::Settings settings() {
   pools::Settings s;
-  s.fill = 0.85;
-  s.correction = 0.25;
+  s.target_fill = 0.85;
+  s.max_correction = 0.25;
   s.hysteresis = 0.04;
-  s.room = 0;  // each region stands at one site here
-  s.ahead = std::chrono::minutes(10);
+  s.headroom = 0;  // each region stands at one site here
+  s.lead_time = std::chrono::minutes(10);
   for (int r = 0; r < regions; ++r) {
     const std::string name = "r" + std::to_string(r), site = "s" + std::to_string(r);
     s.regions[name] = {{site}, {"a", "b", "c"}, {{site, 0}, {site, 1}}};
     RegionHours hours{"UTC", 0, {}, {}};
     for (auto& each : hours.week)
       for (int m = 0; m < minutes_of_day; m += 30)
-        each.push_back(
-            {std::chrono::minutes(m), std::chrono::minutes(m + 30), curve(local(m + 15, r)) / s.fill / all});
+        each.push_back({std::chrono::minutes(m), std::chrono::minutes(m + 30),
+                        curve(local(m + 15, r)) / s.target_fill / all});
     s.hours[name] = hours;
   }
   return s;
@@ -91,7 +91,7 @@
   std::map<PoolName, Planning::PoolState> states;
   for (const auto& [region, one] : with.regions)
     for (std::uint32_t c = 0; c < pools_each; ++c) {
-      stock.writers[{one.sites[0], c}] = writers_each;
+      stock.decode_nodes[{one.sites[0], c}] = writers_each;
       if (c >= 2)
         states[{one.sites[0], c}] = {region, "", false};
     }
@@ -99,20 +99,20 @@
   double asked = 0, served = 0;
   for (int m = 0; m < minutes_of_day; ++m) {
     const auto shares = planning.shares(day_begins + std::chrono::minutes(m), stock);
-    std::vector<Wish> wishes;
+    std::vector<RegionTarget> wishes;
     for (int r = 0; r < regions; ++r)
-      wishes.push_back(
-          wish_of(with, shares[r],
-                  way == Way::demand && m > 0 ? std::optional(day.asked[m - 1][r]) : std::nullopt, all));
+      wishes.push_back(region_target(
+          with, shares[r], way == Way::demand && m > 0 ? std::optional(day.asked[m - 1][r]) : std::nullopt,
+          all));
     const auto plan = planner::plan(planning.inputs(stock, wishes, states, {true, true}));
     std::array<double, regions> writers{};
-    for (const auto& move : plan.moves) {
+    for (const auto& move : plan.migrations) {
       states[move.pool].owner = move.to;
       ++outcome.moves;
       const double lost = (move_takes + cold_for * (1 - cold_from) / 2) / 60;
       writers[move.to.back() - '0'] -= lost * writers_each;
     }
-    for (const auto& [name, count] : stock.writers) {
+    for (const auto& [name, count] : stock.decode_nodes) {
       const auto at = states.find(name);
       writers[(at == states.end() ? name.site : at->second.owner).back() - '0'] += static_cast<double>(count);
     }
--- a/src/config/pools.cpp
+++ b/src/config/pools.cpp
@@ -37,7 +37,7 @@
 // The regions' hours are read one after the other; all of them are written in one unit.
 class Reader {
  public:
-  std::optional<pools::Unit> unit;
+  std::optional<pools::CalendarUnit> unit;
 
   void hours_of(const std::string& region, Section in, pools::Settings& to) {
     pools::RegionHours hours;
@@ -46,12 +46,12 @@
       in.missing("zone");
     if (good)
       try {
-        pools::Zone{hours.zone};
+        pools::TimeZone{hours.zone};
       } catch (const std::invalid_argument& error) {
         in.fault("zone", error.what());
         good = false;
       }
-    expected(in, "otherwise", hours.otherwise, false);
+    expected(in, "otherwise", hours.default_expected, false);
     std::array<std::vector<std::size_t>, 7> lines;
     for (auto& entry : in.list("hours"))
       week(entry, hours, lines);
@@ -70,7 +70,7 @@
   void expected(Section& in, const std::string& key, double& field, bool needed) {
     if (key == "otherwise") {
       in.number(key, field, 0, 1e9);
-      if (unit == pools::Unit::share && field > 1)
+      if (unit == pools::CalendarUnit::share && field > 1)
         in.fault(key, "is a share over 1");
       return;
     }
@@ -89,15 +89,15 @@
       in.number("requests", field, 0, 1e9);
     if (!share && !requests)
       return;
-    const auto mine = share ? pools::Unit::share : pools::Unit::requests;
+    const auto mine = share ? pools::CalendarUnit::share : pools::CalendarUnit::requests;
     if (unit.value_or(mine) != mine)
       in.fault(share ? "share" : "requests", "is not the unit that the first hours are written in");
     if (!unit)
       unit = mine;
   }
 
-  std::optional<pools::Stretch> stretch(Section& in) {
-    pools::Stretch one;
+  std::optional<pools::TimeRange> stretch(Section& in) {
+    pools::TimeRange one;
     const auto time = [&in](const char* key, minutes& to) {
       std::string text;
       if (!in.has(key))
@@ -121,12 +121,12 @@
     return std::nullopt;
   }
 
-  bool add(Section& in, pools::Day& day, std::vector<std::size_t>& lines, const pools::Stretch& one) {
+  bool add(Section& in, pools::Day& day, std::vector<std::size_t>& lines, const pools::TimeRange& one) {
     day.push_back(one);
     lines.push_back(in.line());
     if (day.size() > most_stretches)
       return in.fault_here("is one of too many"), false;
-    const auto clash = pools::overlap(day);
+    const auto clash = pools::find_overlap(day);
     if (!clash)
       return true;
     in.fault_here("overlaps the hours of line " + std::to_string(lines[clash->first]));
@@ -164,7 +164,7 @@
     }
     in.end();
     for (const auto& date : dates) {
-      const auto at = pools::day_of(date);
+      const auto at = pools::parse_day(date);
       if (at < 0)
         in.fault("dates", "'" + date + "' is no date like \"2026-12-25\"");
       else if (!to.holidays.emplace(at, day).second)
@@ -196,16 +196,16 @@
   in.span("margin", to.terms.margin, Micros(0), seconds(6));
   if (to.terms.margin > to.terms.lease / 10)
     in.fault("margin", "is more than a tenth of the lease");
-  std::int64_t most = static_cast<std::int64_t>(to.moving_at_once);
+  std::int64_t most = static_cast<std::int64_t>(to.max_concurrent_migrations);
   if (in.whole("moving_at_once", most, 1, 1000))
-    to.moving_at_once = static_cast<std::size_t>(most);
+    to.max_concurrent_migrations = static_cast<std::size_t>(most);
   in.number("hysteresis", to.hysteresis, 0.001, 0.5);
-  in.number("room", to.room, 0, 1);
-  in.number("correction", to.correction, 0, 1);
-  in.number("fill", to.fill, 0.05, 1);
-  in.number("influence", to.influence, 1, 100);
-  in.span("ahead", to.ahead, Micros(0), hours(24));
-  in.span("plans_every", to.plans_every, milliseconds(100), hours(1));
+  in.number("room", to.headroom, 0, 1);
+  in.number("correction", to.max_correction, 0, 1);
+  in.number("fill", to.target_fill, 0.05, 1);
+  in.number("influence", to.max_influence, 1, 100);
+  in.span("ahead", to.lead_time, Micros(0), hours(24));
+  in.span("plans_every", to.plan_interval, milliseconds(100), hours(1));
 }
 
 void distances(Section& in, pools::Settings& to) {
@@ -228,8 +228,8 @@
 void regions(Section& in, const Regions& from, pools::Settings& to) {
   if (from.empty())
     in.fault_here("needs regions, [regions.NAME]");
-  if (from.size() > pools::most_regions)
-    in.fault_here("can't serve more than " + std::to_string(pools::most_regions) + " regions");
+  if (from.size() > pools::max_regions)
+    in.fault_here("can't serve more than " + std::to_string(pools::max_regions) + " regions");
   std::map<std::string, std::string> seen;
   for (const auto& [name, region] : from) {
     const auto fault = [&, &region = region, &name = name](std::string what) {
@@ -268,15 +268,15 @@
   }
   distances(*in, to);
   in->end();
-  to.unit = reader.unit.value_or(pools::Unit::share);
+  to.unit = reader.unit.value_or(pools::CalendarUnit::share);
   if (in->faults().size() != before)
     return to;
-  if (const auto over = pools::Calendar(to.unit, to.hours).over_one(checked_from)) {
+  if (const auto over = pools::Calendar(to.unit, to.hours).find_sum_over_one(checked_from)) {
     std::ostringstream what;
     const auto day = std::chrono::duration_cast<hours>(over->first).count() / 24;
     const auto minute = std::chrono::duration_cast<minutes>(over->first).count() % 1440;
     what << "shares sum up to " << over->second << ", over 1, first on "
-         << pools::day_text(static_cast<std::int32_t>(day)) << " at " << minute / 60 << ':'
+         << pools::format_day(static_cast<std::int32_t>(day)) << " at " << minute / 60 << ':'
          << (minute % 60 < 10 ? "0" : "") << minute % 60 << " UTC";
     in->fault_at(in->line("calendar"), in->full("calendar"), what.str());
   }
--- a/src/pools/calendar/calendar.cpp
+++ b/src/pools/calendar/calendar.cpp
@@ -4,9 +4,9 @@
 
 namespace lemonroute::pools {
 
-Calendar::Calendar(Unit unit, const std::map<std::string, RegionHours>& regions) : unit_(unit) {
+Calendar::Calendar(CalendarUnit unit, const std::map<std::string, RegionHours>& regions) : unit_(unit) {
   for (const auto& [name, hours] : regions)
-    regions_.push_back({hours, Zone(hours.zone)});
+    regions_.push_back({hours, TimeZone(hours.zone)});
 }
 
 std::vector<double> Calendar::expected(Micros at) const {
@@ -15,7 +15,7 @@
     const LocalTime local = zone.local_time(at);
     const auto holiday = hours.holidays.find(local.day);
     const Day& day = holiday == hours.holidays.end() ? hours.week[local.weekday] : holiday->second;
-    double expected = hours.otherwise;
+    double expected = hours.default_expected;
     for (const auto& range : day)
       if (local.minute >= range.from && local.minute < range.until)
         expected = range.expected;
@@ -26,7 +26,7 @@
 
 std::vector<double> Calendar::wanted_shares(Micros at) const {
   auto all = expected(at);
-  if (unit_ == Unit::share)
+  if (unit_ == CalendarUnit::share)
     return all;
   const double sum = std::accumulate(all.begin(), all.end(), 0.0);
   for (auto& one : all)
@@ -34,8 +34,8 @@
   return all;
 }
 
-std::optional<std::pair<Micros, double>> Calendar::over_one(Micros from) const {
-  if (unit_ != Unit::share)
+std::optional<std::pair<Micros, double>> Calendar::find_sum_over_one(Micros from) const {
+  if (unit_ != CalendarUnit::share)
     return std::nullopt;
   // Hours are written in minutes and the offsets of time zones are multiples of 15 minutes, so the shares can
   // change only at the written minutes modulo 15. Of each quarter of an hour, only those minutes and the
@@ -76,7 +76,7 @@
   return std::nullopt;
 }
 
-std::optional<std::pair<std::size_t, std::size_t>> overlap(const Day& day) {
+std::optional<std::pair<std::size_t, std::size_t>> find_overlap(const Day& day) {
   for (std::size_t i = 0; i < day.size(); ++i)
     for (std::size_t j = i + 1; j < day.size(); ++j)
       if (day[i].from < day[j].until && day[j].from < day[i].until)
--- a/src/pools/calendar/zone.cpp
+++ b/src/pools/calendar/time_zone.cpp
@@ -1,4 +1,4 @@
-#include "pools/calendar/zone.h"
+#include "pools/calendar/time_zone.h"
 
 #include <date/tz.h>
 
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-std::int32_t day_of(const std::string& text) {
+std::int32_t parse_day(const std::string& text) {
   std::istringstream in(text);
   date::sys_days day;
   in >> date::parse("%F", day);
@@ -26,13 +26,13 @@
   return static_cast<std::int32_t>(day.time_since_epoch().count());
 }
 
-std::string day_text(std::int32_t day) {
+std::string format_day(std::int32_t day) {
   return date::format("%F", date::sys_days(date::days(day)));
 }
 
-Zone::Zone(const std::string& name) : zone_(find_zone(name)) {}
+TimeZone::TimeZone(const std::string& name) : zone_(find_zone(name)) {}
 
-LocalTime Zone::local_time(Micros at) const {
+LocalTime TimeZone::local_time(Micros at) const {
   const auto instant = date::sys_seconds(std::chrono::floor<std::chrono::seconds>(at));
   const auto info = zone_->get_info(instant);
   auto local = instant.time_since_epoch() + info.offset;
--- a/src/pools/demand/demand_sum.cpp
+++ b/src/pools/demand/demand_sum.cpp
@@ -15,7 +15,7 @@
   return sum;
 }
 
-void DemandSum::on_report(RegionId region, std::string_view sender, const Report& report, Micros now) {
+void DemandSum::on_report(RegionId region, std::string_view sender, const DemandReport& report, Micros now) {
   std::erase_if(reports_, [now](const auto& one) { return one.second.received_at + report_lifetime <= now; });
   const auto found = reports_.find(sender);
   if (found == reports_.end()) {
@@ -30,7 +30,7 @@
   std::vector<double> reports;
   for (const auto& [sender, received] : reports_)
     if (received.region == region && received.received_at + report_lifetime > now)
-      reports.push_back(received.report.writers);
+      reports.push_back(received.report.decode_nodes);
   if (reports.empty() || 2 * reports.size() < routers)
     return std::nullopt;
   return bounded_sum(reports, influence_);
--- a/src/pools/extension.h
+++ b/src/pools/extension.h
@@ -87,10 +87,10 @@
   bool is_planner() const;  // this router proposes for its region
   void request_leases(Micros now, peers::Outbox& out);
   void send_demand(Micros now, peers::Outbox& out);
-  void handle(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out);
-  void handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox& out);
-  void handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox& out);
-  void handle(const Report& report, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::LeaseRequest& ask, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::LeaseAnswer& grant, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const wire::Proposal& propose, std::string_view from, Micros now, peers::Outbox& out);
+  void handle(const DemandReport& report, std::string_view from, Micros now, peers::Outbox& out);
   bool is_grantor_of(const PoolName& pool) const;
   void update_migration(Pool& pool, Micros now);
   void make_plan(Micros now);
@@ -113,7 +113,7 @@
   Inventory inventory_;
   std::map<PoolName, Pool> pools_;  // those that may migrate
   planner::Plan plan_;
-  std::vector<Wish> wishes_;
+  std::vector<RegionTarget> wishes_;
   Counts counts_;
   Micros next_request_at_{}, next_plan_at_{};
   std::shared_ptr<const LeaseSnapshot> lease_snapshot_;
--- a/src/pools/extension/messages.cpp
+++ b/src/pools/extension/messages.cpp
@@ -9,25 +9,26 @@
 void PoolsExtension::receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) {
   const auto read = wire::read(bytes, fingerprint_, regions_.size(), now);
   if (!read.message) {
-    ++(read.fault == wire::Fault::mark ? counts_.other_settings : counts_.unreadable);
+    ++(read.fault == wire::ReadFault::settings_mismatch ? counts_.other_settings : counts_.unreadable);
     return;
   }
   std::visit([&](const auto& message) { handle(message, from, now, out); }, *read.message);
   update_snapshot(now);
 }
 
-void PoolsExtension::handle(const wire::Ask& ask, std::string_view from, Micros now, peers::Outbox& out) {
+void PoolsExtension::handle(const wire::LeaseRequest& ask, std::string_view from, Micros now,
+                            peers::Outbox& out) {
   // A router may request leases only for its own region. A router that the view does not have yet requests
   // them again later.
   if (region_of_member(from) != ask.region) {
     ++counts_.wrong_region;
     return;
   }
-  wire::Grant grant{ask.nonce, false, {}};
+  wire::LeaseAnswer grant{ask.nonce, false, {}};
   for (const auto& entry : ask.pools) {
     if (!is_grantor_of(entry.pool))
       continue;
-    const auto answer = grantor_->request(entry.pool, ask.region, entry.owned, now);
+    const auto answer = grantor_->request(entry.pool, ask.region, entry.ownership, now);
     grant.pools.push_back({entry.pool, answer.ownership, answer.granted, answer.granted_to_owner});
     grant.abstains = grantor_->abstains(now);
   }
@@ -35,7 +36,8 @@
     out.send(topic(), from, std::move(payload));
 }
 
-void PoolsExtension::handle(const wire::Grant& grant, std::string_view from, Micros now, peers::Outbox&) {
+void PoolsExtension::handle(const wire::LeaseAnswer& grant, std::string_view from, Micros now,
+                            peers::Outbox&) {
   const auto sent_at = sent_requests_.sent_at(from, grant.nonce, now);
   if (!sent_at) {
     ++counts_.unsolicited;
@@ -45,26 +47,28 @@
     const auto found = pools_.find(entry.pool);
     if (found == pools_.end())
       continue;
-    found->second.holder.on_answer(std::string(from), *sent_at, {entry.owned, entry.ok, entry.active}, now);
+    found->second.holder.on_answer(std::string(from), *sent_at,
+                                   {entry.ownership, entry.granted, entry.granted_to_owner}, now);
     update_migration(found->second, now);
   }
 }
 
-void PoolsExtension::handle(const wire::Propose& propose, std::string_view from, Micros now, peers::Outbox&) {
+void PoolsExtension::handle(const wire::Proposal& propose, std::string_view from, Micros now,
+                            peers::Outbox&) {
   // Only routers of the home region propose migrations of a pool.
   if (!own_region_ || region_of_member(from) != own_region_) {
     ++counts_.wrong_region;
     return;
   }
   if (is_grantor_of(propose.pool.pool))
-    grantor_->learn(propose.pool.pool, propose.pool.owned);
+    grantor_->learn(propose.pool.pool, propose.pool.ownership);
   if (const auto found = pools_.find(propose.pool.pool); found != pools_.end()) {
-    found->second.holder.learn(propose.pool.owned);
+    found->second.holder.learn(propose.pool.ownership);
     update_migration(found->second, now);
   }
 }
 
-void PoolsExtension::handle(const Report& report, std::string_view from, Micros now, peers::Outbox&) {
+void PoolsExtension::handle(const DemandReport& report, std::string_view from, Micros now, peers::Outbox&) {
   if (const auto region = region_of_member(from))
     demand_sum_.on_report(*region, from, report, now);
   else
@@ -84,7 +88,7 @@
                         {"pools", grantor_->size()}};
   for (RegionId r = 0; r < regions_.size(); ++r) {
     auto& region = result["regions"][regions_[r].name];
-    region["planner"] = select_planner(regions_[r].name, regions_[r].settings->keepers, view_);
+    region["planner"] = select_planner(regions_[r].name, regions_[r].settings->grantors, view_);
     if (r >= wishes_.size())
       continue;
     region["share"] = wishes_[r].share;
@@ -93,7 +97,7 @@
       region["demand"] = *wishes_[r].demand;
   }
   result["pools"] = nlohmann::json::array();
-  for (const auto& [name, decode_nodes] : inventory_.writers) {
+  for (const auto& [name, decode_nodes] : inventory_.decode_nodes) {
     nlohmann::json entry{{"pool", name.text()}, {"writers", decode_nodes}};
     const auto home = region_of(name.site);
     entry["home"] = home ? regions_[*home].name : "";
@@ -117,7 +121,7 @@
     result["pools"].push_back(std::move(entry));
   }
   result["plan"]["moves"] = nlohmann::json::array();
-  for (const auto& move : plan_.moves)
+  for (const auto& move : plan_.migrations)
     result["plan"]["moves"].push_back(
         {{"pool", move.pool.text()}, {"from", move.from}, {"to", move.to}, {"why", move.why}});
   result["plan"]["blames"] = nlohmann::json::array();
--- a/src/pools/extension/pools_extension.cpp
+++ b/src/pools/extension/pools_extension.cpp
@@ -9,7 +9,7 @@
 PoolsExtension::PoolsExtension(Options options, std::uint64_t seed)
     : options_(std::move(options)),
       planning_(options_.settings),
-      demand_sum_(options_.settings.influence),
+      demand_sum_(options_.settings.max_influence),
       sent_requests_(options_.settings.terms, seed),
       process_id_(seed ^ hash_text(options_.name) ^ options_.start),
       fingerprint_(options_.settings.fingerprint()) {
@@ -22,7 +22,7 @@
       std::make_shared<const LeaseSnapshot>(snapshot_common_, std::map<PoolName, LeaseSnapshot::Entry>());
   if (!own_region_)
     return;
-  const auto& grantors = regions_[*own_region_].settings->keepers;
+  const auto& grantors = regions_[*own_region_].settings->grantors;
   if (std::find(grantors.begin(), grantors.end(), options_.name) != grantors.end())
     grantor_.emplace(options_.settings.terms, *own_region_);
 }
@@ -79,15 +79,15 @@
 
 void PoolsExtension::on_endpoints(const std::vector<Node>& nodes, Micros now) {
   inventory_ = build_inventory(nodes, options_.settings, options_.decode_kinds);
-  std::erase_if(pools_, [this](const auto& one) { return !inventory_.writers.contains(one.first); });
-  for (const auto& [name, writers] : inventory_.writers) {
+  std::erase_if(pools_, [this](const auto& one) { return !inventory_.decode_nodes.contains(one.first); });
+  for (const auto& [name, writers] : inventory_.decode_nodes) {
     const auto home = region_of(name.site);
     if (!home || never_migrates(options_.settings, regions_[*home].name, name))
       continue;
     const auto& terms = options_.settings.terms;
     pools_.try_emplace(
         name, Pool{LeaseHolder(terms, own_region_.value_or(static_cast<RegionId>(regions_.size())), *home,
-                               regions_[*home].settings->keepers),
+                               regions_[*home].settings->grantors),
                    Migration(terms, *home, options_.warmup)});
   }
   update_snapshot(now);
@@ -99,7 +99,7 @@
 
 bool PoolsExtension::is_planner() const {
   return grantor_ && grantor_enabled_ && !replaced_ &&
-         select_planner(regions_[*own_region_].name, regions_[*own_region_].settings->keepers, view_) ==
+         select_planner(regions_[*own_region_].name, regions_[*own_region_].settings->grantors, view_) ==
              options_.name;
 }
 
@@ -107,19 +107,19 @@
   if (!own_region_)
     return;  // a router outside of all regions holds no leases
   for (RegionId home = 0; home < regions_.size(); ++home) {
-    wire::Ask ask{0, *own_region_, {}};
+    wire::LeaseRequest ask{0, *own_region_, {}};
     for (const auto& [name, pool] : pools_)
       if (pool.holder.home() == home)
         ask.pools.push_back({name, pool.holder.ownership(), false, false});
     if (ask.pools.empty())
       continue;
-    for (const auto& grantor : regions_[home].settings->keepers) {
+    for (const auto& grantor : regions_[home].settings->grantors) {
       if (grantor == options_.name) {
         for (auto& entry : ask.pools)
           if (is_grantor_of(entry.pool))
             pools_.at(entry.pool)
-                .holder.on_answer(grantor, now, grantor_->request(entry.pool, *own_region_, entry.owned, now),
-                                  now);
+                .holder.on_answer(grantor, now,
+                                  grantor_->request(entry.pool, *own_region_, entry.ownership, now), now);
         continue;
       }
       ask.nonce = sent_requests_.add(grantor, now);
@@ -136,7 +136,7 @@
   if (own_region_)
     demand_sum_.on_report(*own_region_, options_.name, *report, now);
   for (const auto& region : regions_)
-    for (const auto& grantor : region.settings->keepers)
+    for (const auto& grantor : region.settings->grantors)
       if (grantor != options_.name)
         for (auto& payload : wire::write(*report, fingerprint_, now))
           out.send(topic(), grantor, std::move(payload));
@@ -153,10 +153,10 @@
   std::vector<bool> accepts_pools, quorums;
   for (RegionId r = 0; r < regions_.size(); ++r) {
     const auto routers = count_routers(r);
-    wishes_.push_back(
-        wish_of(options_.settings, shares[r], demand_sum_.decode_nodes(r, routers, now), inventory_.total()));
+    wishes_.push_back(region_target(options_.settings, shares[r], demand_sum_.decode_nodes(r, routers, now),
+                                    inventory_.total()));
     accepts_pools.push_back(routers > 0 && regions_[r].blocked_until <= now);
-    quorums.push_back(quorum_reachable(regions_[r].settings->keepers, view_));
+    quorums.push_back(quorum_reachable(regions_[r].settings->grantors, view_));
   }
   std::map<PoolName, Planning::PoolState> states;
   for (auto& [name, pool] : pools_) {
@@ -175,7 +175,7 @@
   for (auto& [name, pool] : pools_)
     pool.migration.clear_plan();
   plan_ = planner::plan(planning_.inputs(inventory_, wishes_, states, accepts_pools));
-  for (const auto& planned : plan_.moves) {
+  for (const auto& planned : plan_.migrations) {
     const auto found = pools_.find(planned.pool);
     if (found == pools_.end())
       continue;
@@ -200,17 +200,17 @@
     }
     ++counts_.proposed;
     const auto& last = pool.holder.ownership().ballot;
-    const wire::Entry entry{
+    const wire::PoolEntry entry{
         name, {{last.counter + 1, *own_region_, process_id_}, *to, Micros(0)}, false, false};
-    for (const auto& grantor : regions_[*own_region_].settings->keepers) {
+    for (const auto& grantor : regions_[*own_region_].settings->grantors) {
       if (grantor == options_.name)
-        grantor_->learn(name, entry.owned);
+        grantor_->learn(name, entry.ownership);
       else
-        for (auto& payload : wire::write(wire::Propose{entry}, fingerprint_, now))
+        for (auto& payload : wire::write(wire::Proposal{entry}, fingerprint_, now))
           out.send(topic(), grantor, std::move(payload));
     }
     // This router stops sending to the pool at once, before any grantor answers.
-    pool.holder.learn(entry.owned);
+    pool.holder.learn(entry.ownership);
     update_migration(pool, now);
   }
 }
@@ -223,7 +223,7 @@
   for (auto& [name, pool] : pools_)
     update_migration(pool, now);
   if (now >= next_plan_at_) {
-    next_plan_at_ = now + options_.settings.plans_every;
+    next_plan_at_ = now + options_.settings.plan_interval;
     send_demand(now, out);
     make_plan(now);
   }
--- a/src/pools/settings.h
+++ b/src/pools/settings.h
@@ -17,8 +17,8 @@
 struct RegionSettings {
   /// Names of its sites.
   std::vector<std::string> sites;
-  std::vector<std::string> keepers;  ///< grantors: 3, 5 or 7 routers; none: its pools never migrate
-  std::set<PoolName> reserve;        ///< pools of its sites that never migrate
+  std::vector<std::string> grantors;  ///< grantors: 3, 5 or 7 routers; none: its pools never migrate
+  std::set<PoolName> reserve;         ///< pools of its sites that never migrate
 };
 
 /// Settings of all regions.
@@ -26,19 +26,21 @@
   /// The regions by name.
   std::map<std::string, RegionSettings> regions;
   std::map<std::string, RegionHours>
-      hours;                ///< by region; a region without hours wants the decode nodes of its reserve
-  Unit unit = Unit::share;  ///< unit of the hours
+      hours;  ///< by region; a region without hours wants the decode nodes of its reserve
+  CalendarUnit unit = CalendarUnit::share;  ///< unit of the hours
   /// Terms of all leases.
   LeaseTerms terms;
-  std::size_t moving_at_once = 1;  ///< concurrent migrations of one home region's pools
-  double hysteresis = 0.05;        ///< share of all decode nodes
-  double room = 0.5;  ///< headroom: share of its wanted number that a lender keeps after the loss of any
-                      ///< one site
-  double correction = 0.1;  ///< share of all decode nodes by which demand may correct the calendar up or down
-  double fill = 0.7;        ///< share of their memory that decode nodes are meant to fill
-  double influence = 2;     ///< largest weight of one router's report, in means of its region's other reports
-  Micros ahead = std::chrono::minutes(5);        ///< how long before the calendar's time pools are requested
-  Micros plans_every = std::chrono::seconds(5);  ///< interval of planning
+  std::size_t max_concurrent_migrations = 1;  ///< concurrent migrations of one home region's pools
+  double hysteresis = 0.05;                   ///< share of all decode nodes
+  double headroom = 0.5;  ///< headroom: share of its wanted number that a lender keeps after the loss of any
+                          ///< one site
+  double max_correction =
+      0.1;  ///< share of all decode nodes by which demand may correct the calendar up or down
+  double target_fill = 0.7;  ///< share of their memory that decode nodes are meant to fill
+  double max_influence =
+      2;  ///< largest weight of one router's report, in means of its region's other reports
+  Micros lead_time = std::chrono::minutes(5);  ///< how long before the calendar's time pools are requested
+  Micros plan_interval = std::chrono::seconds(5);                  ///< interval of planning
   std::map<std::pair<std::string, std::string>, double> distance;  ///< by region and site
 
   /// Whether any region is configured.
--- a/src/tiers/exchange/cache_tier.cpp
+++ b/src/tiers/exchange/cache_tier.cpp
@@ -18,7 +18,7 @@
       vote_table_(state.hasher, max_keys),
       advertised_(max_keys),
       received_(max_keys),
-      push_budget_(state.options.limits.push_bytes) {}
+      push_budget_(state.options.limits.push_bytes_per_second) {}
 
 std::vector<std::size_t> CacheTier::update_view(const peers::View& view) {
   const auto& options = state_.options;
@@ -41,11 +41,10 @@
 }
 
 void CacheTier::receive_votes(Micros now, NameId contributor, const Payload& payload) {
-  for (const auto& cache_entry : payload.lines) {
+  for (const auto& cache_entry : payload.entries) {
     Vote vote{payload.stamp, {}, cache_entry.weight, now};
     for (const auto& holder : cache_entry.holders)
-      vote.holders.push_back(
-          {holder.device, holder.generation, holder.tokens, holder.confidence, holder.seen});
+      vote.holders.push_back({holder.device, holder.epoch, holder.tokens, holder.confidence, holder.seen_at});
     vote_table_.put(cache_entry.key, contributor, std::move(vote));
   }
 }
@@ -53,7 +52,7 @@
 bool CacheTier::receive_entries(Micros now, std::string_view from, const Payload& payload) {
   const auto sender = state_.hasher.name(from);
   bool changed = false;
-  for (const auto& cache_entry : payload.lines) {
+  for (const auto& cache_entry : payload.entries) {
     // A member may only advertise shards that it collects. An entry that is dropped because views differ for
     // a moment arrives with the next refresh.
     if (!shard_collectors_.is_collector(from, shard_of(cache_entry.key)))
@@ -65,25 +64,26 @@
   return changed;
 }
 
-void CacheTier::vote(VoteBatch& batch, const Line& cache_entry, Micros now, ByteBudget& budget,
+void CacheTier::vote(VoteBatch& batch, const CacheEntry& cache_entry, Micros now, ByteBudget& budget,
                      peers::Outbox& out) {
   for (const auto& collector : shard_collectors_.collectors(shard_of(cache_entry.key))) {
     if (collector == state_.options.name) {
       Payload payload;
       payload.stamp = state_.next_stamp();
-      payload.lines.push_back(cache_entry);
+      payload.entries.push_back(cache_entry);
       receive_votes(now, state_.own_id, payload);
       continue;
     }
     auto at = batch.packers.find(collector);
     if (at == batch.packers.end())
-      at = batch.packers.emplace(collector, Packer(Kind::votes, tier_, state_.next_stamp())).first;
+      at = batch.packers.emplace(collector, PayloadEncoder(PayloadKind::votes, tier_, state_.next_stamp()))
+               .first;
     if (at->second.add(cache_entry, now))
       continue;
-    const auto bytes = at->second.bytes();
+    const auto bytes = at->second.encode();
     budget.spend(bytes.size());
     state_.send("votes", out, collector, bytes);
-    at->second = Packer(Kind::votes, tier_, state_.next_stamp());
+    at->second = PayloadEncoder(PayloadKind::votes, tier_, state_.next_stamp());
     at->second.add(cache_entry, now);
   }
 }
@@ -92,7 +92,7 @@
   for (auto& [collector, packer] : batch.packers) {
     if (packer.empty())
       continue;
-    const auto bytes = packer.bytes();
+    const auto bytes = packer.encode();
     budget.spend(bytes.size());
     state_.send("votes", out, collector, bytes);
   }
@@ -102,12 +102,12 @@
 bool CacheTier::select_for(KeyId key, Micros now) {
   if (!shard_collectors_.is_head(state_.options.name, shard_of(key)))
     return false;
-  Line cache_entry{key, 0, {}};
+  CacheEntry cache_entry{key, 0, {}};
   if (const auto* vote_set = vote_table_.find(key)) {
     const SelectionContext context{
-        [&](NameId device, const Generation& epoch) { return state_.epochs.is_current(device, epoch); },
+        [&](NameId device, const CacheEpoch& epoch) { return state_.epochs.is_current(device, epoch); },
         [&](NameId contributor) { return state_.trust_in(contributor, now); }, now,
-        state_.options.limits.fade};
+        state_.options.limits.confidence_half_life};
     cache_entry.holders = select_holders(*vote_set, advertised_.holders(key), context);
     cache_entry.weight = static_cast<std::uint8_t>(vote_set->weight());
   }
@@ -120,7 +120,7 @@
 bool CacheTier::run(Micros now, peers::Outbox& out) {
   const auto& limits = state_.options.limits;
   bool changed = false;
-  if (select_all_ || now - all_selected_at_ >= limits.repeat / 2) {
+  if (select_all_ || now - all_selected_at_ >= limits.refresh_interval / 2) {
     all_selected_at_ = now;
     select_all_ = false;
     vote_table_.expire(now - limits.lease());
@@ -148,16 +148,16 @@
     return;
   }
   for (std::size_t i = 0; i < max_payloads_per_tick && push_budget_.remaining() > 0; ++i) {
-    Packer packer(Kind::rows, tier_, {});
+    PayloadEncoder packer(PayloadKind::entries, tier_, {});
     for (const auto* cache_entry :
-         advertised_.due(now, state_.options.limits.repeat, max_entries_per_payload)) {
+         advertised_.due(now, state_.options.limits.refresh_interval, max_entries_per_payload)) {
       if (!packer.add(*cache_entry, now))
         break;
       advertised_.mark_sent(cache_entry->key, now);
     }
     if (packer.empty())
       return;
-    const auto bytes = packer.bytes();
+    const auto bytes = packer.encode();
     push_budget_.spend(bytes.size() * receivers);
     for (const auto& member : shard_collectors_.members())
       if (member != state_.options.name)
@@ -181,7 +181,7 @@
       continue;
     ++served;
     for (std::size_t i = 0; i < max_payloads_per_request && request.open; ++i) {
-      Packer packer(Kind::rows, tier_, {});
+      PayloadEncoder packer(PayloadKind::entries, tier_, {});
       // Includes received entries: a head that has just restarted has none, but the next collector in rank
       // has received them.
       const auto cache_entries = received_.entries_after(
@@ -197,7 +197,7 @@
       request.open = packed < cache_entries.size() || cache_entries.size() == max_entries_per_payload;
       if (packer.empty())
         break;
-      const auto bytes = packer.bytes();
+      const auto bytes = packer.encode();
       push_budget_.spend(bytes.size());
       state_.send(traffic_kind(), out, name, bytes);
     }
@@ -214,7 +214,7 @@
         heads.push_back(collector);
       break;
     }
-  const auto bytes = Packer(Kind::ask, tier_, {}).bytes();
+  const auto bytes = PayloadEncoder(PayloadKind::entries_request, tier_, {}).encode();
   for (const auto& head : heads)
     state_.send("asks", out, head, bytes);
 }
--- a/src/tiers/exchange/cache_tier.h
+++ b/src/tiers/exchange/cache_tier.h
@@ -36,11 +36,12 @@
 
   /// Payloads of votes that are still being filled, by collector.
   struct VoteBatch {
-    std::unordered_map<std::string, Packer> packers;  ///< by collector
+    std::unordered_map<std::string, PayloadEncoder> packers;  ///< by collector
   };
   /// Adds a vote of this router for each of the key's collectors. Stores it at once if this router is one of
   /// them; the open payloads are sent by `flush`.
-  void vote(VoteBatch& batch, const Line& cache_entry, Micros now, ByteBudget& budget, peers::Outbox& out);
+  void vote(VoteBatch& batch, const CacheEntry& cache_entry, Micros now, ByteBudget& budget,
+            peers::Outbox& out);
   /// Sends all payloads of the batch.
   void flush(VoteBatch& batch, ByteBudget& budget, peers::Outbox& out);
 
--- a/src/tiers/exchange/promotion.cpp
+++ b/src/tiers/exchange/promotion.cpp
@@ -17,7 +17,7 @@
                     CacheTier& region, ByteBudget& budget, peers::Outbox& out) {
   CacheTier::VoteBatch batch;
   std::map<KeyId, Promoted> current;
-  const auto min_tokens = static_cast<std::uint32_t>(options.limits.cross_least);
+  const auto min_tokens = static_cast<std::uint32_t>(options.limits.min_promotion_tokens);
   for (std::size_t shard = 0; shard < shard_count; ++shard) {
     if (!site.shard_collectors().is_head(options.name, shard))
       continue;
@@ -26,8 +26,9 @@
       auto promoted_entry = *cache_entry;
       // In the region this router is the contributor of the vote. A holder needs sightings of two routers or
       // of this one, so a lying router of the site cannot make an honest head spread its claims.
-      std::erase_if(promoted_entry.holders,
-                    [&](const Shown& one) { return one.votes < 2 && one.by != own_id; });
+      std::erase_if(promoted_entry.holders, [&](const AdvertisedHolder& one) {
+        return one.vote_count < 2 && one.contributor != own_id;
+      });
       if (promoted_entry.holders.empty())
         continue;
       if (promoted_entry.holders.size() > max_promoted_holders)
@@ -35,7 +36,8 @@
       const auto previous = promoted_.find(cache_entry->key);
       const bool changed = previous == promoted_.end() ||
                            significantly_differ(previous->second.cache_entry.holders, promoted_entry.holders);
-      if ((!changed && now - previous->second.sent_at < options.limits.repeat) || budget.remaining() <= 0) {
+      if ((!changed && now - previous->second.sent_at < options.limits.refresh_interval) ||
+          budget.remaining() <= 0) {
         if (previous != promoted_.end())
           current[cache_entry->key] = previous->second;
         continue;
@@ -46,7 +48,7 @@
   }
   for (const auto& [key, promoted] : promoted_)
     if (!current.count(key) && site.shard_collectors().is_head(options.name, shard_of(key)))
-      region.vote(batch, Line{key, 0, {}}, now, budget, out);  // withdrawn
+      region.vote(batch, CacheEntry{key, 0, {}}, now, budget, out);  // withdrawn
   promoted_ = std::move(current);
   region.flush(batch, budget, out);
 }
--- a/src/tiers/exchange/shared_state.h
+++ b/src/tiers/exchange/shared_state.h
@@ -51,7 +51,7 @@
       : options(std::move(o)),
         hasher(options.secret),
         own_id(hasher.name(options.name)),
-        epochs(hasher, static_cast<unsigned>(hasher.name(options.site) % 4), options.limits.devices) {}
+        epochs(hasher, static_cast<unsigned>(hasher.name(options.site) % 4), options.limits.max_devices) {}
 
   Options options;                               ///< configuration
   IdHasher hasher;                               ///< identifiers of keys and names
@@ -66,7 +66,7 @@
   /// Trust in a router; 1 for this router itself.
   double trust_in(NameId name, Micros now) const { return name == own_id ? 1.0 : trust.trust_in(name, now); }
   /// Returns the stamp of the next payload of votes.
-  Stamp next_stamp() { return {options.start, ++last_vote_number}; }
+  VoteStamp next_stamp() { return {options.start, ++last_vote_number}; }
   /// Sends a payload and counts it under `kind`.
   void send(const char* kind, peers::Outbox& out, std::string_view to, const std::string& bytes) {
     auto& counts = traffic[kind];
--- a/src/tiers/extension.cpp
+++ b/src/tiers/extension.cpp
@@ -26,7 +26,7 @@
       site_(state_, Tier::site, state_.options.limits.site_keys),
       region_(state_, Tier::region, state_.options.limits.region_keys),
       gossip_(seed ^ state_.own_id),
-      vote_budget_(state_.options.limits.vote_bytes),
+      vote_budget_(state_.options.limits.vote_bytes_per_second),
       epoch_budget_(epoch_bytes_per_second),
       map_(std::make_shared<HintMap>(state_.hasher)) {}
 
@@ -53,12 +53,12 @@
       if (holder.device != device || HintMapBuilder::confidence(state_, key, *entry, holder, now) <= 0)
         continue;
       if (tokens < holder.tokens / 2.0) {
-        contradicted_by[holder.by] = 0.5;
+        contradicted_by[holder.contributor] = 0.5;
         contradicted_by.try_emplace(entry->sender, 0.9);
-        state_.false_hints.add(key, device, now + state_.options.limits.fade);
+        state_.false_hints.add(key, device, now + state_.options.limits.confidence_half_life);
         hints_changed_ = true;
       } else {
-        confirmed_by.insert(holder.by);
+        confirmed_by.insert(holder.contributor);
         confirmed_by.insert(entry->sender);
       }
     }
@@ -136,7 +136,7 @@
 }
 
 void TiersExtension::merge_epochs(const Payload& payload, Micros now) {
-  for (const auto& [device, epoch] : payload.devices) {
+  for (const auto& [device, epoch] : payload.device_epochs) {
     const auto* known_epoch = state_.epochs.find(device);
     const bool was_known = known_epoch != nullptr, same = was_known && *known_epoch == epoch;
     if (same)
@@ -148,7 +148,7 @@
 
 void TiersExtension::receive(Micros now, std::string_view from, std::string_view bytes, peers::Outbox& out) {
   const char* why = "";
-  const auto payload = read(bytes, now, why);
+  const auto payload = decode_payload(bytes, now, why);
   if (!payload) {
     ++state_.dropped[why];
     return;
@@ -159,27 +159,27 @@
   traffic.bytes_in += bytes.size();
   auto& tier = payload->tier == Tier::site ? site_ : region_;
   const bool is_member = tier.shard_collectors().is_member(from);
-  if (!is_member && payload->kind != Kind::generations && payload->kind != Kind::digest) {
+  if (!is_member && payload->kind != PayloadKind::epochs && payload->kind != PayloadKind::digest) {
     ++state_.dropped["stranger"];
     return;
   }
   merge_epochs(*payload, now);
   switch (payload->kind) {
-    case Kind::votes:
+    case PayloadKind::votes:
       tier.receive_votes(now, state_.hasher.name(from), *payload);
       break;
-    case Kind::rows:
+    case PayloadKind::entries:
       hints_changed_ |= tier.receive_entries(now, from, *payload);
       break;
-    case Kind::ask:
+    case PayloadKind::entries_request:
       tier.receive_request(now, from);
       break;
-    case Kind::digest:
+    case PayloadKind::digest:
       epoch_budget_.refill(now);
       if (payload->digest != state_.epochs.digest() && epoch_budget_.remaining() > 0)
         send_epochs(from, state_.epochs.slice(epoch_cursor_, max_epochs_per_payload), out);
       break;
-    case Kind::generations:
+    case PayloadKind::epochs:
       break;
   }
   if (due_ == Micros{})
@@ -187,14 +187,14 @@
 }
 
 void TiersExtension::send_epochs(std::string_view to,
-                                 const std::vector<std::pair<NameId, Generation>>& epochs,
+                                 const std::vector<std::pair<NameId, CacheEpoch>>& epochs,
                                  peers::Outbox& out) {
-  Packer packer(Kind::generations, Tier::site, {});
+  PayloadEncoder packer(PayloadKind::epochs, Tier::site, {});
   for (const auto& [device, epoch] : epochs)
     packer.add(device, epoch);
   if (packer.empty())
     return;
-  const auto bytes = packer.bytes();
+  const auto bytes = packer.encode();
   epoch_budget_.spend(bytes.size());
   state_.send("eras", out, to, bytes);
 }
@@ -203,7 +203,7 @@
   epoch_budget_.refill(now);
   if (epoch_budget_.remaining() <= 0)
     return;
-  std::vector<std::pair<NameId, Generation>> epochs;
+  std::vector<std::pair<NameId, CacheEpoch>> epochs;
   for (const auto device : gossip_.take_round(max_epochs_per_payload))
     if (const auto* epoch = state_.epochs.find(device))
       epochs.emplace_back(device, *epoch);
@@ -218,7 +218,8 @@
     return;
   digest_sent_at_ = now;
   for (const auto& to : gossip_.draw_members(members_, state_.options.name, 1))
-    state_.send("digests", out, to, Packer(Kind::digest, Tier::site, {}).bytes(state_.epochs.digest()));
+    state_.send("digests", out, to,
+                PayloadEncoder(PayloadKind::digest, Tier::site, {}).encode(state_.epochs.digest()));
 }
 
 void TiersExtension::send_votes(Micros now, peers::Outbox& out) {
@@ -228,7 +229,7 @@
   CacheTier::VoteBatch batch;
   const auto room = static_cast<std::size_t>(vote_budget_.remaining()) / approximate_vote_bytes + 1;
   for (const auto key : device_tier_.due(now, std::min(max_votes_per_tick, room))) {
-    Line cache_entry{key, device_tier_.weight(key), {}};
+    CacheEntry cache_entry{key, device_tier_.weight(key), {}};
     for (const auto& holder : device_tier_.holders(key))
       if (state_.epochs.is_current(holder.device, holder.epoch))
         cache_entry.holders.push_back(
@@ -262,7 +263,7 @@
   if (now - swept_at_ >= seconds(1)) {
     swept_at_ = now;
     device_tier_.expire(
-        [&](NameId device, const Generation& epoch) {
+        [&](NameId device, const CacheEpoch& epoch) {
           return state_.epochs.is_current(device, epoch) || state_.epochs.recently_invalidated(device, now);
         },
         now);
--- a/src/tiers/merge/vote_set.h
+++ b/src/tiers/merge/vote_set.h
@@ -13,23 +13,23 @@
 /// A device that, according to a contributor, holds a key's KV cache.
 struct Holder {
   NameId device = 0;            ///< the device
-  Generation epoch{};           ///< its cache epoch when the key was seen there
+  CacheEpoch epoch{};           ///< its cache epoch when the key was seen there
   std::uint32_t tokens = 0;     ///< cached tokens, from the beginning of the prompt
   std::uint8_t confidence = 0;  ///< 255: the contributor is certain
   Micros seen_at{};             ///< last sighting, on this router's clock
 };
 
 /// Orders the votes of one contributor.
-struct Stamp {
-  std::uint64_t start = 0;   ///< start of the contributor's process, in Unix us
-  std::uint64_t number = 0;  ///< sequence number of the payload
-  /// Compares the start, then the number.
-  friend auto operator<=>(const Stamp&, const Stamp&) = default;
+struct VoteStamp {
+  std::uint64_t process_start = 0;  ///< start of the contributor's process, in Unix us
+  std::uint64_t sequence = 0;       ///< sequence number of the payload
+  /// Compares the process start, then the sequence number.
+  friend auto operator<=>(const VoteStamp&, const VoteStamp&) = default;
 };
 
 /// What one contributor says about a key.
 struct Vote {
-  Stamp stamp;                  ///< orders it among the contributor's votes
+  VoteStamp stamp;              ///< orders it among the contributor's votes
   std::vector<Holder> holders;  ///< up to 2; empty: the vote is withdrawn
   std::uint8_t weight = 0;      ///< logarithmic weight of the key
   Micros received_at{};         ///< when it last arrived here
--- a/src/tiers/snapshot/hint_map_builder.cpp
+++ b/src/tiers/snapshot/hint_map_builder.cpp
@@ -3,15 +3,15 @@
 namespace lemonroute::tiers {
 
 double HintMapBuilder::confidence(const SharedState& state, KeyId key, const ReceivedEntries::Entry& entry,
-                                  const Shown& holder, Micros now) {
-  if (!state.epochs.is_current(holder.device, holder.generation) ||
+                                  const AdvertisedHolder& holder, Micros now) {
+  if (!state.epochs.is_current(holder.device, holder.epoch) ||
       state.false_hints.contains(key, holder.device, now))
     return 0;
-  const double trust = state.trust_in(holder.by, now) * state.trust_in(entry.sender, now);
+  const double trust = state.trust_in(holder.contributor, now) * state.trust_in(entry.sender, now);
   // The initial trust is one half, so a hint through two routers without a record has a quarter of the
   // confidence of one through two fully trusted routers.
-  const double hint_confidence =
-      trust * decayed_confidence(holder.confidence, holder.seen, now, state.options.limits.fade);
+  const double hint_confidence = trust * decayed_confidence(holder.confidence, holder.seen_at, now,
+                                                            state.options.limits.confidence_half_life);
   return hint_confidence < min_confidence ? 0 : hint_confidence;
 }
 
--- a/src/tiers/store/device_tier.cpp
+++ b/src/tiers/store/device_tier.cpp
@@ -14,7 +14,7 @@
   return static_cast<std::uint8_t>(std::clamp(8 * std::log2(1 + std::max(0.0, tokens)), 0.0, 255.0));
 }
 
-void DeviceTier::record_cached(KeyId key, NameId device, const Generation& epoch, std::uint32_t tokens,
+void DeviceTier::record_cached(KeyId key, NameId device, const CacheEpoch& epoch, std::uint32_t tokens,
                                Micros now) {
   if (tokens == 0)
     return;
@@ -84,13 +84,13 @@
   entry.queued = true;
 }
 
-void DeviceTier::expire(const std::function<bool(NameId, const Generation&)>& is_current, Micros now) {
-  if (now - halved_at_ >= limits_.fade) {
+void DeviceTier::expire(const std::function<bool(NameId, const CacheEpoch&)>& is_current, Micros now) {
+  if (now - halved_at_ >= limits_.confidence_half_life) {
     heavy_hitters_.halve();
     halved_at_ = now;
   }
   // After four half-lives a sixteenth of the confidence is left, too little for a hint.
-  const auto oldest = now - 4 * limits_.fade;
+  const auto oldest = now - 4 * limits_.confidence_half_life;
   for (auto at = entries_.begin(); at != entries_.end();) {
     auto& [key, entry] = *at;
     const auto count = entry.holders.size();
@@ -128,7 +128,8 @@
   for (auto& [key, entry] : entries_) {
     if (keys.size() >= max_count)
       break;
-    if (entry.queued || now - entry.sent_at < (entry.repeats_left ? change_repeat_interval : limits_.repeat))
+    if (entry.queued ||
+        now - entry.sent_at < (entry.repeats_left ? change_repeat_interval : limits_.refresh_interval))
       continue;
     if (entry.repeats_left)
       --entry.repeats_left;
--- a/src/tiers/wire/payload.cpp
+++ b/src/tiers/wire/payload.cpp
@@ -23,7 +23,7 @@
 }
 }  // namespace
 
-std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why) {
+std::optional<Payload> decode_payload(std::string_view bytes, Micros now, const char*& why) {
   const auto reject = [&](const char* reason) {
     why = reason;
     return std::nullopt;
@@ -43,18 +43,18 @@
   if (message.start() >= year_2100)
     return reject("start");
   Payload payload;
-  payload.kind = static_cast<Kind>(message.kind());
+  payload.kind = static_cast<PayloadKind>(message.kind());
   payload.tier = static_cast<Tier>(message.tier());
   payload.stamp = {message.start(), message.number()};
   payload.digest = message.digest();
   for (const auto& device : message.devices()) {
     if (device.name() == 0 || device.start() >= year_2100)
       return reject("device");
-    payload.devices.emplace_back(device.name(), Generation{device.start(), device.lanes()});
+    payload.device_epochs.emplace_back(device.name(), CacheEpoch{device.start(), device.lanes()});
   }
-  const int max_holders_per_entry = payload.kind == Kind::votes ? 2 : max_holders;
+  const int max_holders_per_entry = payload.kind == PayloadKind::votes ? 2 : max_holders;
   for (const auto& row : message.rows()) {
-    Line cache_entry{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
+    CacheEntry cache_entry{row.key(), static_cast<std::uint8_t>(row.weight()), {}};
     if (row.weight() > 255)
       return reject("weight");
     if (row.holders_size() % numbers_per_holder != 0 ||
@@ -62,14 +62,14 @@
       return reject("holders");
     for (int i = 0; i < row.holders_size(); i += numbers_per_holder) {
       const auto at = [&](int field) { return row.holders(i + field); };
-      if (at(0) >= payload.devices.size())
+      if (at(0) >= payload.device_epochs.size())
         return reject("index");
-      const bool votes = payload.kind == Kind::votes;
+      const bool votes = payload.kind == PayloadKind::votes;
       if (!votes && at(4) >= static_cast<std::uint32_t>(message.contributors_size()))
         return reject("index");
       if (at(1) == 0 || at(1) > max_tokens || at(2) > 255 || at(3) > max_tenths || at(5) > VoteSet::max_votes)
         return reject("holder");
-      const auto& [device, epoch] = payload.devices[at(0)];
+      const auto& [device, epoch] = payload.device_epochs[at(0)];
       for (const auto& other : cache_entry.holders)
         if (other.device == device)
           return reject("twice");
@@ -77,34 +77,36 @@
           {device, epoch, at(1), static_cast<std::uint8_t>(at(2)), now - at(3) * tenth_of_second,
            votes ? 0 : message.contributors(static_cast<int>(at(4))), static_cast<std::uint8_t>(at(5))});
     }
-    payload.lines.push_back(std::move(cache_entry));
+    payload.entries.push_back(std::move(cache_entry));
   }
   return payload;
 }
 
-struct Packer::Parts {
+struct PayloadEncoder::Parts {
   v1::Payload payload;
   std::unordered_map<NameId, std::uint32_t> devices, contributors;
   std::size_t bytes = max_header_bytes;
 };
 
-Packer::Packer(Kind kind, Tier tier, Stamp stamp) : parts_(std::make_unique<Parts>()) {
+PayloadEncoder::PayloadEncoder(PayloadKind kind, Tier tier, VoteStamp stamp)
+    : parts_(std::make_unique<Parts>()) {
   auto& payload = parts_->payload;
   payload.set_version(version);
   payload.set_kind(static_cast<v1::Kind>(kind));
   payload.set_tier(static_cast<std::uint32_t>(tier));
-  payload.set_start(stamp.start);
-  payload.set_number(stamp.number);
+  payload.set_start(stamp.process_start);
+  payload.set_number(stamp.sequence);
 }
-Packer::~Packer() = default;
-Packer::Packer(Packer&&) noexcept = default;
-Packer& Packer::operator=(Packer&&) noexcept = default;
+PayloadEncoder::~PayloadEncoder() = default;
+PayloadEncoder::PayloadEncoder(PayloadEncoder&&) noexcept = default;
+PayloadEncoder& PayloadEncoder::operator=(PayloadEncoder&&) noexcept = default;
 
-bool Packer::add(NameId device, const Generation& epoch) {
+bool PayloadEncoder::add(NameId device, const CacheEpoch& epoch) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (devices.count(device))
     return true;
-  const auto cost = 2 + 9 + 1 + varint_size(epoch.start) + (epoch.lanes ? 1 + varint_size(epoch.lanes) : 0);
+  const auto cost =
+      2 + 9 + 1 + varint_size(epoch.start) + (epoch.loss_counts ? 1 + varint_size(epoch.loss_counts) : 0);
   if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() == max_devices)
     return false;
   bytes += cost;
@@ -112,19 +114,19 @@
   auto* to = payload.add_devices();
   to->set_name(device);
   to->set_start(epoch.start);
-  to->set_lanes(epoch.lanes);
+  to->set_lanes(epoch.loss_counts);
   return true;
 }
 
-bool Packer::add(const Line& cache_entry, Micros now) {
+bool PayloadEncoder::add(const CacheEntry& cache_entry, Micros now) {
   auto& [payload, devices, contributors, bytes] = *parts_;
   if (payload.rows_size() == max_entries)
     return false;
   // The largest size: every device and contributor is new, and each number of a holder is at its bound.
   std::size_t cost = 2 + 9 + 3 + 2;
   for (const auto& holder : cache_entry.holders)
-    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.generation.start) +
-            (holder.generation.lanes ? 1 + varint_size(holder.generation.lanes) : 0);
+    cost += 1 + 4 + 2 + 3 + 1 + 1 + 8 + 2 + 12 + varint_size(holder.epoch.start) +
+            (holder.epoch.loss_counts ? 1 + varint_size(holder.epoch.loss_counts) : 0);
   const auto room = static_cast<int>(cache_entry.holders.size());
   if (bytes + cost > peers::Outbox::max_payload_bytes || payload.devices_size() + room > max_devices ||
       payload.contributors_size() + room > max_devices)
@@ -133,24 +135,24 @@
   row->set_key(cache_entry.key);
   row->set_weight(cache_entry.weight);
   for (const auto& holder : cache_entry.holders) {
-    add(holder.device, holder.generation);
+    add(holder.device, holder.epoch);
     std::uint32_t by = 0;
     if (payload.kind() == v1::rows) {
-      const auto [at, fresh] =
-          contributors.try_emplace(holder.by, static_cast<std::uint32_t>(payload.contributors_size()));
+      const auto [at, fresh] = contributors.try_emplace(
+          holder.contributor, static_cast<std::uint32_t>(payload.contributors_size()));
       by = at->second;
       if (fresh) {
-        payload.add_contributors(holder.by);
+        payload.add_contributors(holder.contributor);
         bytes += 8 + 2;
       }
     }
-    const auto tenths = std::clamp<std::int64_t>((now - holder.seen) / tenth_of_second, 0, max_tenths);
+    const auto tenths = std::clamp<std::int64_t>((now - holder.seen_at) / tenth_of_second, 0, max_tenths);
     const std::uint32_t numbers[] = {devices[holder.device],
                                      std::clamp<std::uint32_t>(holder.tokens, 1, max_tokens),
                                      holder.confidence,
                                      static_cast<std::uint32_t>(tenths),
                                      by,
-                                     payload.kind() == v1::rows ? holder.votes : 0u};
+                                     payload.kind() == v1::rows ? holder.vote_count : 0u};
     for (const auto number : numbers) {
       row->add_holders(number);
       bytes += varint_size(number);
@@ -160,11 +162,11 @@
   return true;
 }
 
-bool Packer::empty() const {
+bool PayloadEncoder::empty() const {
   return parts_->devices.empty() && parts_->payload.rows_size() == 0;
 }
 
-std::string Packer::bytes(std::uint64_t digest) const {
+std::string PayloadEncoder::encode(std::uint64_t digest) const {
   parts_->payload.set_digest(digest);
   return parts_->payload.SerializeAsString();
 }
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -15,47 +15,47 @@
 
 /// Kind of a payload: votes for collectors, advertised entries, cache epochs, an anti-entropy digest of all
 /// cache epochs, or a request for advertised entries. The numbers are those of proto/tiers.proto.
-enum class Kind { votes = 1, rows = 2, generations = 3, digest = 4, ask = 5 };
+enum class PayloadKind { votes = 1, entries = 2, epochs = 3, digest = 4, entries_request = 5 };
 
 /// A key with its holders, as a vote or as an advertised entry.
-struct Line {
-  KeyId key = 0;               ///< the key
-  std::uint8_t weight = 0;     ///< logarithmic weight of the key
-  std::vector<Shown> holders;  ///< at most 3, in votes 2; empty: withdrawn
+struct CacheEntry {
+  KeyId key = 0;                          ///< the key
+  std::uint8_t weight = 0;                ///< logarithmic weight of the key
+  std::vector<AdvertisedHolder> holders;  ///< at most 3, in votes 2; empty: withdrawn
 };
 
 /// A decoded payload. Times are on this router's clock.
 struct Payload {
-  Kind kind = Kind::generations;                       ///< its kind
-  Tier tier = Tier::site;                              ///< the tier it belongs to
-  Stamp stamp;                                         ///< orders votes
-  std::vector<std::pair<NameId, Generation>> devices;  ///< devices with their cache epochs
-  std::vector<Line> lines;                             ///< votes or advertised entries
-  std::uint64_t digest = 0;                            ///< anti-entropy digest of the sender's cache epochs
+  PayloadKind kind = PayloadKind::epochs;                    ///< its kind
+  Tier tier = Tier::site;                                    ///< the tier it belongs to
+  VoteStamp stamp;                                           ///< orders votes
+  std::vector<std::pair<NameId, CacheEpoch>> device_epochs;  ///< devices with their cache epochs
+  std::vector<CacheEntry> entries;                           ///< votes or advertised entries
+  std::uint64_t digest = 0;  ///< anti-entropy digest of the sender's cache epochs
 };
 
 /// Decodes a payload. Rejects it as a whole if any field exceeds its bound; `why` is then the name of the
 /// counter of dropped payloads.
-std::optional<Payload> read(std::string_view bytes, Micros now, const char*& why);
+std::optional<Payload> decode_payload(std::string_view bytes, Micros now, const char*& why);
 
 /// Fills one payload with entries or cache epochs until it is full.
-class Packer {
+class PayloadEncoder {
  public:
   /// Starts an empty payload; `stamp` orders votes.
-  Packer(Kind kind, Tier tier, Stamp stamp);
-  ~Packer();
+  PayloadEncoder(PayloadKind kind, Tier tier, VoteStamp stamp);
+  ~PayloadEncoder();
   /// Takes over the payload of the other.
-  Packer(Packer&&) noexcept;
+  PayloadEncoder(PayloadEncoder&&) noexcept;
   /// Replaces this payload by that of the other.
-  Packer& operator=(Packer&&) noexcept;
+  PayloadEncoder& operator=(PayloadEncoder&&) noexcept;
   /// Adds an entry with the devices it refers to; returns false if there is no room.
-  bool add(const Line& cache_entry, Micros now);
+  bool add(const CacheEntry& cache_entry, Micros now);
   /// Adds the cache epoch of a device; returns false if there is no room.
-  bool add(NameId device, const Generation& epoch);
+  bool add(NameId device, const CacheEpoch& epoch);
   /// Whether nothing was added.
   bool empty() const;
   /// Returns the encoded payload.
-  std::string bytes(std::uint64_t digest = 0) const;
+  std::string encode(std::uint64_t digest = 0) const;
 
  private:
   struct Parts;
--- a/tests/pools/demand_and_wire_test.cpp
+++ b/tests/pools/demand_and_wire_test.cpp
@@ -54,20 +54,20 @@
   LocalDemand local_demand;
   EXPECT_FALSE(local_demand.report(Micros(1)));  // an unknown demand is not reported as no demand
   local_demand.add({0.5, 0.5, 5, 5, 8}, Micros(1));
-  EXPECT_NEAR(local_demand.report(Micros(2))->writers, 8, 1e-9);
+  EXPECT_NEAR(local_demand.report(Micros(2))->decode_nodes, 8, 1e-9);
   local_demand.add({0, 0, 0, 0, 8}, std::chrono::minutes(10));
-  EXPECT_NEAR(local_demand.report(std::chrono::minutes(10))->writers, 0, 1e-9);
+  EXPECT_NEAR(local_demand.report(std::chrono::minutes(10))->decode_nodes, 0, 1e-9);
 }
 
 TEST(Demand, CorrectsTheCalendarWithinLimits) {
   Settings settings;
-  settings.correction = 0.1;
-  settings.fill = 0.5;
-  EXPECT_EQ(wish_of(settings, 0.4, std::nullopt, 100).wanted, 40);
-  EXPECT_NEAR(wish_of(settings, 0.4, 21, 100).wanted, 42, 1e-9);
-  EXPECT_NEAR(wish_of(settings, 0.4, 1000, 100).wanted, 50, 1e-9);
-  EXPECT_NEAR(wish_of(settings, 0.4, 0, 100).wanted, 30, 1e-9);
-  EXPECT_NEAR(wish_of(settings, 0.95, 1000, 100).wanted, 100, 1e-9);
+  settings.max_correction = 0.1;
+  settings.target_fill = 0.5;
+  EXPECT_EQ(region_target(settings, 0.4, std::nullopt, 100).wanted, 40);
+  EXPECT_NEAR(region_target(settings, 0.4, 21, 100).wanted, 42, 1e-9);
+  EXPECT_NEAR(region_target(settings, 0.4, 1000, 100).wanted, 50, 1e-9);
+  EXPECT_NEAR(region_target(settings, 0.4, 0, 100).wanted, 30, 1e-9);
+  EXPECT_NEAR(region_target(settings, 0.95, 1000, 100).wanted, 100, 1e-9);
 }
 
 // A message is read as it was written, in payloads within the size limit. A damaged payload is rejected, or
@@ -76,7 +76,7 @@
   std::mt19937_64 rng(3);
   const Micros now = std::chrono::hours(1000);
   for (int round = 0; round < 200; ++round) {
-    wire::Grant grant{rng(), rng() % 2 == 0, {}};
+    wire::LeaseAnswer grant{rng(), rng() % 2 == 0, {}};
     for (std::size_t i = 0; i < 1 + rng() % 120; ++i) {
       const std::uint64_t moved = rng() % 2;
       grant.pools.push_back(
@@ -87,18 +87,18 @@
            rng() % 2 == 0,
            rng() % 2 == 0});
       if (moved)
-        grant.pools.back().owned.since = now - std::chrono::milliseconds(1 + rng() % 100000);
+        grant.pools.back().ownership.granted_at = now - std::chrono::milliseconds(1 + rng() % 100000);
     }
-    std::vector<wire::Entry> got;
+    std::vector<wire::PoolEntry> got;
     for (auto payload : wire::write(grant, 9, now)) {
       ASSERT_LE(payload.size(), peers::Outbox::max_payload_bytes);
       const auto read = wire::read(payload, 9, 4, now);
       ASSERT_TRUE(read.message);
-      const auto& one = std::get<wire::Grant>(*read.message);
+      const auto& one = std::get<wire::LeaseAnswer>(*read.message);
       EXPECT_EQ(one.nonce, grant.nonce);
       EXPECT_EQ(one.abstains, grant.abstains);
       got.insert(got.end(), one.pools.begin(), one.pools.end());
-      EXPECT_EQ(wire::read(payload, 8, 4, now).fault, wire::Fault::mark);
+      EXPECT_EQ(wire::read(payload, 8, 4, now).fault, wire::ReadFault::settings_mismatch);
       for (int damage = 0; damage < 20; ++damage) {
         auto bad = payload;
         bad[rng() % bad.size()] = static_cast<char>(rng());
@@ -107,19 +107,21 @@
         const auto what = wire::read(bad, 9, 4, now);
         if (!what.message)
           continue;
-        const auto* some = std::get_if<wire::Grant>(&*what.message);
+        const auto* some = std::get_if<wire::LeaseAnswer>(&*what.message);
         if (!some)
           continue;
         for (const auto& entry : some->pools)
-          ASSERT_TRUE(entry.owned.owner < 4 && entry.pool.site.size() <= max_name_bytes);
+          ASSERT_TRUE(entry.ownership.owner < 4 && entry.pool.site.size() <= max_name_bytes);
       }
     }
     ASSERT_EQ(got.size(), grant.pools.size());
     for (std::size_t i = 0; i < got.size(); ++i)
-      ASSERT_TRUE(got[i].pool == grant.pools[i].pool && got[i].owned.ballot == grant.pools[i].owned.ballot &&
-                  got[i].owned.owner == grant.pools[i].owned.owner &&
-                  got[i].owned.since == grant.pools[i].owned.since && got[i].ok == grant.pools[i].ok &&
-                  got[i].active == grant.pools[i].active);
+      ASSERT_TRUE(got[i].pool == grant.pools[i].pool &&
+                  got[i].ownership.ballot == grant.pools[i].ownership.ballot &&
+                  got[i].ownership.owner == grant.pools[i].ownership.owner &&
+                  got[i].ownership.granted_at == grant.pools[i].ownership.granted_at &&
+                  got[i].granted == grant.pools[i].granted &&
+                  got[i].granted_to_owner == grant.pools[i].granted_to_owner);
   }
 }
 
--- a/tests/pools/extension_test.cpp
+++ b/tests/pools/extension_test.cpp
@@ -13,7 +13,7 @@
 
 Settings settings_with_correction() {
   Settings s = test::two_regions();
-  s.correction = 0.2;
+  s.max_correction = 0.2;
   return s;
 }
 // Reports demand to all routers. The calendar is flat, so only demand changes what the regions want.
@@ -21,7 +21,7 @@
   for (auto& one : world.processes) {
     if (!one->extension)
       continue;
-    const double writers = (one->site == "n" ? north : south) / 3 * world.settings.fill;
+    const double writers = (one->site == "n" ? north : south) / 3 * world.settings.target_fill;
     NodeObserver::Demand demand;
     demand.own_load = writers / 4;
     demand.decode_nodes = 4;
@@ -194,8 +194,8 @@
   Settings settings = test::two_regions();
   settings.regions["south"].sites.push_back("t");
   settings.regions["north"].sites.push_back("m");
-  settings.moving_at_once = 2;
-  settings.room = 0.3;
+  settings.max_concurrent_migrations = 2;
+  settings.headroom = 0.3;
   World world(settings, 5);
   world.run(20s);
   EXPECT_EQ(world.senders({"m", 1}), (Senders{{"north", 3}}));
@@ -218,8 +218,9 @@
   world.run(5s);
   auto& one = *world.processes[0];
   const auto snapshot = one.extension->lease_snapshot();
-  const std::string ask = wire::write(wire::Ask{1, 1, {{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}},
-                                      world.settings.fingerprint() + 1, one.local())[0];
+  const std::string ask =
+      wire::write(wire::LeaseRequest{1, 1, {{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}}},
+                  world.settings.fingerprint() + 1, one.local())[0];
   one.extension->receive(one.local(), "south0", ask, one);
   one.extension->receive(one.local(), "south0", "\xff\xff", one);
   const auto counts = one.extension->describe(one.local())["counts"];
@@ -229,9 +230,10 @@
   const auto fingerprint = world.settings.fingerprint();
   one.extension->receive(
       one.local(), "south0",
-      wire::write(wire::Ask{1, 0, {{{"n", 1}, {}, false, false}}}, fingerprint, one.local())[0], one);
+      wire::write(wire::LeaseRequest{1, 0, {{{"n", 1}, {}, false, false}}}, fingerprint, one.local())[0],
+      one);
   one.extension->receive(one.local(), "south0",
-                         wire::write(wire::Propose{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}},
+                         wire::write(wire::Proposal{{{"n", 1}, {{7, 1, 1}, 1, Micros(0)}, false, false}},
                                      fingerprint, one.local())[0],
                          one);
   EXPECT_EQ(one.extension->describe(one.local())["counts"]["strangers"], 2);
--- a/tests/pools/extension_world.h
+++ b/tests/pools/extension_world.h
@@ -37,13 +37,13 @@
     auto& region = s.regions[name];
     region.sites = {name.substr(0, 1)};
     for (int k = 0; k < 3; ++k)
-      region.keepers.push_back(name + std::to_string(k));
+      region.grantors.push_back(name + std::to_string(k));
     region.reserve = {{name.substr(0, 1), 0}};
     s.hours[name] = {"UTC", 0.5, {}, {}};
   }
   s.hysteresis = 0.1;
-  s.ahead = 0s;
-  s.plans_every = 1s;
+  s.lead_time = 0s;
+  s.plan_interval = 1s;
   return s;
 }
 
--- a/tests/tiers/hint_map_test.cpp
+++ b/tests/tiers/hint_map_test.cpp
@@ -221,10 +221,10 @@
   std::size_t invalidations = 0;
   Micros last{};
   for (std::uint16_t count = 1; count <= 600; ++count) {
-    Packer packer(Kind::generations, Tier::site, {});
+    PayloadEncoder packer(PayloadKind::epochs, Tier::site, {});
     for (std::size_t d = 0; d < 10; ++d)
       packer.add(hasher.name(network.device(d).name), {10'000'000, std::uint64_t{count} << 32});
-    network.send_forged(2, 8, packer.bytes());
+    network.send_forged(2, 8, packer.encode());
     network.run(milliseconds(100));
     const auto lost = network.at(8).map()->cache_lost_at(network.device(0));
     if (lost != last)
@@ -243,8 +243,8 @@
   custom_options.limits.device_keys = 64;
   custom_options.limits.site_keys = 256;
   custom_options.limits.region_keys = 128;
-  custom_options.limits.vote_bytes = 4096;
-  custom_options.limits.push_bytes = 8192;
+  custom_options.limits.vote_bytes_per_second = 4096;
+  custom_options.limits.push_bytes_per_second = 8192;
   SimulatedNetwork network(custom_options);
   for (Key key = 1; key <= 6000; ++key) {
     record_prefill(network, key % 12, key % 10, key, 3000);
@@ -271,14 +271,14 @@
   options.sites = 2;
   SimulatedNetwork network(options);
   network.run(seconds(1));
-  Packer rows(Kind::rows, Tier::site, {});
+  PayloadEncoder rows(PayloadKind::entries, Tier::site, {});
   rows.add({IdHasher(4711).session(5),
             9,
             {{IdHasher(4711).name("d1"), {10'000'000, 0}, 500, 255, network.now(), 1, 1}}},
            network.now());
   network.send_forged(0, 2, "no payload");
   network.send_forged(0, 2, std::string(900, '\xff'));
-  network.send_forged(1, 2, rows.bytes());  // from a router of the other site
+  network.send_forged(1, 2, rows.encode());  // from a router of the other site
   network.run(seconds(1));
   const auto description = network.at(2).describe(network.now());
   EXPECT_EQ(description["dropped"]["unreadable"], 2);
--- a/tests/tiers/merge_test.cpp
+++ b/tests/tiers/merge_test.cpp
@@ -15,7 +15,7 @@
 
 using Random = std::mt19937_64;
 
-Generation random_epoch(Random& random) {
+CacheEpoch random_epoch(Random& random) {
   return {random() % 3, (random() % 3) | (random() % 3) << 16 | (random() % 2) << 48};
 }
 
@@ -120,7 +120,7 @@
 }
 
 TEST(SelectHolders, IgnoresAPastEpochAndATokenCountThatOnlyOneContributorClaims) {
-  const SelectionContext context{[](NameId, const Generation& epoch) { return epoch.start == 1; },
+  const SelectionContext context{[](NameId, const CacheEpoch& epoch) { return epoch.start == 1; },
                                  [](NameId) { return 0.5; }, Micros(10), std::chrono::seconds(60)};
   const auto vote = [](NameId device, std::uint32_t tokens, std::uint64_t start = 1) {
     return Vote{{1, 1}, {{device, {start, 0}, tokens, 255, Micros(10)}}, 1, Micros(10)};
@@ -140,10 +140,11 @@
   Random random(6);
   for (int round = 0; round < 300; ++round) {
     const bool votes = random() % 2;
-    Packer packer(votes ? Kind::votes : Kind::rows, Tier::region, {random() >> 16, random()});
-    std::vector<Line> lines;
+    PayloadEncoder packer(votes ? PayloadKind::votes : PayloadKind::entries, Tier::region,
+                          {random() >> 16, random()});
+    std::vector<CacheEntry> lines;
     while (true) {
-      Line line{random(), static_cast<std::uint8_t>(random()), {}};
+      CacheEntry line{random(), static_cast<std::uint8_t>(random()), {}};
       for (std::uint64_t n = random() % (votes ? 3 : 4), first = random() % 30; n > 0; --n)
         line.holders.push_back({first + n,
                                 {first + n, random() % 2 ? ~0ull : 0},
@@ -156,31 +157,33 @@
         break;
       lines.push_back(line);
     }
-    const auto bytes = packer.bytes(random());
+    const auto bytes = packer.encode(random());
     ASSERT_LE(bytes.size(), peers::Outbox::max_payload_bytes);
     EXPECT_GE(bytes.size(), votes ? 700u : 600u);  // the size estimate leaves little room unused
     const char* why = "";
-    const auto payload = read(bytes, std::chrono::seconds(1000), why);
+    const auto payload = decode_payload(bytes, std::chrono::seconds(1000), why);
     ASSERT_TRUE(payload) << why;
-    ASSERT_EQ(payload->lines.size(), lines.size());
+    ASSERT_EQ(payload->entries.size(), lines.size());
     for (std::size_t i = 0; i < lines.size(); ++i) {
-      EXPECT_EQ(payload->lines[i].key, lines[i].key);
-      ASSERT_EQ(payload->lines[i].holders.size(), lines[i].holders.size());
+      EXPECT_EQ(payload->entries[i].key, lines[i].key);
+      ASSERT_EQ(payload->entries[i].holders.size(), lines[i].holders.size());
       for (std::size_t h = 0; h < lines[i].holders.size(); ++h) {
-        const auto &got = payload->lines[i].holders[h], &put = lines[i].holders[h];
-        EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens && got.by == put.by &&
-                    got.votes == put.votes && got.confidence == put.confidence && got.seen == put.seen);
+        const auto &got = payload->entries[i].holders[h], &put = lines[i].holders[h];
+        EXPECT_TRUE(got.device == put.device && got.tokens == put.tokens &&
+                    got.contributor == put.contributor && got.vote_count == put.vote_count &&
+                    got.confidence == put.confidence && got.seen_at == put.seen_at);
       }
     }
     // A corrupted or truncated payload is either decoded within the bounds or rejected.
     auto corrupted = bytes;
     for (int n = 0; n < 3; ++n)
       corrupted[random() % corrupted.size()] = static_cast<char>(random());
-    if (const auto decoded = read(corrupted, std::chrono::seconds(1000), why)) {
-      for (const auto& line : decoded->lines)
+    if (const auto decoded = decode_payload(corrupted, std::chrono::seconds(1000), why)) {
+      for (const auto& line : decoded->entries)
         EXPECT_LE(line.holders.size(), max_holders);
     }
-    read(std::string_view(bytes).substr(0, random() % bytes.size()), std::chrono::seconds(1000), why);
+    decode_payload(std::string_view(bytes).substr(0, random() % bytes.size()), std::chrono::seconds(1000),
+                   why);
   }
 }
 
@@ -197,7 +200,7 @@
   ASSERT_TRUE(set);
   EXPECT_TRUE(none.empty());
   EXPECT_EQ(set->limits.site_keys, 8192u);
-  EXPECT_EQ(set->limits.fade, std::chrono::minutes(2));
+  EXPECT_EQ(set->limits.confidence_half_life, std::chrono::minutes(2));
   EXPECT_EQ(set->line, 1u);
   for (const std::string line :
        {"site_keys = 1", "device_keys = 1.5", "push_bytes = \"many\"", "fade = 60", "repeat = \"1s\"",
