--- a/src/pools/leases/ballot.h
+++ b/src/pools/leases/ballot.h
@@ -12,7 +12,7 @@
 
 /// Epoch of a pool's ownership. No two proposals have the same ballot.
 struct Ballot {
-  std::uint64_t counter = 0;  ///< 0: the pool has never migrated
+  std::uint64_t counter = 0;      ///< 0: the pool has never migrated
   RegionId proposer_region = 0;   ///< region of the proposer
   std::uint64_t proposer_id = 0;  ///< identifies the proposing process
   auto operator<=>(const Ballot&) const = default;
@@ -25,8 +25,8 @@
 
 /// Owner of a pool under a ballot.
 struct Ownership {
-  Ballot ballot;       ///< the newest ballot known
-  RegionId owner = 0;  ///< region that the ballot names
+  Ballot ballot;        ///< the newest ballot known
+  RegionId owner = 0;   ///< region that the ballot names
   Micros granted_at{};  ///< when a grantor first granted the pool to the owner under this ballot, on this
                         ///< process's clock; 0: not granted yet, or the pool has never migrated
 
--- a/src/tiers/options.h
+++ b/src/tiers/options.h
@@ -13,16 +13,16 @@
 
 /// Bounds on memory, traffic and the age of information; each can be set in the [tiers] section.
 struct Limits {
-  std::size_t device_keys = 1024;            ///< keys seen by this router itself, each with up to two devices
-  std::size_t site_keys = 4096;              ///< keys of the site, separately as collector and as receiver
-  std::size_t region_keys = 2048;            ///< the same for the region
-  std::size_t max_devices = 4096;            ///< devices whose cache epochs are known
+  std::size_t device_keys = 1024;  ///< keys seen by this router itself, each with up to two devices
+  std::size_t site_keys = 4096;    ///< keys of the site, separately as collector and as receiver
+  std::size_t region_keys = 2048;  ///< the same for the region
+  std::size_t max_devices = 4096;  ///< devices whose cache epochs are known
   Micros confidence_half_life = std::chrono::seconds(60);  ///< half-life of the confidence in a sighting
   Micros refresh_interval = std::chrono::seconds(10);      ///< interval at which valid entries are sent again
   std::size_t vote_bytes_per_second = 16 * 1024;           ///< bytes per second of votes to collectors
   std::size_t push_bytes_per_second =
-      128 * 1024;                            ///< bytes per second that a collector advertises, for each tier
-  double min_promotion_tokens = 2000;        ///< minimum tokens of a key that is promoted to the region
+      128 * 1024;                      ///< bytes per second that a collector advertises, for each tier
+  double min_promotion_tokens = 2000;  ///< minimum tokens of a key that is promoted to the region
   /// How long an entry is valid without being sent again.
   Micros lease() const { return 6 * refresh_interval; }
 };
--- a/src/tiers/store/received_entries.h
+++ b/src/tiers/store/received_entries.h
@@ -16,9 +16,9 @@
   /// The entry of a key.
   struct Entry {
     std::vector<AdvertisedHolder> holders;  ///< best first
-    std::uint8_t weight = 0;     ///< logarithmic weight of the key
-    NameId sender = 0;           ///< the router that advertised it
-    Micros received_at{};        ///< when it last arrived
+    std::uint8_t weight = 0;                ///< logarithmic weight of the key
+    NameId sender = 0;                      ///< the router that advertised it
+    Micros received_at{};                   ///< when it last arrived
   };
   explicit ReceivedEntries(std::size_t max_keys)
       : max_keys_per_shard_(std::max<std::size_t>(4, max_keys / shard_count)) {}
--- a/src/tiers/wire/payload.h
+++ b/src/tiers/wire/payload.h
@@ -19,19 +19,19 @@
 
 /// A key with its holders, as a vote or as an advertised entry.
 struct CacheEntry {
-  KeyId key = 0;               ///< the key
-  std::uint8_t weight = 0;     ///< logarithmic weight of the key
+  KeyId key = 0;                          ///< the key
+  std::uint8_t weight = 0;                ///< logarithmic weight of the key
   std::vector<AdvertisedHolder> holders;  ///< at most 3, in votes 2; empty: withdrawn
 };
 
 /// A decoded payload. Times are on this router's clock.
 struct Payload {
-  PayloadKind kind = PayloadKind::epochs;              ///< its kind
-  Tier tier = Tier::site;                              ///< the tier it belongs to
-  VoteStamp stamp;                                     ///< orders votes
+  PayloadKind kind = PayloadKind::epochs;                    ///< its kind
+  Tier tier = Tier::site;                                    ///< the tier it belongs to
+  VoteStamp stamp;                                           ///< orders votes
   std::vector<std::pair<NameId, CacheEpoch>> device_epochs;  ///< devices with their cache epochs
-  std::vector<CacheEntry> entries;                     ///< votes or advertised entries
-  std::uint64_t digest = 0;                            ///< anti-entropy digest of the sender's cache epochs
+  std::vector<CacheEntry> entries;                           ///< votes or advertised entries
+  std::uint64_t digest = 0;  ///< anti-entropy digest of the sender's cache epochs
 };
 
 /// Decodes a payload. Rejects it as a whole if any field exceeds its bound; `why` is then the name of the
